--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -24,6 +24,9 @@
 class Controllers:
     """The part of the world that runs nodes."""
 
+    CONNECTION = Connection
+    """What nodes have in place of the pooled HTTP client."""
+
     def have_no_connections(self) -> None:
         """Before any node has started."""
         self.connections: dict[str, dict[str, float]] = {name: {} for name in self.names}
@@ -63,7 +66,7 @@
             process,
             version.parse(self.settings(name)),
             lambda: self.now + 1000.0,
-            lambda *_, **options: Connection(self, name, number, **options),
+            lambda *_, **options: self.CONNECTION(self, name, number, **options),
             **({"features": self.features[name]} if version is NEW and self.features[name] else {}),
         )
         node.in_thread = lambda function, *arguments: defer.maybeDeferred(function, *arguments)  # type: ignore
--- /dev/null
+++ b/tests/wire_trace.py
@@ -0,0 +1,322 @@
+"""Characterization of the controllers: all that they send, answer and store on simulated days.
+
+On the simulated cluster everything that a controller does is the same at each run, to the byte and to the microsecond.
+This tool plays days with mixed jobs and faults and keeps a digest of every message and stored record of each day. A
+change that is meant to leave the behaviour alone leaves the digests alone; a change of behaviour updates the file of
+digests on purpose, and its commit says why.
+
+    python3 -m tests.wire_trace                     compare all days with tests/wire_digests.json
+    python3 -m tests.wire_trace --seed 7 --dump F   write the events of a day, a line each, to find a first difference
+    python3 -m tests.wire_trace --update            write the file of digests anew
+"""
+
+import argparse
+import hashlib
+import json
+import os
+import random
+import sys
+from collections.abc import Callable
+from concurrent.futures import ProcessPoolExecutor
+from pathlib import Path
+from typing import Any, NamedTuple
+from unittest import mock
+
+from twisted.internet import defer
+
+from stileloft.features import Features, RebuildFeature
+from stileloft.protocol import messages
+from stileloft.transport.client import Reply
+from tests import test_overlapping_faults as overlapping
+from tests import test_rules as single
+from tests.held_starts import cloud_out, freeze_leader
+from tests.simulation.clients import Connection
+from tests.simulation.network import Hold
+from tests.simulation.world import World
+from tests.test_gangs import gang, gang_load
+from tests.versions import NEW, production
+
+DIGESTS = Path(__file__).parent / "wire_digests.json"
+SEEDS = range(1, 25)
+DAY_S = 110.0
+FAULTS_FROM_S, FAULTS_UNTIL_S = 18.0, 80.0
+
+Fault = Callable[[World], None]
+
+
+def hold_starts(world: World) -> None:
+    """Start commands stay on their way for longer than a cancellation may take."""
+    world.holds.append(Hold(world.now + 8.0, 20.0, 60.0, verb="launch"))
+
+
+def hold_answers(world: World) -> None:
+    """Commands are executed in time, and their answers come late."""
+    world.holds.append(Hold(world.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
+
+
+FAULTS: tuple[Fault, ...] = (
+    single.crash_leader,
+    single.crash_all,
+    single.restart_in_election,
+    single.outage,
+    single.leader_refused,
+    single.leader_cut_from_state,
+    single.leader_cut_from_workers,
+    single.spot_wave,
+    single.machines_die,
+    single.hang(9.0),
+    single.hang(20.0),
+    single.machines_cut,
+    single.cloud_outage,
+    single.faulty_machine,
+    single.deaf_machines(9.0),
+    single.late_copies,
+    single.freeze_leader,
+    single.peers_refuse,
+    single.machines_restart,
+    overlapping.late_writes(12.0, 0.4),
+    overlapping.late_writes(12.0, 0.4, at_once=True),
+    overlapping.slow_store(12.0),
+    overlapping.close_looks(15.0),
+    overlapping.reports_for_the_next(10.0),
+    overlapping.held_commands(10.0),
+    overlapping.boots(30.0, 0.2, 0.3, 4.0),
+    overlapping.cancel_now(4, 9.0),
+    overlapping.cancel_at_end,
+    overlapping.leader_alone(12.0),
+    overlapping.zone_cut(14.0),
+    overlapping.odd_requests,
+    overlapping.many_questions,
+    hold_starts,
+    hold_answers,
+    cloud_out,
+    freeze_leader,
+)
+
+
+class Trace:
+    """The events of a day, as a running digest."""
+
+    def __init__(self, lines: list[str] | None = None) -> None:
+        self.count = 0
+        self._hash = hashlib.sha256()
+        self._lines = lines
+
+    def add(self, kind: str, *parts: Any) -> None:
+        """Takes in an event; all of its parts count, in their order."""
+        line = repr((kind, *parts))
+        self.count += 1
+        self._hash.update(line.encode("utf-8", "surrogatepass") + b"\n")
+        if self._lines is not None:
+            self._lines.append(line)
+
+    def digest(self) -> str:
+        return self._hash.hexdigest()
+
+
+class StoredChanges(list[tuple[str, Any, int]]):
+    """The store's changes; each that is added is traced."""
+
+    def __init__(self, world: "TracedWorld") -> None:
+        super().__init__()
+        self._world = world
+
+    def append(self, change: tuple[str, Any, int]) -> None:
+        self._world.trace.add("stored", self._world.now, *change)
+        super().append(change)
+
+
+class TracedConnection(Connection):
+    """A controller's client whose requests and answers are traced."""
+
+    world: "TracedWorld"
+
+    async def request(
+        self,
+        method: str,
+        address: str,
+        path: str,
+        body: Any,
+        timeout_s: float,
+        is_wanted: Callable[[], bool] = lambda: True,
+    ) -> Reply:
+        world, sender = self.world, f"{self.name}#{self.process}"
+        encoded = None if body is None else messages.encode(body)
+        world.trace.add("request", world.now, sender, method, address, path, body, encoded, timeout_s)
+        try:
+            reply = await super().request(method, address, path, body, timeout_s, is_wanted)
+        except Exception as error:
+            version = world.versions[self.name]
+            kinds = {version.connection_failed: "connection failed", version.no_response: "no response"}
+            world.trace.add("failed", world.now, sender, address, path, kinds.get(type(error)), str(error))
+            raise
+        world.trace.add("answered", world.now, sender, address, path, reply.status, reply.body)
+        return reply
+
+
+class TracedQuestion:
+    """What a user asks a controller, with its answer traced."""
+
+    def __init__(self, world: "TracedWorld", ask: Callable[[Any], Any], job: str) -> None:
+        self._world, self._ask, self._job = world, ask, job
+
+    def __call__(self, node: Any) -> Any:
+        asked: defer.Deferred[Any] = defer.ensureDeferred(self._ask(node))
+        return asked.addCallbacks(self._answered, self._refused)
+
+    def _answered(self, answer: Any) -> Any:
+        self._world.trace.add("told", self._world.now, self._job, answer)
+        return answer
+
+    def _refused(self, failure: Any) -> Any:
+        error = failure.value
+        self._world.trace.add("refused", self._world.now, self._job, str(error), getattr(error, "retry_after_s", None))
+        return failure
+
+
+class TracedWorld(World):
+    """A simulated cluster of which every message and stored record is traced."""
+
+    CONNECTION = TracedConnection
+
+    def __init__(self, trace: Trace, **options: Any) -> None:
+        self.trace = trace
+        super().__init__(**options)
+        self.state.changes = StoredChanges(self)
+
+    def deliver_report(self, name: str, body: Any) -> Reply:
+        reply = super().deliver_report(name, body)
+        self.trace.add("heartbeat", self.now, name, body, reply.status, reply.body)
+        return reply
+
+    def copy_report(self, name: str, body: Any) -> None:
+        self.trace.add("copy", self.now, name, body)
+        super().copy_report(name, body)
+
+    def _ask(self, ask: Callable[[Any], Any], told: Callable[[str, Any], None], job: str) -> None:
+        super()._ask(self._traced(ask, job), told, job)
+
+    def _look(self, name: str, ask: Callable[[Any], Any], job: str) -> None:
+        super()._look(name, self._traced(ask, job), job)
+
+    def _traced(self, ask: Callable[[Any], Any], job: str) -> TracedQuestion:
+        return ask if isinstance(ask, TracedQuestion) else TracedQuestion(self, ask, job)
+
+
+class DayDigest(NamedTuple):
+    """What a day came to."""
+
+    events: int
+    digest: str
+    broken: list[str]
+
+
+def _submit_jobs(world: World) -> None:
+    """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
+    single.load(world, jobs=14, every=2.5)
+    gang_load(world, count=5, every=7.0)
+    world.clock.callLater(6.0, world.submit, gang(world, 300, pieces=3, loaner=True))
+    world.clock.callLater(9.0, world.submit, world.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
+    world.clock.callLater(
+        12.0, world.submit, world.job(500, pieces=90, vcpus=0.25, memGb=0.2, guessS=12.0, crew="guest")
+    )
+
+
+def _replace_old_version(world: World, dice: random.Random) -> None:
+    """The processes of the version in production are replaced one after the other."""
+    for number, name in enumerate(dice.sample(world.names, 3)):
+        world.clock.callLater(26.0 + 16.0 * number, world.kill, name, 1.5, NEW)
+
+
+def _options(seed: int, dice: random.Random) -> dict[str, Any]:
+    """What a day's deployment is like: every feature and version is met by several seeds."""
+    options: dict[str, Any] = {
+        "seed": seed,
+        "loss": dice.choice((0.0, 0.002, 0.01)),
+        "value_kb": dice.choice((4.0, 16.0)),
+        "capacity": dice.choice((3, 6)),
+    }
+    if seed % 3 == 0:
+        options["features"] = Features(rebuild=RebuildFeature(enabled=True))
+    elif seed % 4 == 1:
+        old = production()
+        if old is None:
+            raise RuntimeError("the version in production is not in this checkout's history")
+        options["version"] = old
+    if seed % 4 == 2:
+        options["coming"] = {"value_kb": 2.0, "txn_ops": 6, "write_rps": 45.0}
+    return options
+
+
+def play(seed: int, lines: list[str] | None = None) -> DayDigest:
+    """Plays the day of a seed."""
+    drawn = random.Random(f"identities {seed}")
+    with mock.patch("secrets.token_hex", lambda size: drawn.randbytes(size).hex()):
+        return _play(seed, lines)
+
+
+def _play(seed: int, lines: list[str] | None) -> DayDigest:
+    dice = random.Random(f"day {seed}")
+    options = _options(seed, dice)
+    trace = Trace(lines)
+    world = TracedWorld(trace, **options)
+    _submit_jobs(world)
+    for fault in dice.sample(FAULTS, 4):
+        world.clock.callLater(dice.uniform(FAULTS_FROM_S, FAULTS_UNTIL_S), fault, world)
+    for job in ("j-000001", "j-000006", "j-000101", "j-000400", "j-000500"):
+        world.clock.callLater(dice.uniform(15.0, 90.0), world.cancel, job)
+    if "version" in options:
+        _replace_old_version(world, dice)
+    if "features" in options and seed % 2:
+        world.clock.callLater(45.0, world.state.wipe)
+    if "coming" in options:
+        world.clock.callLater(50.0, world.lower_limits)
+    world.run(DAY_S)
+    trace.add("end", sorted(world.state.items.items()), world.rules.broken)
+    return DayDigest(trace.count, trace.digest(), world.rules.broken)
+
+
+def read_digests() -> dict[int, DayDigest]:
+    """The committed digests, by seed."""
+    return {int(seed): DayDigest(**day) for seed, day in json.loads(DIGESTS.read_text()).items()}
+
+
+def _write_digests(days: dict[int, DayDigest]) -> None:
+    DIGESTS.write_text(json.dumps({str(seed): day._asdict() for seed, day in days.items()}, indent=1) + "\n")
+
+
+def main() -> None:
+    parser = argparse.ArgumentParser(description="Digests of all that controllers send and store on simulated days.")
+    parser.add_argument("--seed", type=int, action="append", help="a day to play, several times if wished; else all")
+    parser.add_argument("--processes", type=int, default=6)
+    parser.add_argument("--dump", type=Path, help="with one seed: where its events are written")
+    parser.add_argument("--update", action="store_true", help="write the file of digests anew")
+    options = parser.parse_args()
+    if os.environ.get("PYTHONHASHSEED") != "0":
+        # Sets of text are ordered alike in every run only with a fixed seed, which has to be set before the start.
+        os.execve(
+            sys.executable,
+            [sys.executable, "-m", "tests.wire_trace", *sys.argv[1:]],
+            os.environ | {"PYTHONHASHSEED": "0"},
+        )
+    seeds = options.seed or list(SEEDS)
+    if options.dump is not None:
+        lines: list[str] = []
+        print(play(seeds[0], lines))
+        options.dump.write_text("\n".join(lines) + "\n", errors="surrogatepass")
+        return
+    with ProcessPoolExecutor(options.processes) as pool:
+        found = dict(zip(seeds, pool.map(play, seeds), strict=True))
+    if options.update:
+        _write_digests(found)
+    known = read_digests()
+    different = [seed for seed, day in found.items() if known.get(seed) != day]
+    for seed, day in found.items():
+        verdict = " DIFFERENT" if seed in different else ""
+        print(f"seed {seed}: {day.events} events, {day.digest[:16]}{verdict} {day.broken[:2]}")
+    print(f"{len(found) - len(different)} of {len(found)} days as recorded")
+    sys.exit(1 if different else 0)
+
+
+if __name__ == "__main__":
+    main()
