--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -55,12 +55,12 @@
     from twisted.internet import error as net_error
     from twisted.internet import reactor as installed
 
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
     from stileloft.transport.sockets import allow_open_files
 
     allow_open_files(loaded.deployment.quota.max_sockets)
     reactor: Any = installed
-    node = Node(reactor, loaded, features=enabled)
+    node = Controller(reactor, loaded, features=enabled)
     try:
         node.start()
     except net_error.CannotListenError as error:
--- a/stileloft/coordination/node.py
+++ b/stileloft/controller/controller.py
@@ -11,33 +11,33 @@
 import orjson
 from twisted.internet import defer, threads
 
-from stileloft.bookkeeping import records
-from stileloft.coordination.admission import Admission, InfeasibleJobError, RetryLaterError
-from stileloft.coordination.election import DRIFT, Election
-from stileloft.coordination.fleet import MARGIN_LEASES
-from stileloft.coordination.integrity import StoreIntegrity
-from stileloft.coordination.invariants import InvariantMonitor
-from stileloft.coordination.leader import Term
-from stileloft.coordination.service_check import ServiceCheck
+from stileloft.controller.state_service_check import ServiceCheck
 from stileloft.features import Features
+from stileloft.jobs.admission import Admission, InfeasibleJobError, RetryLaterError
+from stileloft.leadership.election import DRIFT, Election
+from stileloft.leadership.invariants import InvariantMonitor
+from stileloft.leadership.leader import Leader
+from stileloft.machines.fleet import MARGIN_LEASES
+from stileloft.model import records
 from stileloft.protocol import messages
 from stileloft.protocol.admin import AdminResources, OperatorSettings, parse_operator_settings
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.cloud import CloudClient, CloudError
-from stileloft.protocol.messages import MachineType, Report
+from stileloft.protocol.messages import Heartbeat, MachineType
 from stileloft.protocol.peers import PeerClient, PeerView
 from stileloft.protocol.state import (
-    Budget,
     CompactedError,
     ConflictError,
     StateClient,
+    TokenBucket,
     UnavailableError,
     UnknownOutcomeError,
 )
-from stileloft.protocol.users import REPORT_PATH, PublicResources
+from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
 from stileloft.protocol.workers import WorkerClient
-from stileloft.rebuild import decisions
+from stileloft.rebuild import operator_decisions as decisions
 from stileloft.settings import Settings, Workers, split_address
+from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.client import Client
 from stileloft.transport.server import Answer, Router, make_site, retry_later
 from stileloft.transport.sockets import KEEP_COMMANDS, Sockets
@@ -54,7 +54,7 @@
 SETTINGS_WATCH_S = 30.0
 PEER_TIMEOUT_S = 1.0
 # Machines count as seen by a node for this many report intervals.
-VIEW_REPORTS = 4.0
+VIEW_HEARTBEATS = 4.0
 # For so many of the workers' leases it is known which report of a machine was the newest, so that a late
 # copy is told from it.
 REFERRED_LEASES = 8.0
@@ -74,26 +74,26 @@
 
 # How long leaders answer reports unconfirmed, as a multiple of the workers' lease; less where
 # tasks would otherwise outlive the cancellation of their job.
-GRACE_LEASES = 3.0
+RENEWAL_GRACE_LEASES = 3.0
 # A new leader claims machines before their workers have come to it: for so long, in the workers' leases.
 CLAIMING_LEASES = 0.5
 
 
-class Node:
+class Controller:
     """Everything of one process. `connect` makes its clients; tests put stand-ins there."""
 
     def __init__(
         self,
         reactor: Any,
         settings: Settings,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
         connect: Callable[..., Any] = Client,
         features: Features | None = None,
     ) -> None:
         self.features = features or Features()
         self.reactor = reactor
         self.settings = settings
-        self.wall = wall
+        self.wall_clock = wall_clock
         deployment = settings.deployment
         self.teams = {team.name: team for team in deployment.teams}
         self.types: dict[str, MachineType] = {}
@@ -118,16 +118,16 @@
         self.peers = PeerClient(peers, [peer.address for peer in settings.peers], PEER_TIMEOUT_S)
         self.service_check = ServiceCheck(reactor, self.state, self.peers)
         self.cloud = CloudClient(
-            wire, settings.external.cloud, CLOUD_TIMEOUT_S, Budget(reactor, deployment.cloud.rps * CLOUD_PART)
+            wire, settings.external.cloud, CLOUD_TIMEOUT_S, TokenBucket(reactor, deployment.cloud.rps * CLOUD_PART)
         )
         self.workers = WorkerClient(commands, WORKER_TIMEOUT_S)
         nodes = max(1, deployment.size)
         # One node may be down at any time, and the others then get its users.
         sharing = max(1, nodes - 1)
         least = deployment.state.least()
-        reads = Budget(reactor, least.rps * READS_SHARE / sharing)
-        writes = Budget(reactor, max(2.0, least.write_rps * USER_WRITES / sharing), USER_BURST_S)
-        self.leader_writes = Budget(reactor, least.write_rps * LEADER_WRITES)
+        read_budget = TokenBucket(reactor, least.rps * READS_SHARE / sharing)
+        write_budget = TokenBucket(reactor, max(2.0, least.write_rps * USER_WRITES / sharing), USER_BURST_S)
+        self.leader_write_budget = TokenBucket(reactor, least.write_rps * LEADER_WRITES)
         self.format = 0
         """The format in which records may be written, as far as is known; it never goes back."""
         self.format_version = 0
@@ -139,17 +139,25 @@
         self.rebuild = self._rebuild_feature()
         self.integrity = self.rebuild.protection if self.rebuild else StoreIntegrity()
         self.admission = Admission(
-            reactor, self.state, self.teams, self, reads, writes, wall, least.value_bytes, self.integrity
+            reactor,
+            self.state,
+            self.teams,
+            self,
+            read_budget,
+            write_budget,
+            wall_clock,
+            least.value_bytes,
+            self.integrity,
         )
         self.admission.on_cancelled = self._cancelled_here
         self.invariants = InvariantMonitor()
         self.nonce = secrets.token_hex(8)
         life_s = deployment.workers.lease_s * LEADER_LEASE
-        self.grace_s = blind_grace(deployment.workers, life_s)
+        self.renewal_grace_s = renewal_grace(deployment.workers, life_s)
         self.election = Election(
             reactor, self.state, settings.member, self.nonce, life_s, self._elected, self._deposed, self.integrity
         )
-        self.term: Term | None = None
+        self.term: Leader | None = None
         self.operator_settings = OperatorSettings()
         self._referred: dict[str, tuple[float, tuple[int, int]]] = {}
 
@@ -177,7 +185,9 @@
             self.rebuild.run()
 
     def serve(self) -> None:
-        public = PublicResources(self.admission, self.report, self.healthy, RetryLaterError, InfeasibleJobError)
+        public = PublicResources(
+            self.admission, self.handle_heartbeat, self.healthy, RetryLaterError, InfeasibleJobError
+        )
         self._listen(
             self.settings.listen,
             Router(
@@ -265,7 +275,7 @@
 
     def keep_request(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
-        if path != REPORT_PATH:
+        if path != HEARTBEAT_PATH:
             return self.sockets.keep_users()
         # Workers leave a node that does not lead by themselves.
         return self.term is None or self.sockets.keep_reports(len(self.term.machines))
@@ -289,7 +299,7 @@
 
     def begin_term(self, token: int) -> None:
         """Leads, in a store whose records are all there."""
-        self.term = Term(self, token, self.election.key_version)
+        self.term = Leader(self, token, self.election.key_version)
         self.term.begin()
 
     def forget_versions(self) -> None:
@@ -308,29 +318,29 @@
         if self.term is not None:
             self.term.watch.on_change(job, None, revision)
 
-    def report(self, report: Report) -> Answer:
+    def handle_heartbeat(self, report: Heartbeat) -> Answer:
         """A worker's report: answered by the leader, referred to it by the others."""
-        self.integrity.saw_token(report.token)
+        self.integrity.observe_token(report.token)
         if self.rebuild is not None and self.rebuild.rebuilder is not None:
-            return self.rebuild.rebuilder.on_report(report)
+            return self.rebuild.rebuilder.on_heartbeat(report)
         term = self.term
         if term is not None and term.tokens.is_later(report.token):
-            self.election.doubt(f"{report.machine} knows token {report.token}")
+            self.election.suspect(f"{report.machine} knows token {report.token}")
             term = None
         if term is None:
             self._refer(report)
-            leader = self.election.leader
+            leader = self.election.leader_member
             if leader is not None and leader != self.settings.member:
                 return Answer(421, {"steward": leader})
             return Answer(421, {})
         if not term.may_renew():
-            term.on_unanswered(report)
+            term.on_unanswered_heartbeat(report)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
-        return Answer(200, term.on_report(report))
+        return Answer(200, term.on_heartbeat(report))
 
-    def _refer(self, report: Report) -> None:
+    def _refer(self, report: Heartbeat) -> None:
         """Remembers which machines still look for the leader. A late copy of a report says nothing of that."""
-        newest = (report.session, report.seq)
+        newest = (report.epoch, report.sequence)
         if newest <= self._referred.get(report.machine, (0.0, (0, 0)))[1]:
             return
         now = self.reactor.seconds()
@@ -348,14 +358,14 @@
         answer: dict[str, Any] = {
             "member": self.settings.member,
             "role": "leader" if self.election.leading else "standby",
-            "leader": self.election.leader,
+            "leader": self.election.leader_member,
             "token": self.election.token,
             "served": self.service_check.served(),
-            "confirmed": self.election.confirmed(),
+            "confirmed": self.election.holds_lease(),
             "machine_types": sorted(self.types),
             "settings": msgspec.to_builtins(self.operator_settings),
             "invariants": self.invariants.status(),
-            "budgets": {"leader_writes": round(self.leader_writes.level(), 1)},
+            "budgets": {"leader_writes": round(self.leader_write_budget.level(), 1)},
         }
         if self.rebuild is not None:
             answer["features"] = {"rebuild": msgspec.to_builtins(self.features.rebuild)}
@@ -383,7 +393,7 @@
     def view(self) -> PeerView:
         """What this node sees, for a peer that doubts its own view."""
         now = self.reactor.seconds()
-        recent = now - VIEW_REPORTS * self.settings.deployment.workers.report_s
+        recent = now - VIEW_HEARTBEATS * self.settings.deployment.workers.heartbeat_s
         return PeerView(
             min(now - self.state.served_at, 1e9),
             {machine: newest for machine, (at, newest) in self._referred.items() if at > recent},
@@ -416,7 +426,7 @@
         puts = {records.SETTINGS: msgspec.to_builtins(settings)}
         try:
             changed = await self.state.commit(guards, puts, [])
-            self.integrity.committed(puts, [], changed)
+            self.integrity.record_commit(puts, [], changed)
         except ConflictError:
             raise StaleVersionError from None
         except (UnavailableError, UnknownOutcomeError) as error:
@@ -426,7 +436,7 @@
         return changed
 
 
-def blind_grace(workers: Workers, life_s: float) -> float:
+def renewal_grace(workers: Workers, life_s: float) -> float:
     """How long a leader may answer reports without knowing that it still leads, or what users cancel.
 
     The earliest cancellation that it may not know of is confirmed when it last knew of all (`JobWatch.informed_at`).
@@ -435,7 +445,7 @@
     the time for a cancellation. A lease of the leader and a time-out of the state service are left as a reserve.
     """
     latest = workers.cancel_s - workers.lease_s * (1 + MARGIN_LEASES + 2 * DRIFT) - life_s - STATE_TIMEOUT_S
-    return max(0.0, min(GRACE_LEASES * workers.lease_s, latest))
+    return max(0.0, min(RENEWAL_GRACE_LEASES * workers.lease_s, latest))
 
 
 def _orjson_loads(data: bytes) -> Any:
--- a/stileloft/coordination/service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping import records
+from stileloft.model import records
 from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import StateClient, UnavailableError, UnknownOutcomeError
 from stileloft.transport.clock import Clock
--- a/stileloft/coordination/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Who leads, and what the leader decides and does."""
--- /dev/null
+++ b/stileloft/jobs/__init__.py
@@ -0,0 +1,1 @@
+"""Admission of jobs, and the life of their tasks."""
--- a/stileloft/coordination/admission.py
+++ b/stileloft/jobs/admission.py
@@ -7,21 +7,23 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import active_record, fits_type, separate_chunk
-from stileloft.coordination.integrity import StoreIntegrity
-from stileloft.protocol.messages import JobSpec, MachineType, job_from_wire, state_answer
+from stileloft.model import records
+from stileloft.model.chunks import separate_chunk
+from stileloft.model.jobs import active_record
+from stileloft.model.machines import fits_type
+from stileloft.protocol.messages import JobSpec, MachineType, job_from_wire, job_status_message
 from stileloft.protocol.state import (
     PAGE,
-    Budget,
     ConflictError,
     StateClient,
     ThrottledError,
+    TokenBucket,
     TooLargeError,
     UnavailableError,
     UnknownOutcomeError,
 )
 from stileloft.settings import Team
+from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.clock import Clock
 
 log = logging.getLogger(__name__)
@@ -93,9 +95,9 @@
         state: StateClient,
         teams: dict[str, Team],
         catalog: Catalog,
-        reads: Budget,
-        writes: Budget,
-        wall: Any,
+        read_budget: TokenBucket,
+        write_budget: TokenBucket,
+        wall_clock: Any,
         value_bytes: int,
         integrity: StoreIntegrity,
     ) -> None:
@@ -104,9 +106,9 @@
         self._state = state
         self._teams = teams
         self._catalog = catalog
-        self._reads = reads
-        self._writes = writes
-        self._wall = wall
+        self._read_budget = read_budget
+        self._write_budget = write_budget
+        self._wall_clock = wall_clock
         self._value_bytes = value_bytes
         self.on_cancelled: Callable[[str, int], None] = lambda _job, _revision: None
         """Called with each job that a user of this node has cancelled, and the store's revision, before the answer."""
@@ -133,10 +135,10 @@
             if known is not None:
                 return False, known
             raise InfeasibleJobError(reason)
-        self._spend(self._writes, 1.0)
+        self._spend(self._write_budget, 1.0)
         active, final = records.active_key(spec.id), records.final_key(spec.id)
         value = active_record(
-            spec, self._wall(), self._catalog.chunk_size if self._catalog.format >= records.SIZED_FORMAT else None
+            spec, self._wall_clock(), self._catalog.chunk_size if self._catalog.format >= records.SIZED_FORMAT else None
         )
         try:
             revision = await self._state.commit({active: 0, final: 0, **self._integrity.guards()}, {active: value}, [])
@@ -149,10 +151,10 @@
         except TooLargeError:
             raise InfeasibleJobError("its description is too long to be stored") from None
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._writes, 1.0) from None
-        self._integrity.committed({active: value}, [], revision)
+            raise self._failed(error, self._write_budget, 1.0) from None
+        self._integrity.record_commit({active: value}, [], revision)
         log.info("job %s accepted: %d tasks of class %s for %s", spec.id, spec.tasks, spec.job_class, spec.team)
-        return True, state_answer(spec.id, "queued")
+        return True, job_status_message(spec.id, "queued")
 
     async def status(self, job: str) -> dict[str, Any] | None:
         """The job's state, or None if the store says that it was never accepted."""
@@ -161,20 +163,20 @@
             return known
         self._require_sound_store()
         try:
-            if self._reads.level() > SPARE_READS * self._reads.per_s:
-                self._spend(self._reads, 1.0)
+            if self._read_budget.level() > SPARE_READS * self._read_budget.rate_per_s:
+                self._spend(self._read_budget, 1.0)
                 found = await self._state.lookup(records.active_key(job))
                 value = found[0] if found is not None else None
             else:
                 value = (await self._read_together()).get(records.active_key(job))
                 if value is None:
-                    self._spend(self._reads, 1.0)
+                    self._spend(self._read_budget, 1.0)
             if value is not None:
                 done, running = value["c"]
-                return state_answer(job, "running" if running else "queued", done, running)
+                return job_status_message(job, "running" if running else "queued", done, running)
             return await self._ended(job)
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._reads, 1.0) from None
+            raise self._failed(error, self._read_budget, 1.0) from None
 
     def _read_together(self) -> defer.Deferred[dict[str, Any]]:
         """All unfinished jobs, as read after now. Many users asking often must not take what the leader needs."""
@@ -188,9 +190,9 @@
         # Who asks from now on is not among them: the read may begin before that question.
         asked, self._gathered = self._gathered, []
         try:
-            self._spend(self._reads, 1.0)
+            self._spend(self._read_budget, 1.0)
             items, _ = await self._state.scan(records.ACTIVE)
-            self._reads.spend(len(items) // PAGE)
+            self._read_budget.overdraw(len(items) // PAGE)
         except Exception as error:
             for waiting in asked:
                 waiting.errback(error)
@@ -208,14 +210,14 @@
         known = self._keep_known_end(job)
         if known is not None:
             return known
-        return state_answer(job, "queued", 0, 0) if self._integrity.is_unknown_job(job) else None
+        return job_status_message(job, "queued", 0, 0) if self._integrity.is_unknown_job(job) else None
 
     def _require_sound_store(self) -> None:
-        if not self._integrity.is_sound() or not self._integrity.knows_ends():
+        if not self._integrity.is_sound() or not self._integrity.knows_outcomes():
             raise RetryLaterError("the state service has lost records, which are being rebuilt", LOST_RETRY_S)
 
     def _keep_known_end(self, job: str) -> dict[str, Any] | None:
-        end = self._integrity.end_of(job)
+        end = self._integrity.outcome_of(job)
         return None if end is None else self._keep_final(job, records.final_record(end.phase, end.tasks))
 
     def _look_into(self, conflict: ConflictError) -> None:
@@ -225,7 +227,7 @@
             raise RetryLaterError("the state service is being verified", 1.0)
 
     def _keep_final(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
-        answer = state_answer(job, value["phase"], value["n"], 0)
+        answer = job_status_message(job, value["phase"], value["n"], 0)
         self._final[job] = answer
         if len(self._final) > FINAL_CACHE:
             self._final.popitem(last=False)
@@ -237,7 +239,7 @@
         if known is not None:
             return known
         self._require_sound_store()
-        self._spend(self._writes, CANCEL_CHANGES)
+        self._spend(self._write_budget, CANCEL_CHANGES)
         try:
             # The leader may rewrite the record between the read and the commit.
             for _ in range(CANCEL_TRIES):
@@ -249,7 +251,7 @@
                 except ConflictError as conflict:
                     self._look_into(conflict)
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._writes, CANCEL_CHANGES) from None
+            raise self._failed(error, self._write_budget, CANCEL_CHANGES) from None
         raise RetryLaterError("the job's record keeps changing")
 
     async def _cancel_record(self, job: str, value: dict[str, Any], version: int) -> dict[str, Any]:
@@ -261,23 +263,23 @@
         if inline is not None and inline["p"]:
             # What may still run somewhere stays known until it is gone: it takes room, and has to be stopped.
             puts[records.chunk_key(job, 0)] = separate_chunk(job_from_wire(value["s"]), inline, value["n"])
-            self._writes.spend(1.0)
+            self._write_budget.overdraw(1.0)
         guards = {active: version, final: 0, **self._integrity.guards()}
         revision = await self._state.commit(guards, puts, [active])
-        self._integrity.committed(puts, [active], revision)
+        self._integrity.record_commit(puts, [active], revision)
         log.info("job %s cancelled, revision %d", job, revision)
         self.on_cancelled(job, revision)
         return self._keep_final(job, ended)
 
     @staticmethod
-    def _failed(error: Exception, budget: Budget, amount: float) -> RetryLaterError:
+    def _failed(error: Exception, budget: TokenBucket, amount: float) -> RetryLaterError:
         # Otherwise the repeats during an outage would leave nothing for those after it.
         # What was refused because there was too much of it counts: else the repeats starve the leader.
         if isinstance(error, UnavailableError) and not isinstance(error, ThrottledError):
-            budget.give_back(amount)
+            budget.refund(amount)
         return RetryLaterError(f"state service: {error}")
 
     @staticmethod
-    def _spend(budget: Budget, amount: float) -> None:
-        if not budget.take(amount):
+    def _spend(budget: TokenBucket, amount: float) -> None:
+        if not budget.try_take(amount):
             raise RetryLaterError("too many requests", 1.0)
--- a/stileloft/coordination/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -3,12 +3,14 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import Job, job_from_record
+from stileloft.model import records
+from stileloft.model.jobs import Job, job_from_record
 from stileloft.protocol.state import CompactedError, UnavailableError, UnknownOutcomeError
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -25,12 +27,12 @@
 class JobWatch:
     """Keeps the leader's jobs in step with the store, and knows how old that knowledge is."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._cluster = term.cluster
         self.revision = 0
-        self.watch_s = term.node.election.life_s * WATCH_LIVES
-        self.informed_at = float("-inf")
+        self.watch_s = term.node.election.lease_s * WATCH_LIVES
+        self.up_to_date_at = float("-inf")
         """Until then we know of all cancellations: when we sent the newest question that the store answered."""
         self._too_old = False
         """The store does not know any more what has changed since `revision`: all jobs have to be read again."""
@@ -44,7 +46,7 @@
     def staleness_s(self) -> float:
         """Seconds since we last knew of all cancellations; without end before the store was read."""
         now: float = self._term.clock.seconds()
-        return now - self.informed_at
+        return now - self.up_to_date_at
 
     def is_fresh(self) -> bool:
         """Whether we hear of cancellations, so that nothing is started of a job that is long over."""
@@ -77,7 +79,7 @@
             await self._term.node.integrity.verify()
         for key, value, version in events:
             self.on_change(key[len(records.ACTIVE) :], value, version)
-        self.revision, self.informed_at = revision, asked_at
+        self.revision, self.up_to_date_at = revision, asked_at
         self._forget_removed()
         if events:
             # Under a burst each change would else be an answer and a request of its own.
@@ -99,13 +101,13 @@
             self.on_change(key[len(records.ACTIVE) :], value, version)
         for job in missing:
             self.on_change(job.id, None, revision)
-        self.revision, self.informed_at = revision, asked_at
+        self.revision, self.up_to_date_at = revision, asked_at
         self._too_old = False
 
     def _is_unexplained(self, key: str) -> bool:
         """Whether a record that is gone belongs to a job that goes on as far as we know."""
         job = self._cluster.jobs.get(key[len(records.ACTIVE) :])
-        return job is not None and job.over is None and not job.busy
+        return job is not None and job.end_phase is None and not job.commit_in_flight
 
     def on_change(self, job_id: str, value: Any, version: int) -> None:
         """A job's record was written by somebody, perhaps by us."""
@@ -115,12 +117,12 @@
                 with self._term.lock:
                     job = job_from_record(value, version, self._term.node.first_chunk_size)
                     job.recount()
-                    self._term.adopt(job)
+                    self._term.adopt_job(job)
                     for placement in job.placements():
                         self._term.tasks.attach(placement)
-                self._term.request_round()
+                self._term.request_scheduling()
             return
-        if job is None or job.over:
+        if job is None or job.end_phase:
             return
         # Gone from `active/`: cancelled by its user, or finished by a commit of ours whose answer is still on
         # its way. In both cases nothing of it may run. What is being stored of it may take as long as an
@@ -129,19 +131,19 @@
             # With no transaction under way it was none of ours, and we know all that the store holds of it, unless
             # its record held a chunk, which has one of its own now.
             log.info("the record of job %s is gone, known from revision %d", job_id, version)
-            self._term.tasks.close_job(job, "over" if job.busy or job.has_inline_chunk else "cancelled")
+            self._term.tasks.end_job(job, "over" if job.commit_in_flight or job.has_inline_chunk else "cancelled")
         self._settle(job)
 
     def _settle(self, job: Job) -> None:
         """Learns what the store holds of a job that is over, once no transaction about it is under way."""
-        if not self._term.alive or self._cluster.jobs.get(job.id) is not job or job.over != "over":
+        if not self._term.alive or self._cluster.jobs.get(job.id) is not job or job.end_phase != "over":
             return
-        if job.busy:
+        if job.commit_in_flight:
             self._term.clock.callLater(SETTLE_S, self._settle, job)
         else:
-            self._term.ledger.start_reload(job)
+            self._term.commit_queue.reload(job)
 
     def _forget_removed(self) -> None:
         """What was asked of the store after a job was let go of brings no record of it any more."""
-        while self._removed and next(iter(self._removed.values())) < self.informed_at:
+        while self._removed and next(iter(self._removed.values())) < self.up_to_date_at:
             del self._removed[next(iter(self._removed))]
--- a/stileloft/coordination/lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -7,12 +7,16 @@
 import math
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping.model import BOUND, ENDED, PLANNED, Job, Machine, Placement
-from stileloft.coordination import gangs
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import EXITED
+from stileloft.scheduling import gangs
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -29,47 +33,47 @@
 class TaskLifecycle:
     """Ends, stops and failures of placed tasks."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._cluster = term.cluster
 
     def attach(self, placement: Placement) -> None:
-        if placement.state != ENDED:
+        if placement.state != PlacementState.ENDED:
             machine = self._term.machine(placement.machine)
             machine.placements[placement.key] = placement
-            machine.idle_since = machine.view = None
+            machine.idle_since = machine.scheduling_view = None
 
     def _invalidate_view(self, placement: Placement) -> None:
         machine = self._cluster.machines.get(placement.machine)
         if machine is not None:
-            machine.view = None
+            machine.scheduling_view = None
 
     def end(self, placement: Placement, why: str) -> None:
         """The task is certainly not on its machine any more, and has to run again."""
-        if placement.state == ENDED:
+        if placement.state == PlacementState.ENDED:
             return
         log.info("task %s attempt %d on %s ended: %s", placement.task, placement.attempt, placement.machine, why)
-        placement.state = ENDED
+        placement.state = PlacementState.ENDED
         self._invalidate_view(placement)
         job = self._cluster.jobs.get(placement.job)
         if job is not None:
             job.chunk_of(placement.index).dirty = True
-            pressing = job.pressing
+            urgent = job.urgent
             self._cluster.mark_dirty(job)
             if placement.done:
-                self._term.ledger.gather(job, pressing)
+                self._term.commit_queue.gather(job, urgent)
             if job.spec.is_gang:
-                self._term.clock.callLater(0, self._review_later, job)
-        self._term.ledger.later(0.0)
+                self._term.clock.callLater(0, self._reconcile_gang_later, job)
+        self._term.commit_queue.flush_within(0.0)
 
-    def _review_later(self, job: Job) -> None:
+    def _reconcile_gang_later(self, job: Job) -> None:
         with self._term.lock:
             if self._term.alive and self._cluster.jobs.get(job.id) is job:
-                self.review_gang(job)
+                self.reconcile_gang(job)
 
-    def review_gang(self, job: Job) -> None:
+    def reconcile_gang(self, job: Job) -> None:
         """Ends what is left of a gang of which a task is done, or lost."""
-        if job.over or job.reload:
+        if job.end_phase or job.reload_pending:
             return
         if gangs.completed(job):
             for placement in list(job.placements()):
@@ -77,33 +81,33 @@
                 self.end(placement, "done, as one of its gang is")
             self._cluster.mark_dirty(job)
         for placement in gangs.left_over(job):
-            self._stop_one(placement, 0.0 if placement.stop_grace is None else None)
+            self._stop_one(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def placement_cleared(self, placement: Placement) -> None:
         """The store holds the placement no longer."""
         machine = self._cluster.machines.get(placement.machine)
         if machine is None:
             return
-        machine.view = None
+        machine.scheduling_view = None
         if machine.placements.get(placement.key) is placement:
             del machine.placements[placement.key]
-        if placement.seen == EXITED:
-            self._term.pending.forget_later(machine, placement.task, placement.attempt, placement.done)
-        if not machine.placements and not machine.strays and machine.idle_since is None:
+        if placement.reported_state == EXITED:
+            self._term.planner.forget_later(machine, placement.task, placement.attempt, placement.done)
+        if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
             machine.idle_since = self._term.clock.seconds()
 
     def completed(self, machine: Machine, placement: Placement, now: float) -> None:
         placement.done = True
         job = self._cluster.jobs.get(placement.job)
         if job is not None and placement.running_since is not None and job.spec.estimate_s > 0:
-            job.errors.clear()
+            job.failed_machines.clear()
             job.backoff_s = 0.0
             took = now - placement.running_since
             # Attempts are counted per chunk: beyond its length, a task may have run before and saved.
-            fresh = job.spec.is_gang or placement.attempt <= job.chunk_length(placement.index // job.size)
+            fresh = job.spec.is_gang or placement.attempt <= job.chunk_length(placement.index // job.chunk_size)
             # A task that a former leader placed had run for a while when it was first seen. Taken for short, it made
             # the machines of its job's later tasks look slow: a new leader gave many of them back.
-            if fresh and placement.placed_here:
+            if fresh and placement.placed_by_this_leader:
                 if not job.durations:  # one sample a job, however many tasks it has
                     self._term.workload.record_run_time(job.spec, took)
                 self._compare_speed(machine, job, took)
@@ -116,41 +120,42 @@
             job.durations.append((machine.id, took))
         if len(others) >= 2 and took > SLOW * others[len(others) // 2]:
             machine.slow_jobs.add(job.id)
-            if len(machine.slow_jobs) >= ERRORS_FAULTY and machine.draining is None:
+            if len(machine.slow_jobs) >= ERRORS_FAULTY and machine.drain_reason is None:
                 log.info("machine %s is slow with tasks of %d jobs: emptying it", machine.id, len(machine.slow_jobs))
-                machine.draining = "it is slow"
+                machine.drain_reason = "it is slow"
 
     def failed(self, machine: Machine, placement: Placement) -> None:
         """Tells a faulty machine from a mistaken job: the one fails many jobs, the other on many machines."""
         job = self._cluster.jobs.get(placement.job)
-        machine.errors.add(placement.job)
-        machine.error_count += 1
+        machine.failed_jobs.add(placement.job)
+        machine.failure_count += 1
         if job is not None:
-            job.errors.add(machine.id)
+            job.failed_machines.add(machine.id)
             self.avoid(placement, machine.id, self._term.settings.workers.lease_s * 4)
-            if len(job.errors) > 1:
+            if len(job.failed_machines) > 1:
                 self._back_off(job)
-        honest = [j for j in machine.errors if j in self._cluster.jobs and len(self._cluster.jobs[j].errors) < 2]
-        if (len(honest) >= ERRORS_FAULTY or (honest and machine.error_count > 4)) and machine.draining is None:
-            log.info("machine %s fails tasks of %d jobs: emptying it", machine.id, len(machine.errors))
-            machine.draining = "it fails tasks"
+        known = [self._cluster.jobs[job_id] for job_id in machine.failed_jobs if job_id in self._cluster.jobs]
+        honest = [each for each in known if len(each.failed_machines) < 2]
+        if (len(honest) >= ERRORS_FAULTY or (honest and machine.failure_count > 4)) and machine.drain_reason is None:
+            log.info("machine %s fails tasks of %d jobs: emptying it", machine.id, len(machine.failed_jobs))
+            machine.drain_reason = "it fails tasks"
             for other in list(machine.placements.values()):
                 self.stop(other)
 
     def _back_off(self, job: Job) -> None:
         """Has the job wait for longer with each further attempt; tasks that fail together are one."""
-        if self._term.clock.seconds() >= job.not_before:
+        if self._term.clock.seconds() >= job.backoff_until:
             job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_S, 2.0 * job.backoff_s))
         self.delay(job.id, job.backoff_s)
 
     def avoid(self, placement: Placement, machine_id: str, seconds: float) -> None:
-        self._cluster.avoided[(placement.job, machine_id)] = self._term.clock.seconds() + seconds
+        self._cluster.placement_backoff[(placement.job, machine_id)] = self._term.clock.seconds() + seconds
 
     def delay(self, job_id: str, seconds: float) -> None:
         job = self._cluster.jobs.get(job_id)
         if job is not None:
-            job.not_before = max(job.not_before, self._term.clock.seconds() + seconds)
-            self._term.clock.callLater(seconds, self._term.request_round)
+            job.backoff_until = max(job.backoff_until, self._term.clock.seconds() + seconds)
+            self._term.clock.callLater(seconds, self._term.request_scheduling)
 
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
         """Has a task stopped, with time to save if it can; one of a gang with all the others, side by side."""
@@ -160,28 +165,28 @@
             self._stop_one(each, grace_s)
 
     def _stop_one(self, placement: Placement, grace_s: float | None) -> None:
-        if placement.state == PLANNED:
+        if placement.state == PlacementState.PLANNED:
             self.end(placement, "not needed there")
             return
-        if placement.state != BOUND or placement.stop_grace is not None and grace_s is None:
+        if placement.state != PlacementState.BOUND or placement.stop_grace_s is not None and grace_s is None:
             return
         job = self._cluster.jobs.get(placement.job)
         save_s = (job.spec.save_s or 0.0) if job is not None and (job.spec.checkpoint_s or 0.0) > 0 else 0.0
         if job is not None and job.spec.is_gang and save_s:
             save_s += self._term.settings.workers.gang_peer_s  # one that has saved waits for the others
-        placement.stop_grace = save_s * 1.2 + 0.5 if grace_s is None else grace_s
-        placement.stop_at = 0.0
+        placement.stop_grace_s = save_s * 1.2 + 0.5 if grace_s is None else grace_s
+        placement.stop_sent_at = 0.0
         machine = self._cluster.machines.get(placement.machine)
         if machine is not None:
-            machine.view = None
-            self._term.clock.callLater(0, self._term.dispatch.send, machine)
+            machine.scheduling_view = None
+            self._term.clock.callLater(0, self._term.dispatcher.send, machine)
 
-    def wind_down(self, machine: Machine, now: float) -> None:
+    def evict_gracefully(self, machine: Machine, now: float) -> None:
         """Empties a machine that the cloud takes away, so that as little as possible is lost."""
-        left = (machine.notice_until or now) - now
+        left = (machine.reclaim_at or now) - now
         for placement in list(machine.placements.values()):
             job = self._cluster.jobs.get(placement.job)
-            if placement.stop_grace is not None or job is None:
+            if placement.stop_grace_s is not None or job is None:
                 continue
             spec = job.spec
             if (spec.checkpoint_s or 0.0) > 0:
@@ -199,17 +204,17 @@
             return estimate
         return max(0.1 * estimate, estimate - (now - placement.running_since))
 
-    def close_job(self, job: Job, phase: str) -> None:
-        if job.over is None or job.over == "over":
-            job.over = phase
+    def end_job(self, job: Job, phase: str) -> None:
+        if job.end_phase is None or job.end_phase == "over":
+            job.end_phase = phase
             log.info("job %s is %s", job.id, phase)
-        self.stop_all(job)
+        self.stop_all_tasks(job)
         if not job.placed:
             self.mark_all_dirty(job)
 
-    def stop_all(self, job: Job) -> None:
+    def stop_all_tasks(self, job: Job) -> None:
         for placement in list(job.placements()):
-            if placement.state == PLANNED:
+            if placement.state == PlacementState.PLANNED:
                 self.end(placement, "its job is over")
             else:
                 self.stop(placement, 0.0)
@@ -221,4 +226,4 @@
         for chunk in job.chunks.values():
             chunk.dirty = True
         self._cluster.mark_dirty(job)
-        self._term.ledger.later(0.0)
+        self._term.commit_queue.flush_within(0.0)
--- a/stileloft/coordination/authority.py
+++ b/stileloft/leadership/authority.py
@@ -7,51 +7,54 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import BOUND, Machine, Placement
-from stileloft.coordination import gangs
+from stileloft.model import records
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.scheduling import gangs
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 
 class Refusal(StrEnum):
     """Why something is not allowed now."""
 
-    TERM_OVER = "the term is over"
-    NOT_CONFIRMED = "the leadership is not confirmed"
+    LEADERSHIP_ENDED = "the term is over"
+    LEASE_NOT_CONFIRMED = "the leadership is not confirmed"
     STORE_NOT_READ = "the store was not read yet"
     CANCELLATIONS_UNKNOWN = "it is not known well enough what was cancelled"
     MACHINE_NOT_CLAIMED = "the machine does not know our token"
-    MACHINE_RETURNED = "the machine is being returned"
+    MACHINE_RELEASING = "the machine is being returned"
     NOT_STORED = "the store does not place the task there"
-    SEEN = "the machine reports the task"
-    JOB_OVER = "the job is over, or is being read again"
+    ALREADY_REPORTED = "the machine reports the task"
+    JOB_ENDED = "the job is over, or is being read again"
     STOPPING = "the task is to be stopped"
     GANG_NOT_WHOLE = "the gang is not placed as a whole"
     NO_SPARE_TOKEN = "the start could not be fenced"
     MESSAGE_UNDER_WAY = "a message to the machine is under way"
-    START_OPEN = "a start of the attempt may still be executed"
-    LEFT_ALONE = "an operator has to decide about the job"
+    START_IN_FLIGHT = "a start of the attempt may still be executed"
+    AWAITS_OPERATOR = "an operator has to decide about the job"
 
 
 class Authority:
     """The leader's rights at this moment. Methods return why something is refused, or None if it is allowed."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
 
     # -- what concerns the whole term ------------------------------------------------
 
-    def leadership(self) -> Refusal | None:
+    def check_leadership(self) -> Refusal | None:
         """Anything that another leader could be doing as well: needs a lease that is known to be held."""
-        return None if self._term.confirmed() else Refusal.NOT_CONFIRMED
+        return None if self._term.holds_lease() else Refusal.LEASE_NOT_CONFIRMED
 
-    def commands(self) -> Refusal | None:
+    def check_commands(self) -> Refusal | None:
         """Direct commands: before the store was read, all tasks would look as if they were not to be there."""
-        return self.leadership() or (None if self._term.loaded else Refusal.STORE_NOT_READ)
+        return self.check_leadership() or (None if self._term.store_loaded else Refusal.STORE_NOT_READ)
 
-    def renewal(self) -> Refusal | None:
+    def check_renewal(self) -> Refusal | None:
         """An answer that renews a worker's lease: the bound that `blind_grace` derives.
 
         It asks for both. A leader that others may have replaced, or one that still leads but hears nothing of
@@ -60,86 +63,86 @@
         task no longer than one.
         """
         term = self._term
-        if not term.loaded:
+        if not term.store_loaded:
             return Refusal.STORE_NOT_READ
-        if term.node.election.blind_for() > term.grace_s:
-            return Refusal.NOT_CONFIRMED
-        return Refusal.CANCELLATIONS_UNKNOWN if term.watch.staleness_s() > term.grace_s else None
+        if term.node.election.seconds_since_renewal() > term.renewal_grace_s:
+            return Refusal.LEASE_NOT_CONFIRMED
+        return Refusal.CANCELLATIONS_UNKNOWN if term.watch.staleness_s() > term.renewal_grace_s else None
 
-    def rental(self) -> Refusal | None:
+    def check_scale_out(self) -> Refusal | None:
         """A request for machines: another leader would rent them too."""
-        return self.leadership()
+        return self.check_leadership()
 
-    def release(self) -> Refusal | None:
+    def check_scale_in(self) -> Refusal | None:
         """The return of machines, with all that is on them."""
-        return self.leadership()
+        return self.check_leadership()
 
     # -- what concerns a machine -------------------------------------------------------
 
-    def starts(self, machine: Machine) -> Refusal | None:
+    def check_starts(self, machine: Machine) -> Refusal | None:
         """Any start on a machine."""
-        if refusal := self.leadership():
+        if refusal := self.check_leadership():
             return refusal
         if not self._term.watch.is_fresh():
             return Refusal.CANCELLATIONS_UNKNOWN
-        if not machine.trusted:
+        if not machine.has_current_token:
             return Refusal.MACHINE_NOT_CLAIMED
         if machine.releasing:
-            return Refusal.MACHINE_RETURNED
+            return Refusal.MACHINE_RELEASING
         # What is sent must be possible to bar without asking the store: it may be out when that is needed.
         return None if self._term.tokens.has_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
-    def start(self, placement: Placement, machine: Machine) -> Refusal | None:
+    def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
         """The start of a task, or its repetition, on a machine that may be given starts.
 
         A start without an answer may be executed at any later time. One that is to be stopped by now is repeated too:
         only a task that was seen can be told to exit, and so be let go.
         """
         term = self._term
-        if placement.state != BOUND:
+        if placement.state != PlacementState.BOUND:
             return Refusal.NOT_STORED
-        if placement.seen is not None:
-            return Refusal.SEEN
-        if term.cluster.is_over(placement.job):
-            return Refusal.JOB_OVER
-        if placement.stop_grace is not None:
-            return None if placement.sent_session == machine.session else Refusal.STOPPING
+        if placement.reported_state is not None:
+            return Refusal.ALREADY_REPORTED
+        if term.cluster.is_blocked(placement.job):
+            return Refusal.JOB_ENDED
+        if placement.stop_grace_s is not None:
+            return None if placement.sent_epoch == machine.epoch else Refusal.STOPPING
         return None if gangs.may_start(term.jobs[placement.job]) else Refusal.GANG_NOT_WHOLE
 
-    def transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
+    def check_transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
         """A message that was made a moment ago, as its connection is there at last and its bytes go out.
 
         Without starts it goes out as long as the term lasts: stops are wanted all the more when we know less.
         """
         if not starts:
-            return None if self._term.alive else Refusal.TERM_OVER
-        if refusal := self.commands() or self.starts(machine):
+            return None if self._term.alive else Refusal.LEADERSHIP_ENDED
+        if refusal := self.check_commands() or self.check_starts(machine):
             return refusal
-        return next((refusal for each in starts if (refusal := self.start(each, machine))), None)
+        return next((refusal for each in starts if (refusal := self.check_start(each, machine))), None)
 
-    def stop(self, job_id: str) -> Refusal | None:
+    def check_stop(self, job_id: str) -> Refusal | None:
         """A stop does no harm under an old token; only what no store knows of is left to operators."""
-        return Refusal.LEFT_ALONE if self._term.is_left_alone(job_id) else None
+        return Refusal.AWAITS_OPERATOR if self._term.awaits_operator(job_id) else None
 
-    def stop_task(self, task: str) -> Refusal | None:
+    def check_stop_task(self, task: str) -> Refusal | None:
         """The same of a task that the store does not place where it is."""
-        return self.stop(records.split_task(task)[0])
+        return self.check_stop(records.split_task(task)[0])
 
-    def forgets(self, machine: Machine) -> Refusal | None:
+    def check_forgets(self, machine: Machine) -> Refusal | None:
         """Any forgetting on a machine."""
-        if machine.sending:
+        if machine.command_in_flight:
             return Refusal.MESSAGE_UNDER_WAY
-        if not machine.trusted:
+        if not machine.has_current_token:
             return Refusal.MACHINE_NOT_CLAIMED
-        return self.leadership()
+        return self.check_leadership()
 
-    def forget(self, machine: Machine, task: str, attempt: int, done: bool) -> Refusal | None:
+    def check_forget(self, machine: Machine, task: str, attempt: int, done: bool) -> Refusal | None:
         """An exited attempt: once forgotten, a start of it that comes late runs it again, beside a newer one elsewhere.
 
         So its start must be barred before. A task that is done only says so again; but a message of which it is not
         known whether it was executed may also have been meant for others.
         """
-        start = machine.open_starts.get(task, attempt)
+        start = machine.inflight_starts.get(task, attempt)
         if start is None or (done and start.in_doubt_since is None):
             return None
-        return Refusal.START_OPEN
+        return Refusal.START_IN_FLIGHT
--- a/stileloft/coordination/election.py
+++ b/stileloft/leadership/election.py
@@ -7,8 +7,7 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping import records
-from stileloft.coordination.integrity import StoreIntegrity
+from stileloft.model import records
 from stileloft.protocol.state import (
     CompactedError,
     ConflictError,
@@ -18,6 +17,7 @@
     UnavailableError,
     UnknownOutcomeError,
 )
+from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.clock import Clock
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
         state: StateClient,
         member: str,
         nonce: str,
-        life_s: float,
+        lease_s: float,
         on_elected: Callable[[int], None],
         on_deposed: Callable[[str], None],
         integrity: StoreIntegrity,
@@ -44,39 +44,39 @@
         self._state = state
         self._member = member
         self._nonce = nonce
-        self.life_s = life_s
+        self.lease_s = lease_s
         self._on_elected = on_elected
         self._on_deposed = on_deposed
         self._integrity = integrity
-        self._doubt: str | None = None
+        self._suspicion: str | None = None
         """Why the leadership is in doubt, while it is found out whether it is over or the store is lost."""
         self.key_version = 0
         """The version of the leader key while we lead: it guards our transactions."""
         self.token: int | None = None
-        self.leader: str | None = None
+        self.leader_member: str | None = None
         """The member that leads, as far as is known."""
         self._lease: int | None = None
         self._confirmed_until = 0.0
-        self.confirmed_at = 0.0
+        self.last_renewed_at = 0.0
         self._abstain_until = 0.0
 
     @property
     def leading(self) -> bool:
         return self.token is not None
 
-    def confirmed(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether nobody else can have been elected yet."""
         return self.token is not None and self._clock.seconds() < self._confirmed_until
 
-    def blind_for(self) -> float:
+    def seconds_since_renewal(self) -> float:
         """Seconds since the lease was last known to be alive."""
-        return max(0.0, self._clock.seconds() - self.confirmed_at)
+        return max(0.0, self._clock.seconds() - self.last_renewed_at)
 
-    def abstain(self, seconds: float) -> None:
+    def stand_aside(self, seconds: float) -> None:
         """Leaves the leadership to others for a while, as long as there are any."""
         self._abstain_until = self._clock.seconds() + seconds
 
-    def doubt(self, reason: str) -> None:
+    def suspect(self, reason: str) -> None:
         """The leadership seems to be over: nothing is decided any more until it is known why.
 
         If the store has lost its records, nobody else can lead either, and we go on to answer reports for our grace.
@@ -85,12 +85,12 @@
             self.step_down(reason)
         elif self.token is not None:
             self._confirmed_until = 0.0
-            self._doubt = self._doubt or reason
+            self._suspicion = self._suspicion or reason
 
     def step_down(self, reason: str) -> None:
         if self.token is None:
             return
-        self.token = self._doubt = None
+        self.token = self._suspicion = None
         lease, self._lease = self._lease, None
         log.info("stepping down: %s", reason)
         self._on_deposed(reason)
@@ -106,26 +106,26 @@
         while True:
             try:
                 if self.token is None:
-                    await self._seek()
-                elif self._doubt is not None:
-                    await self._settle_doubt(self._doubt)
+                    await self._campaign()
+                elif self._suspicion is not None:
+                    await self._settle_suspicion(self._suspicion)
                 else:
-                    await self._keep()
+                    await self._renew_lease()
             except (UnavailableError, UnknownOutcomeError, CompactedError) as error:
                 log.debug("election: %s", error)
-                await self._sleep(self.life_s / 8)
+                await self._sleep(self.lease_s / 8)
             except Exception:
                 log.exception("election")
-                await self._sleep(self.life_s / 4)
+                await self._sleep(self.lease_s / 4)
 
-    async def _settle_doubt(self, reason: str) -> None:
+    async def _settle_suspicion(self, reason: str) -> None:
         try:
             await self._integrity.verify()
         except StoreLostError:
             # Whoever gets the leader key next writes the records back; until then our term goes on, unconfirmed. Its
             # lease is lost with the rest, and another may have the same number by now.
             self._lease = None
-            await self._seek()
+            await self._campaign()
             return
         self.step_down(reason)
 
@@ -135,28 +135,28 @@
         return done
 
     def _confirm(self, sent: float) -> None:
-        self.confirmed_at = sent
-        self._confirmed_until = sent + self.life_s * (1 - 2 * DRIFT)
+        self.last_renewed_at = sent
+        self._confirmed_until = sent + self.lease_s * (1 - 2 * DRIFT)
 
-    async def _seek(self) -> None:
+    async def _campaign(self) -> None:
         found = await self._state.get(records.LEADER)
         if found is not None:
-            await self._follow(*found)
+            await self._observe_leader(*found)
             return
         if self._integrity.is_sound():
-            self.leader = None
-        if self._clock.seconds() < self._abstain_until or not self._integrity.may_stand():
-            await self._sleep(self.life_s / 8)
+            self.leader_member = None
+        if self._clock.seconds() < self._abstain_until or not self._integrity.may_campaign():
+            await self._sleep(self.lease_s / 8)
             return
-        await self._stand()
+        await self._acquire_lease()
 
-    async def _follow(self, value: dict[str, Any], version: int, lease: int | None) -> None:
+    async def _observe_leader(self, value: dict[str, Any], version: int, lease: int | None) -> None:
         """Waits for the end of another's leadership, or ends what is left of one of our own."""
-        self.leader = value["member"]
-        if self._doubt is not None and value["member"] != self._member:
+        self.leader_member = value["member"]
+        if self._suspicion is not None and value["member"] != self._member:
             self.step_down("another controller leads")
         if value["member"] != self._member or lease is None:
-            await self._state.watch(records.LEADER, version, self.life_s * 4)
+            await self._state.watch(records.LEADER, version, self.lease_s * 4)
             return
         if value["nonce"] != self._nonce:
             # Only one process runs as this member, so the one that held the key is over.
@@ -164,10 +164,10 @@
         # Or else it is our own acquisition, whose answer was lost or whose key was given up: start anew.
         await self._state.end_lease(lease)
 
-    async def _stand(self) -> None:
+    async def _acquire_lease(self) -> None:
         """Takes the leader key, unless another does so first."""
         sent = self._clock.seconds()
-        lease = await self._state.new_lease(self.life_s)
+        lease = await self._state.new_lease(self.lease_s)
         guards = {records.LEADER: 0} | self._integrity.guards()
         try:
             version = await self._state.commit(
@@ -189,20 +189,20 @@
         if not self._clock.seconds() < self._confirmed_until:
             await self._end(lease)
             return
-        self.leader = self._member
+        self.leader_member = self._member
         self.token = token
         log.info("elected, token %d", token)
         self._on_elected(token)
 
-    async def _keep(self) -> None:
+    async def _renew_lease(self) -> None:
         if self._lease is None:
             return
         sent = self._clock.seconds()
         try:
-            await self._state.renew(self._lease, self.life_s / 3)
+            await self._state.renew(self._lease, self.lease_s / 3)
         except LeaseExpiredError:
-            self.doubt("the lease has ended")
+            self.suspect("the lease has ended")
             return
         if self.token is not None:
             self._confirm(sent)
-        await self._sleep(self.life_s / 4)
+        await self._sleep(self.lease_s / 4)
--- /dev/null
+++ b/stileloft/machines/__init__.py
@@ -0,0 +1,1 @@
+"""Cluster membership: inventory, failure detection, scaling out and in."""
--- a/stileloft/coordination/image_records.py
+++ b/stileloft/machines/image_locations.py
@@ -3,12 +3,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import Machine
+from stileloft.model import records
+from stileloft.model.machines import Machine
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -23,7 +25,7 @@
 class ImageRecords:
     """The images that machines are likely to have, as far as seen."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._loaded: dict[str, list[str]] = {}
         """What a former leader recorded of machines that are not known yet."""
@@ -35,11 +37,11 @@
         if machine.images:
             self._dropped.add(machine.id)
 
-    def seen(self, machine: Machine, image: str) -> None:
+    def record_use(self, machine: Machine, image: str) -> None:
         """A task that needs this image runs there."""
         if image not in machine.images:
-            machine.images_stored = False
-            machine.view = None
+            machine.images_recorded = False
+            machine.scheduling_view = None
         machine.images.pop(image, None)
         machine.images[image] = None
         while len(machine.images) > IMAGES_KNOWN:
@@ -62,16 +64,16 @@
         pause_s = IMAGES_S
         while term.alive:
             await term.sleep(pause_s)
-            if not term.confirmed():
+            if not term.holds_lease():
                 continue
             half = max(1, term.limits.ops // 2)
-            unrecorded = [m for m in term.machines.values() if not m.images_stored]
+            unrecorded = [m for m in term.machines.values() if not m.images_recorded]
             rounds = len(unrecorded) / half
             pause_s = max(IMAGES_LEAST_S, IMAGES_S * min(1.0, IMAGES_ROUNDS / max(rounds, 1.0)))
             changed = unrecorded[:half]
             dropped = sorted(self._dropped)[:half]
             count = len(changed) + len(dropped)
-            if not count or term.writes.level() < 2 * count or not term.writes.take(count):
+            if not count or term.write_budget.level() < 2 * count or not term.write_budget.try_take(count):
                 continue
             puts = {records.IMAGES + m.id: self._recorded_images(m) for m in changed}
             try:
@@ -83,7 +85,7 @@
                 log.debug("recording images: %s", error)
                 continue
             for machine in changed:
-                machine.images_stored = puts[records.IMAGES + machine.id] == self._recorded_images(machine)
+                machine.images_recorded = puts[records.IMAGES + machine.id] == self._recorded_images(machine)
             self._dropped -= set(dropped)
 
     def _recorded_images(self, machine: Machine) -> list[str]:
--- a/stileloft/coordination/cluster.py
+++ b/stileloft/model/cluster.py
@@ -3,11 +3,13 @@
 import itertools
 from collections.abc import Iterable
 
-from stileloft.bookkeeping.model import Job, Machine, TaskKey
-from stileloft.coordination.snapshot import Nomination, Usage
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine
+from stileloft.model.placements import TaskKey
+from stileloft.scheduling.snapshot import Nomination, Usage
 
 
-class Cluster:
+class ClusterState:
     """Data only, without I/O; all access is under the term's lock."""
 
     def __init__(self) -> None:
@@ -16,21 +18,21 @@
         self.dirty: dict[str, None] = {}
         """Jobs of which something may have to be written, in the order in which they changed."""
         self.nominations: dict[TaskKey, Nomination] = {}
-        self.avoided: dict[tuple[str, str], float] = {}
+        self.placement_backoff: dict[tuple[str, str], float] = {}
         """Pairs of job and machine that are not to be tried again, and until when."""
         self._turns = itertools.count(1)
 
     def mark_dirty(self, job: Job) -> None:
         """Something of the job has to be written, and does not wait."""
-        if not job.pressing:
-            job.write_turn = next(self._turns)
-        job.dirty = job.pressing = True
+        if not job.urgent:
+            job.write_order = next(self._turns)
+        job.dirty = job.urgent = True
         self.dirty[job.id] = None
 
     def mark_counts(self, job: Job) -> None:
         """The counts that users see of the job may have changed."""
         if job.id not in self.dirty:
-            job.write_turn = next(self._turns)
+            job.write_order = next(self._turns)
             self.dirty[job.id] = None
 
     def dirty_jobs(self) -> list[Job]:
@@ -44,29 +46,29 @@
                 found.append(job)
         return found
 
-    def is_over(self, job_id: str) -> bool:
+    def is_blocked(self, job_id: str) -> bool:
         """Whether nothing of the job may be started, as it has ended or is being read again."""
         job = self.jobs.get(job_id)
-        return job is None or job.over is not None or job.reload
+        return job is None or job.end_phase is not None or job.reload_pending
 
     def has_ended(self, job_id: str) -> bool:
         """Whether the job is known to be over: whatever may still run or start of it must not."""
         job = self.jobs.get(job_id)
-        return job is None or job.over is not None
+        return job is None or job.end_phase is not None
 
-    def stray_tasks(self) -> set[str]:
+    def orphaned_task_names(self) -> set[str]:
         """Tasks that are on a machine where they are not to be: nowhere are they started meanwhile.
 
         Asked of the machines each time. Kept beside them, an entry outlived its machine's session once,
         and its task was never started again.
         """
-        return {task for machine in self.machines.values() if machine.strays for task in machine.strays}
+        return {task for machine in self.machines.values() if machine.orphaned_tasks for task in machine.orphaned_tasks}
 
     def usage(self, teams: Iterable[str]) -> dict[str, Usage]:
         """What each team's tasks take, placed ones and strays."""
         usage = {name: Usage() for name in teams}
         for machine in self.machines.values():
-            for stray in machine.strays.values():
+            for stray in machine.orphaned_tasks.values():
                 if stray.team in usage:
                     usage[stray.team].add(stray.cpus, stray.gpus)
         for job in self.jobs.values():
@@ -85,5 +87,5 @@
         self.dirty.pop(job_id, None)
         for key in [k for k in self.nominations if k[0] == job_id]:
             del self.nominations[key]
-        for pair in [k for k in self.avoided if k[0] == job_id]:
-            del self.avoided[pair]
+        for pair in [k for k in self.placement_backoff if k[0] == job_id]:
+            del self.placement_backoff[pair]
--- a/stileloft/bookkeeping/starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -3,19 +3,19 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-StartKey = tuple[str, int]
+AttemptKey = tuple[str, int]
 """A task and its attempt."""
 
 
 @dataclass(slots=True)
-class SentStart:
+class InflightStart:
     """What is known of the start of one attempt in the machine's present session."""
 
     first_sent_at: float
     """Seconds of this leader's clock."""
     token: int
     """The highest under which it was sent."""
-    session: int
+    epoch: int
     """The worker's session that it was sent to; in any other it is refused."""
     answered_at: float | None = None
     """When a message with it was first answered."""
@@ -24,24 +24,24 @@
 
 
 @dataclass(slots=True)
-class OpenStarts:
+class InflightStarts:
     """The starts sent to one machine that its worker would still execute if they came now.
 
     One is taken off the list when the worker is known to be in another session or to have seen a higher token, or when
     its attempt is forgotten there. So there are no more of them than tasks on the machine, exited ones included.
     """
 
-    by_attempt: dict[StartKey, SentStart] = field(default_factory=dict)
+    by_attempt: dict[AttemptKey, InflightStart] = field(default_factory=dict)
 
-    def sent(self, task: str, attempt: int, now: float, token: int, session: int) -> None:
+    def record_sent(self, task: str, attempt: int, now: float, token: int, epoch: int) -> None:
         """A message with this start is about to be sent."""
         known = self.by_attempt.get((task, attempt))
         if known is None:
-            self.by_attempt[task, attempt] = SentStart(now, token, session)
+            self.by_attempt[task, attempt] = InflightStart(now, token, epoch)
         else:
-            known.token, known.session = max(known.token, token), max(known.session, session)
+            known.token, known.epoch = max(known.token, token), max(known.epoch, epoch)
 
-    def get(self, task: str, attempt: int) -> SentStart | None:
+    def get(self, task: str, attempt: int) -> InflightStart | None:
         """The start of an attempt, if it may still be executed."""
         return self.by_attempt.get((task, attempt))
 
@@ -49,24 +49,24 @@
         """The attempt is forgotten on the machine."""
         self.by_attempt.pop((task, attempt), None)
 
-    def highest_token(self, keys: list[StartKey]) -> int:
+    def highest_token(self, keys: list[AttemptKey]) -> int:
         """The highest token under which any of these was sent; 0 if none of them is open."""
         return max((self.by_attempt[key].token for key in keys if key in self.by_attempt), default=0)
 
-    def drop_refused(self, session: int, known_token: int) -> list[tuple[StartKey, SentStart]]:
+    def drop_fenced(self, epoch: int, acknowledged_token: int) -> list[tuple[AttemptKey, InflightStart]]:
         """Takes off what a worker in this session, which has seen this token, does not execute any more."""
         if not self.by_attempt:
             return []
         refused = [
             (key, start)
             for key, start in self.by_attempt.items()
-            if start.session < session or start.token < known_token
+            if start.epoch < epoch or start.token < acknowledged_token
         ]
         for key, _ in refused:
             del self.by_attempt[key]
         return refused
 
-    def in_doubt(self) -> list[tuple[StartKey, SentStart]]:
+    def in_doubt(self) -> list[tuple[AttemptKey, InflightStart]]:
         """Those of which a message got no answer."""
         return [(key, start) for key, start in self.by_attempt.items() if start.in_doubt_since is not None]
 
@@ -79,7 +79,7 @@
                 "attempt": key[1],
                 "first_sent_at": round(start.first_sent_at, 3),
                 "token": start.token,
-                "session": start.session,
+                "session": start.epoch,
                 "answered_at": start.answered_at and round(start.answered_at, 3),
                 "in_doubt_since": start.in_doubt_since and round(start.in_doubt_since, 3),
             }
--- a/stileloft/bookkeeping/records.py
+++ b/stileloft/model/records.py
@@ -41,7 +41,7 @@
 SIZED_FORMAT = 1
 INLINE_FORMAT = 2
 INLINE_CHUNK = "k"
-RENTED = "rented/"
+PROVISIONED = "rented/"
 IMAGES = "images/"
 IDENTITY = "identity"
 ENDED = "ended/"
@@ -113,8 +113,8 @@
     return len(data) if data.isascii() else ESCAPED_GROWTH * len(data)
 
 
-def rented_key(slot: int) -> str:
-    return f"{RENTED}{slot:04d}"
+def provisioned_key(slot: int) -> str:
+    return f"{PROVISIONED}{slot:04d}"
 
 
 def active_key(job: str) -> str:
@@ -162,7 +162,7 @@
     return {number for low, high in ranges for number in range(low, high)}
 
 
-class JobEnd(NamedTuple):
+class JobOutcome(NamedTuple):
     """How a job ended."""
 
     phase: str
--- a/stileloft/protocol/cloud.py
+++ b/stileloft/protocol/cloud.py
@@ -6,11 +6,11 @@
 import msgspec
 
 from stileloft.protocol.messages import ListedMachine, MachineType
-from stileloft.protocol.state import Budget
+from stileloft.protocol.state import TokenBucket
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 
 # Machines in one request or answer, as the protocol limits them.
-RENT_LIMIT = 50
+PROVISION_LIMIT = 50
 RELEASE_LIMIT = 100
 PAGE_LIMIT = 500
 
@@ -35,7 +35,7 @@
 class CloudClient:
     """Requests to the cloud. What changes something there is asked for once more when its connection is there."""
 
-    def __init__(self, client: Client, address: str, timeout_s: float, budget: Budget) -> None:
+    def __init__(self, client: Client, address: str, timeout_s: float, budget: TokenBucket) -> None:
         self._client = client
         self._address = address
         self._timeout_s = timeout_s
@@ -44,7 +44,7 @@
     async def _ask(
         self, method: str, path: str, body: object = None, is_wanted: Callable[[], bool] = lambda: True
     ) -> Reply:
-        if not self._budget.take():
+        if not self._budget.try_take():
             raise CloudError("own budget spent")
         try:
             return await self._client.request(method, self._address, path, body, self._timeout_s, is_wanted)
@@ -60,7 +60,7 @@
     @property
     def requests_per_s(self) -> float:
         """Our own budget of requests."""
-        return self._budget.per_s
+        return self._budget.rate_per_s
 
     async def machines_after(self, name: str) -> MachinePage:
         """The machines that follow a name in the cloud's list; the first ones for an empty name."""
@@ -71,11 +71,11 @@
         machines = msgspec.convert(reply.body["hosts"], list[ListedMachine])
         return MachinePage(machines, bool(reply.body.get("more")) and bool(machines))
 
-    async def rent(
+    async def provision(
         self, request: str, type_name: str, zone: str, spot: bool, count: int, is_wanted: Callable[[], bool]
     ) -> list[str]:
         """The machines rented under a request's name, which is never used for another request."""
-        body = {"hire": request, "build": type_name, "yard": zone, "loaner": spot, "count": min(count, RENT_LIMIT)}
+        body = {"hire": request, "build": type_name, "yard": zone, "loaner": spot, "count": min(count, PROVISION_LIMIT)}
         reply = await self._ask("POST", "/hosts", body, is_wanted)
         if reply.status == 200:
             return list(reply.body["hosts"])
--- a/stileloft/protocol/messages.py
+++ b/stileloft/protocol/messages.py
@@ -134,7 +134,7 @@
     return msgspec.convert(stored, JobSpec)
 
 
-def state_answer(job: str, phase: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
+def job_status_message(job: str, phase: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
     answer: dict[str, Any] = {"nameId": job, "phase": PHASES[phase]}
     if done is not None:
         answer["done"] = done
@@ -143,7 +143,7 @@
     return answer
 
 
-class TaskReport(Struct):
+class TaskStatus(Struct):
     task: str = field(name="piece")
     attempt: int = field(name="try")
     state: str = field(name="phase")
@@ -156,22 +156,22 @@
             self.why = REASONS.get(self.why, self.why)
 
 
-class Report(Struct):
+class Heartbeat(Struct):
     machine: str = field(name="host")
     address: str = field(name="endpoint")
     type: str = field(name="build")
     zone: str = field(name="yard")
-    session: int = field(name="stint")
-    seq: int = field(name="tick")
+    epoch: int = field(name="stint")
+    sequence: int = field(name="tick")
     token: int = field(name="baton")
     spot: bool = field(name="loaner", default=False)
-    notice_s: float | None = field(name="warningS", default=None)
-    tasks: list[TaskReport] = field(name="pieces", default_factory=list)
+    reclaim_in_s: float | None = field(name="warningS", default=None)
+    tasks: list[TaskStatus] = field(name="pieces", default_factory=list)
 
 
-def parse_report(body: Any) -> Report:
+def parse_heartbeat(body: Any) -> Heartbeat:
     try:
-        return msgspec.convert(body, Report)
+        return msgspec.convert(body, Heartbeat)
     except msgspec.ValidationError as error:
         raise MalformedError(str(error)) from None
 
@@ -199,17 +199,17 @@
     spot: bool = field(name="loaner", default=False)
 
 
-def start(task: str, attempt: int) -> dict[str, Any]:
+def start_command(task: str, attempt: int) -> dict[str, Any]:
     return {"verb": "launch", "piece": task, "try": attempt}
 
 
-def stop(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
     return {"verb": "stop", "piece": task, "try": attempt, "windDownS": grace_s}
 
 
-def forget(task: str, attempt: int) -> dict[str, Any]:
+def forget_command(task: str, attempt: int) -> dict[str, Any]:
     return {"verb": "forget", "piece": task, "try": attempt}
 
 
-def orders(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+def command_message(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
     return {"baton": token, "orders": commands}
--- a/stileloft/protocol/users.py
+++ b/stileloft/protocol/users.py
@@ -5,12 +5,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-from stileloft.protocol.messages import JOB_ID, JobSpec, MalformedError, Report, parse_job, parse_report
+from stileloft.protocol.messages import JOB_ID, Heartbeat, JobSpec, MalformedError, parse_heartbeat, parse_job
 from stileloft.transport.server import Answer, Handler, retry_later
 
 log = logging.getLogger(__name__)
 
-REPORT_PATH = "/checkin"
+HEARTBEAT_PATH = "/checkin"
 JOB_PATH = re.compile(r"^/v2/runs/([^/]+)$")
 CANCEL_PATH = re.compile(r"^/v2/runs/([^/]+)/cancel$")
 VALID_ID = re.compile(JOB_ID)
@@ -30,18 +30,18 @@
     def __init__(
         self,
         service: Service,
-        report: Callable[[Report], Answer],
+        heartbeat: Callable[[Heartbeat], Answer],
         healthy: Callable[[], bool],
         not_decidable: type[Exception],
         impossible: type[Exception],
     ) -> None:
         self._service = service
-        self._report = report
+        self._report = heartbeat
         self._healthy = healthy
         self._not_decidable = not_decidable
         self._impossible = impossible
         self._fixed: dict[str, dict[str, Handler]] = {
-            REPORT_PATH: {"POST": self.checkin},
+            HEARTBEAT_PATH: {"POST": self.checkin},
             "/healthz": {"GET": self.health},
             "/v2/runs": {"POST": self.submit},
         }
@@ -60,10 +60,10 @@
 
     def checkin(self, body: Any, _arguments: dict[str, str]) -> Answer:
         try:
-            report = parse_report(body)
+            heartbeat = parse_heartbeat(body)
         except MalformedError as error:
             return Answer(400, {"error": str(error)})
-        return self._report(report)
+        return self._report(heartbeat)
 
     def health(self, _body: Any, _arguments: dict[str, str]) -> Answer:
         if self._healthy():
--- a/stileloft/protocol/workers.py
+++ b/stileloft/protocol/workers.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from stileloft.protocol.messages import MalformedError, Report, orders, parse_report
+from stileloft.protocol.messages import Heartbeat, MalformedError, command_message, parse_heartbeat
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError
 
 
@@ -23,14 +23,14 @@
         self._timeout_s = timeout_s
 
     async def command(
-        self, address: str, token: int, session: int, commands: list[dict[str, Any]], is_wanted: Callable[[], bool]
-    ) -> tuple[bool, Report]:
+        self, address: str, token: int, epoch: int, commands: list[dict[str, Any]], is_wanted: Callable[[], bool]
+    ) -> tuple[bool, Heartbeat]:
         """Whether the commands were executed, and the worker's report.
 
         `is_wanted` is asked just before they go out; if they are not wanted any more, they are not delivered.
         """
-        body = orders(token, commands)
-        body["stint"] = session
+        body = command_message(token, commands)
+        body["stint"] = epoch
         try:
             reply = await self._client.request("POST", address, "/do", body, self._timeout_s, is_wanted)
         except ConnectionFailedError as error:
@@ -39,7 +39,7 @@
             raise UncertainDeliveryError(str(error)) from None
         if reply.status in (200, 409):
             try:
-                return reply.status == 200, parse_report(reply.body)
+                return reply.status == 200, parse_heartbeat(reply.body)
             except MalformedError as error:
                 raise UncertainDeliveryError(f"unreadable report: {error}") from None
         raise NotDeliveredError(f"status {reply.status}")
--- a/stileloft/rebuild/notes.py
+++ b/stileloft/rebuild/change_broadcast.py
@@ -12,11 +12,13 @@
 from msgspec import Struct
 from twisted.internet import defer
 
-from stileloft.bookkeeping import records
+from stileloft.model import records
 from stileloft.rebuild.replica import Replica
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +63,7 @@
 class PeerNotes:
     """Gathers what is to be told, and sends it; nothing is sent again, as the feed follows."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "Controller") -> None:
         self._node = node
         self._waiting: list[tuple[str, Any, int]] = []
 
--- a/stileloft/rebuild/ends.py
+++ b/stileloft/rebuild/job_outcomes.py
@@ -10,8 +10,8 @@
 
 from pyroaring import BitMap64
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import JobEnd
+from stileloft.model import records
+from stileloft.model.records import JobOutcome
 
 # Numbers of more digits do not fit into 64 bits.
 MOST_DIGITS = 18
@@ -37,13 +37,13 @@
 
     def __init__(self) -> None:
         self._groups: dict[_Group, BitMap64] = {}
-        self._long: dict[str, JobEnd] = {}
+        self._long: dict[str, JobOutcome] = {}
         """Jobs whose numbers are too long for a bitmap."""
 
     def __len__(self) -> int:
         return len(self._long) + sum(len(numbers) for numbers in self._groups.values())
 
-    def add(self, job: str, end: JobEnd) -> None:
+    def add(self, job: str, end: JobOutcome) -> None:
         """Takes note of an end; the first one that is known of a job stays."""
         if self.get(job) is not None:
             return
@@ -53,7 +53,7 @@
         else:
             self._groups.setdefault(_Group(end.phase, end.tasks, len(digits)), BitMap64()).add(int(digits))
 
-    def get(self, job: str) -> JobEnd | None:
+    def get(self, job: str) -> JobOutcome | None:
         """How a job ended; None if that is not known."""
         digits = job[len(JOB_PREFIX) :]
         if len(digits) > MOST_DIGITS:
@@ -61,7 +61,7 @@
         number = int(digits)
         for group, numbers in self._groups.items():
             if group.digits == len(digits) and number in numbers:
-                return JobEnd(group.phase, group.tasks)
+                return JobOutcome(group.phase, group.tasks)
         return None
 
     def update(self, other: "Ends") -> None:
@@ -69,12 +69,12 @@
         for job, end in other.items():
             self.add(job, end)
 
-    def items(self) -> Iterator[tuple[str, JobEnd]]:
+    def items(self) -> Iterator[tuple[str, JobOutcome]]:
         """All jobs with their ends."""
         yield from self._long.items()
         for group, numbers in self._groups.items():
             for number in numbers:
-                yield f"{JOB_PREFIX}{number:0{group.digits}d}", JobEnd(group.phase, group.tasks)
+                yield f"{JOB_PREFIX}{number:0{group.digits}d}", JobOutcome(group.phase, group.tasks)
 
     def without(self, known: "Ends") -> "Ends":
         """The jobs that another set does not know."""
@@ -116,7 +116,7 @@
             raise InvalidEndsError(f"ends of jobs: {error!r}") from None
 
     def _load_group(self, encoded: dict[str, Any]) -> None:
-        end = JobEnd(str(encoded["phase"]), int(encoded["tasks"]))
+        end = JobOutcome(str(encoded["phase"]), int(encoded["tasks"]))
         if "job" in encoded:
             self._long[str(encoded["job"])] = end
             return
--- a/stileloft/rebuild/late_knowledge.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -4,14 +4,14 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import JobEnd
+from stileloft.model import records
+from stileloft.model.records import JobOutcome
 from stileloft.protocol.state import ConflictError
 from stileloft.rebuild.reconstruction import ATTEMPT_MARGIN
 from stileloft.rebuild.replica import Replica
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
     from stileloft.rebuild.protection import StoreProtection
 
 log = logging.getLogger(__name__)
@@ -20,7 +20,7 @@
 PAUSE_S = 0.2
 
 
-async def tell_what_was_missed(node: "Node", protection: "StoreProtection", loaded: Replica) -> None:
+async def tell_what_was_missed(node: "Controller", protection: "StoreProtection", loaded: Replica) -> None:
     """Writes ends and accepted jobs that the rebuilt store lacks; never over what was accepted since.
 
     Users were told of them, so a job that ended stays ended, and one that was accepted stays known.
@@ -48,7 +48,7 @@
         yield key[len(records.ACTIVE) :], value
 
 
-async def _tell_end(node: "Node", protection: "StoreProtection", job: str, end: JobEnd, version: int) -> None:
+async def _tell_end(node: "Controller", protection: "StoreProtection", job: str, end: JobOutcome, version: int) -> None:
     """The job's end; if the store holds it as unfinished, that record goes in the same transaction."""
     active, final = records.active_key(job), records.final_key(job)
     guards = {active: version, final: 0, **protection.guards()}
@@ -62,7 +62,7 @@
             raise  # it is being written: all is read again, and compared again
 
 
-async def _tell_job(node: "Node", protection: "StoreProtection", job: str, value: dict[str, Any]) -> None:
+async def _tell_job(node: "Controller", protection: "StoreProtection", job: str, value: dict[str, Any]) -> None:
     """An accepted job, none of whose tasks are placed: where they were is not known any more."""
     active, final = records.active_key(job), records.final_key(job)
     inline = value.get(records.INLINE_CHUNK)
--- a/stileloft/rebuild/decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -5,16 +5,16 @@
 
 import msgspec
 
-from stileloft.bookkeeping import records
+from stileloft.model import records
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
-from stileloft.rebuild import undecided
-from stileloft.rebuild.undecided import Decision, InvalidDecisionError, Undecided
+from stileloft.rebuild import unresolved_tasks as undecided
+from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
 
 if TYPE_CHECKING:
-    from stileloft.bookkeeping.model import Job
-    from stileloft.coordination.leader import Term
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+    from stileloft.leadership.leader import Leader
+    from stileloft.model.jobs import Job
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
 """By job: its undecided tasks, and the version of their record."""
 
 
-async def read(term: "Term") -> Stored:
+async def read(term: "Leader") -> Stored:
     """All that is undecided; nothing is asked without the feature."""
     if not term.node.integrity.can_be_lost:
         return {}
@@ -33,20 +33,22 @@
     return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
 
 
-def hold(term: "Term", stored: Stored) -> None:
+def hold(term: "Leader", stored: Stored) -> None:
     """Has no undecided task started; called with the term's lock held."""
-    term.unknown_jobs = frozenset(job for job, (found, _) in stored.items() if found.unknown)
+    term.undescribed_jobs = frozenset(job for job, (found, _) in stored.items() if found.unknown)
     for job_id, (found, _) in stored.items():
         job = term.jobs.get(job_id)
         if job is not None:
-            job.held = frozenset(found.open_tasks())
+            job.tasks_awaiting_operator = frozenset(found.open_tasks())
 
 
-async def carry_out(term: "Term") -> None:
+async def carry_out(term: "Leader") -> None:
     """Does what operators decide, for as long as the term lasts."""
     while term.alive:
         await term.sleep(LOOK_S)
-        if not term.confirmed() or not (term.unknown_jobs or any(job.held for job in list(term.jobs.values()))):
+        if not term.holds_lease() or not (
+            term.undescribed_jobs or any(job.tasks_awaiting_operator for job in list(term.jobs.values()))
+        ):
             continue
         try:
             stored = await read(term)
@@ -60,7 +62,7 @@
             log.exception("undecided tasks")
 
 
-async def _carry_out_one(term: "Term", job_id: str, found: Undecided, version: int) -> None:
+async def _carry_out_one(term: "Leader", job_id: str, found: Undecided, version: int) -> None:
     job = term.jobs.get(job_id)
     if job is not None and not found.unknown:
         with term.lock:
@@ -74,30 +76,30 @@
     )
     log.info("nothing of job %s is undecided any more", job_id)
     with term.lock:
-        term.unknown_jobs -= {job_id}
-    term.request_round()
+        term.undescribed_jobs -= {job_id}
+    term.request_scheduling()
 
 
-def _apply(term: "Term", job: "Job", found: Undecided) -> bool:
+def _apply(term: "Leader", job: "Job", found: Undecided) -> bool:
     """Brings the picture in line with the decisions; whether all are carried out and stored."""
     open_tasks = found.open_tasks()
     for text, decision in found.decisions.items():
         index = int(text)
         chunk = job.chunk_of(index)
-        if decision is Decision.DONE and index not in chunk.done and not job.over:
+        if decision is Decision.DONE and index not in chunk.done and not job.end_phase:
             log.info("task %s/%d counts as done: an operator has decided so", job.id, index)
             chunk.done.add(index)
             job.done += 1
             chunk.dirty = True
             term.cluster.mark_dirty(job)
-    job.held = frozenset(open_tasks)
+    job.tasks_awaiting_operator = frozenset(open_tasks)
     job.recount()
-    term.ledger.later(0.0)
+    term.commit_queue.flush_within(0.0)
     decided = found.decisions.keys() >= found.evidence.keys()
-    return decided and not job.dirty and not job.busy
+    return decided and not job.dirty and not job.commit_in_flight
 
 
-async def decide(node: "Node", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
+async def decide(node: "Controller", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
     """Stores an operator's decision; the leader carries it out."""
     key = records.UNDECIDED + job
     try:
@@ -114,7 +116,7 @@
         raise StaleVersionError from None
     except (UnavailableError, UnknownOutcomeError) as error:
         raise TemporarilyUnavailableError(f"state service: {error}") from None
-    node.integrity.committed({key: value}, [], revision)
+    node.integrity.record_commit({key: value}, [], revision)
     log.info("an operator has decided: %s of job %s %s", "all" if task is None else f"task {task}", job, decision)
     answer: dict[str, Any] = msgspec.to_builtins(value)
     return answer
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -7,20 +7,22 @@
 
 import msgspec
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import JobEnd
-from stileloft.coordination.integrity import StoreIntegrity
+from stileloft.model import records
+from stileloft.model.records import JobOutcome
 from stileloft.protocol.state import ConflictError, StoreLostError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import identity as identities
-from stileloft.rebuild import undecided
-from stileloft.rebuild.directory import SnapshotDirectory
+from stileloft.rebuild import unresolved_tasks as undecided
+from stileloft.rebuild.change_broadcast import Notes, PeerNotes, take_in
 from stileloft.rebuild.identity import Identity, InvalidIdentityError
-from stileloft.rebuild.notes import Notes, PeerNotes, take_in
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.snapshot import Holder, Snapshot, to_pieces
+from stileloft.rebuild.snapshot_directory import SnapshotDirectory
+from stileloft.store.integrity import StoreIntegrity
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -54,7 +56,7 @@
 
     can_be_lost = True
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "Controller") -> None:
         self._node = node
         self._state = node.state
         self._feature = node.features.rebuild
@@ -87,7 +89,7 @@
     def is_sound(self) -> bool:
         return self.phase in (Phase.UNPROTECTED, Phase.SOUND)
 
-    def may_stand(self) -> bool:
+    def may_campaign(self) -> bool:
         return self.phase is not Phase.STARTING
 
     def is_rebuilding(self) -> bool:
@@ -102,12 +104,12 @@
 
     async def verify_absence(self) -> None:
         await self.verify()
-        if not self.knows_ends():
+        if not self.knows_outcomes():
             raise StoreLostError("the rebuilt store was not read yet")
         if self.identity is not None and self.identity.unheard:
             raise StoreLostError(f"it may be known to {', '.join(self.identity.unheard)}, which could not be heard")
 
-    def knows_ends(self) -> bool:
+    def knows_outcomes(self) -> bool:
         # A rebuild records ends in a form of its own, which is read with the replica.
         if self.identity is None or self.identity.generation == 1:
             return True
@@ -116,15 +118,15 @@
     def suspect(self) -> None:
         self._suspected = True
 
-    def saw_token(self, token: int) -> None:
+    def observe_token(self, token: int) -> None:
         self.highest_token = max(self.highest_token, token)
 
-    def raised_token(self, token: int) -> None:
+    def record_raised_token(self, token: int) -> None:
         # After a loss, whoever led under the highest token that is known counts as the last leader.
         self.led_token = max(self.led_token, token)
-        self.saw_token(token)
+        self.observe_token(token)
 
-    def committed(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, told: bool = True) -> None:
+    def record_commit(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, told: bool = True) -> None:
         if self.phase is not Phase.SOUND or self.identity is None:
             return
         gone = list(deletes)
@@ -146,7 +148,7 @@
             if replica is not None:
                 take_in(notes, replica)
 
-    def end_of(self, _job: str) -> JobEnd | None:
+    def outcome_of(self, _job: str) -> JobOutcome | None:
         return self.replica.ends.get(_job)
 
     def is_unknown_job(self, _job: str) -> bool:
@@ -316,7 +318,7 @@
         """Gives the store an identity, once all controllers say that they protect it."""
         await self._look()
         election = self._node.election
-        if self.phase is not Phase.UNPROTECTED or not election.confirmed():
+        if self.phase is not Phase.UNPROTECTED or not election.holds_lease():
             return
         views = await self._node.peers.views()
         others = {peer.member for peer in self._node.settings.peers}
@@ -335,7 +337,7 @@
     async def _begin_rebuild(self, version: int) -> int:
         """Marks the store as being rebuilt, and finds a token above all that were ever given out."""
         for view in await self._node.peers.views():
-            self.saw_token(view.highest_token)
+            self.observe_token(view.highest_token)
         found = await self._state.lookup(records.IDENTITY)
         known = self.identity or identities.new_identity()
         present = None if found is None else identities.from_record(found[0])
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -7,23 +7,25 @@
 
 import msgspec
 
-from stileloft.bookkeeping import records
-from stileloft.coordination.election import DRIFT
-from stileloft.coordination.entries import Limits
-from stileloft.coordination.fleet import MARGIN_LEASES
-from stileloft.coordination.ledger import TXN_BYTES
-from stileloft.protocol.messages import Report, orders, stop
+from stileloft.leadership.election import DRIFT
+from stileloft.machines.fleet import MARGIN_LEASES
+from stileloft.model import records
+from stileloft.protocol.messages import Heartbeat, command_message, stop_command
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import identity as identities
-from stileloft.rebuild.merge import Image, merge
 from stileloft.rebuild.protection import StoreProtection
 from stileloft.rebuild.reconstruction import Evidence, Reconstruction, reconstruct
 from stileloft.rebuild.replica import Replica
+from stileloft.rebuild.replica_merge import Image, merge
 from stileloft.rebuild.snapshot import InvalidSnapshotError, Piece, Snapshot, from_pieces, read_piece
+from stileloft.store.commit_queue import TXN_BYTES
+from stileloft.store.job_transaction import StoreLimits
 from stileloft.transport.server import Answer, retry_later
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -45,18 +47,20 @@
 class Rebuilder:
     """One attempt to write the records back, by one leader; the next leader begins anew."""
 
-    def __init__(self, node: "Node", protection: StoreProtection, token: int, when_done: Callable[[], None]) -> None:
+    def __init__(
+        self, node: "Controller", protection: StoreProtection, token: int, when_done: Callable[[], None]
+    ) -> None:
         self._node = node
         self._state = node.state
         self._protection = protection
         self.token = token
         self._when_done = when_done
-        self._limits = Limits(node.settings.deployment.state)
+        self._limits = StoreLimits(node.settings.deployment.state)
         self._began_at = node.reactor.seconds()
         self.alive = True
         self.step = Step.REPLICAS
         self._image: Image | None = None
-        self._reports: dict[str, Report] = {}
+        self._reports: dict[str, Heartbeat] = {}
         self._found: dict[str, Snapshot] = {}
         self._awaited = {peer.member for peer in node.settings.peers}
         """Controllers whose replicas have not come."""
@@ -80,7 +84,7 @@
             except ConflictError as conflict:
                 # Another leads, or the store was lost once more.
                 self._protection.suspect()
-                self._node.election.doubt(f"a rebuild failed on {conflict}")
+                self._node.election.suspect(f"a rebuild failed on {conflict}")
                 await self._node.sleep(RETRY_S)
             except TooLargeError:
                 continue
@@ -179,13 +183,13 @@
         """From then on no task runs that no report tells of: the last leader's answers can't keep it alive any more."""
         lease_s = self._node.settings.deployment.workers.lease_s
         lost_at = self._protection.lost_at or self._began_at
-        return lost_at + self._node.grace_s + lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
+        return lost_at + self._node.renewal_grace_s + lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
 
     async def _read_present(self) -> dict[str, Any]:
         """What the store holds of what a rebuild writes."""
         found: dict[str, Any] = {}
         self._versions.clear()
-        prefixes = (records.ACTIVE, records.TASKS, records.RENTED, records.UNDECIDED, records.FINAL, records.ENDED)
+        prefixes = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED, records.FINAL, records.ENDED)
         for prefix in prefixes:
             items, _ = await self._state.scan(prefix)
             for key, value, version in items:
@@ -230,7 +234,7 @@
     async def _commit(self, puts: dict[str, Any], deletes: list[str]) -> None:
         """One transaction; it is guarded on each record, so that nothing is overwritten that came meanwhile."""
         changes = len(puts) + len(deletes)
-        while not self._node.leader_writes.take(min(changes, self._node.leader_writes.per_s)):
+        while not self._node.leader_write_budget.try_take(min(changes, self._node.leader_write_budget.rate_per_s)):
             await self._node.sleep(RETRY_S / 3)
         if not self.alive:
             raise UnavailableError("the leadership is over")
@@ -284,27 +288,27 @@
 
     # -- workers --------------------------------------------------------------------
 
-    def on_report(self, report: Report) -> Answer:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer:
         """Keeps a worker's tasks alive while the records are written back, and remembers what it reports.
 
         Nobody can cancel a job meanwhile, so an answer that tells of all jobs known to be over keeps no other alive.
         """
-        if report.token > self.token:
-            self._protection.saw_token(report.token)
+        if heartbeat.token > self.token:
+            self._protection.observe_token(heartbeat.token)
             self._protection.suspect()
-            self._node.election.doubt(f"{report.machine} knows token {report.token}")
+            self._node.election.suspect(f"{heartbeat.machine} knows token {heartbeat.token}")
             return Answer(421, {})
-        if self._image is None or not self._node.election.confirmed():
+        if self._image is None or not self._node.election.holds_lease():
             return retry_later(503, "lost records are being rebuilt", 1)
-        known = self._reports.get(report.machine)
-        if known is not None and (report.session, report.seq) <= (known.session, known.seq):
-            return Answer(200, orders(0, []))  # a late copy: its worker is to drop this
-        if report.token == self.token:
+        known = self._reports.get(heartbeat.machine)
+        if known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence):
+            return Answer(200, command_message(0, []))  # a late copy: its worker is to drop this
+        if heartbeat.token == self.token:
             # Only a worker that has our token can't be told anything by a former leader any more.
-            self._reports[report.machine] = report
+            self._reports[heartbeat.machine] = heartbeat
         ends = self._image.ends
-        over = [task for task in report.tasks if ends.get(records.split_task(task.task)[0]) is not None]
-        return Answer(200, orders(self.token, [stop(task.task, task.attempt, 0.0) for task in over]))
+        over = [task for task in heartbeat.tasks if ends.get(records.split_task(task.task)[0]) is not None]
+        return Answer(200, command_message(self.token, [stop_command(task.task, task.attempt, 0.0) for task in over]))
 
     def status(self) -> dict[str, Any]:
         """What the administration API shows of it."""
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import separate_chunk
-from stileloft.bookkeeping.records import JobEnd
-from stileloft.protocol.messages import EXITED, JobSpec, Report, TaskReport, job_from_wire
-from stileloft.rebuild import undecided
-from stileloft.rebuild.ends import Ends
-from stileloft.rebuild.merge import Image
-from stileloft.rebuild.undecided import Undecided
+from stileloft.model import records
+from stileloft.model.chunks import separate_chunk
+from stileloft.model.records import JobOutcome
+from stileloft.protocol.messages import EXITED, Heartbeat, JobSpec, TaskStatus, job_from_wire
+from stileloft.rebuild import unresolved_tasks as undecided
+from stileloft.rebuild.job_outcomes import Ends
+from stileloft.rebuild.replica_merge import Image
+from stileloft.rebuild.unresolved_tasks import Undecided
 
 # Attempts are counted on from so much above the highest known one: some may have been made that no one tells of.
 ATTEMPT_MARGIN = 1000
@@ -25,7 +25,7 @@
     image: Image
     present: Mapping[str, Any]
     """Records that are in the store now: of an older state, of a rebuild that was broken off, or accepted since."""
-    reports: Mapping[str, Report]
+    reports: Mapping[str, Heartbeat]
     """The newest report of each machine that was heard since the loss."""
     run_once_classes: frozenset[str]
     first_chunk_size: int
@@ -50,14 +50,14 @@
 class Located:
     """A task that a machine reports."""
 
-    report: Report
-    task: TaskReport
+    heartbeat: Heartbeat
+    task: TaskStatus
 
     @property
     def placement(self) -> list[Any]:
         """As it is recorded."""
-        report = self.report
-        return [self.task.attempt, report.machine, report.zone, 1 if report.spot else 0]
+        heartbeat = self.heartbeat
+        return [self.task.attempt, heartbeat.machine, heartbeat.zone, 1 if heartbeat.spot else 0]
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
         self._ends_present = Ends()
         for key, value in evidence.present.items():
             if key.startswith(records.FINAL):
-                self._ends_present.add(key[len(records.FINAL) :], JobEnd(value["phase"], value["n"]))
+                self._ends_present.add(key[len(records.FINAL) :], JobOutcome(value["phase"], value["n"]))
             elif key.startswith(records.ENDED):
                 self._ends_present.load(value)
         # What ended since the loss was told to a user by the store as it was then, and so it stays.
@@ -108,7 +108,7 @@
             if self._ends.get(job) is not None:
                 self._wanted.setdefault(key, value)
         for key, value in self._image.records.items():
-            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.RENTED, records.UNDECIDED)):
+            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNDECIDED)):
                 self._wanted.setdefault(key, value)
         self._keep_unknown_jobs()
         self._compare()
@@ -229,7 +229,7 @@
     def _unheard_machines(self) -> list[str]:
         """Machines that the image names and that have not reported since the loss."""
         named: set[str] = set()
-        for _, value in self._records(records.RENTED):
+        for _, value in self._records(records.PROVISIONED):
             named |= set(value["m"])
         for prefix in (records.TASKS, records.ACTIVE):
             for _, value in self._records(prefix):
@@ -248,7 +248,7 @@
             if active in self._wanted or active in self._evidence.present or self._ends.get(job) is not None:
                 continue
             told = {
-                str(index): f"attempt {located.task.attempt} is {located.task.state} on {located.report.machine}"
+                str(index): f"attempt {located.task.attempt} is {located.task.state} on {located.heartbeat.machine}"
                 for index, located in reported.items()
             }
             self._add_undecided(job, Undecided(told, unknown=True))
@@ -273,13 +273,13 @@
                 self._result.deletes.append(key)
 
 
-def _locate(reports: Mapping[str, Report]) -> dict[str, dict[int, Located]]:
+def _locate(reports: Mapping[str, Heartbeat]) -> dict[str, dict[int, Located]]:
     """By job and task number, where each task is: its highest attempt, and rather one that has not exited."""
     found: dict[str, dict[int, Located]] = {}
-    for report in reports.values():
-        for task in report.tasks:
+    for heartbeat in reports.values():
+        for task in heartbeat.tasks:
             job, index = records.split_task(task.task)
-            located = Located(report, task)
+            located = Located(heartbeat, task)
             tasks = found.setdefault(job, {})
             if index not in tasks or _rank(located) > _rank(tasks[index]):
                 tasks[index] = located
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -6,12 +6,12 @@
 
 import orjson
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import JobEnd
-from stileloft.rebuild.ends import Ends, InvalidEndsError
+from stileloft.model import records
+from stileloft.model.records import JobOutcome
+from stileloft.rebuild.job_outcomes import Ends, InvalidEndsError
 
 # What is written back as it was. Where images are is a hint that is learned anew, and ends are kept apart.
-RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.RENTED, records.UNDECIDED)
+RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED)
 RESTORED_KEYS = (records.SETTINGS, records.FORMAT)
 
 
@@ -55,7 +55,7 @@
         """Takes in a change: a value, or None for a deletion."""
         if key.startswith(records.FINAL):
             if value is not None:
-                self.ends.add(key[len(records.FINAL) :], JobEnd(str(value["phase"]), int(value["n"])))
+                self.ends.add(key[len(records.FINAL) :], JobOutcome(str(value["phase"]), int(value["n"])))
         elif key.startswith(records.ENDED):
             if value is not None:
                 self._load_ends(value)
--- a/stileloft/rebuild/follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -3,7 +3,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping import records
+from stileloft.model import records
 from stileloft.protocol.state import (
     CompactedError,
     ConflictError,
@@ -11,12 +11,14 @@
     UnavailableError,
     UnknownOutcomeError,
 )
-from stileloft.rebuild.late_knowledge import tell_what_was_missed
+from stileloft.rebuild.missed_changes import tell_what_was_missed
 from stileloft.rebuild.protection import Phase, StoreProtection
 from stileloft.rebuild.replica import RESTORED_KEYS, RESTORED_PREFIXES, Replica
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -32,7 +34,7 @@
 class ReplicaFollower:
     """Reads all records once, then follows what changes."""
 
-    def __init__(self, node: "Node", protection: StoreProtection) -> None:
+    def __init__(self, node: "Controller", protection: StoreProtection) -> None:
         self._node = node
         self._state = node.state
         self._protection = protection
--- a/stileloft/rebuild/merge.py
+++ b/stileloft/rebuild/replica_merge.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stileloft.rebuild.ends import Ends
+from stileloft.rebuild.job_outcomes import Ends
 from stileloft.rebuild.snapshot import Snapshot
 
 
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -5,13 +5,15 @@
 
 from twisted.internet import defer
 
-from stileloft.rebuild.follower import ReplicaFollower
-from stileloft.rebuild.notes import InvalidNotesError, parse_notes
+from stileloft.rebuild.change_broadcast import InvalidNotesError, parse_notes
 from stileloft.rebuild.protection import StoreProtection
 from stileloft.rebuild.rebuilder import Rebuilder
+from stileloft.rebuild.replica_follower import ReplicaFollower
 
 if TYPE_CHECKING:
-    from stileloft.coordination.node import Node
+    from stileloft.controller.controller import Controller
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +21,7 @@
 class Rebuild:
     """What a node holds of the feature."""
 
-    def __init__(self, node: "Node") -> None:
+    def __init__(self, node: "Controller") -> None:
         self._node = node
         self.protection = StoreProtection(node)
         self.rebuilder: Rebuilder | None = None
--- a/stileloft/rebuild/snapshot.py
+++ b/stileloft/rebuild/snapshot.py
@@ -7,7 +7,7 @@
 import orjson
 from msgspec import Struct
 
-from stileloft.rebuild.ends import Ends, InvalidEndsError
+from stileloft.rebuild.job_outcomes import Ends, InvalidEndsError
 from stileloft.rebuild.replica import Replica, StoredRecord, is_restored
 
 SNAPSHOT_FORMAT = 1
--- a/stileloft/coordination/scaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -4,14 +4,14 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from stileloft.bookkeeping.model import fits_type
-from stileloft.coordination import gangs
-from stileloft.coordination.placement import as_running
-from stileloft.coordination.snapshot import Node, Snapshot, Waiting, allowed, zone_allowed
+from stileloft.model.machines import fits_type
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling import gangs
+from stileloft.scheduling.placement import as_running
+from stileloft.scheduling.snapshot import MachineView, PendingJob, Snapshot, allowed, zone_allowed
 
-Offer = tuple[str, str, bool]
+InstanceOffer = tuple[str, str, bool]
 """Machine type, zone, spot."""
 
 # Idle machines at the full price are kept for this multiple of their boot time.
@@ -36,18 +36,20 @@
 
 
 @dataclass(slots=True)
-class Plan:
-    rent: dict[Offer, int] = field(default_factory=dict)
-    give_back: list[str] = field(default_factory=list)
+class ScalingPlan:
+    provision: dict[InstanceOffer, int] = field(default_factory=dict)
+    release: list[str] = field(default_factory=list)
 
 
 def price(kind: MachineType, spot: bool) -> float:
     return kind.spot_price if spot else kind.price
 
 
-def offers_for(spec: JobSpec, types: dict[str, MachineType], refused: Collection[Offer]) -> list[tuple[float, Offer]]:
+def offers_for(
+    spec: JobSpec, types: dict[str, MachineType], refused: Collection[InstanceOffer]
+) -> list[tuple[float, InstanceOffer]]:
     """What could be rented for a task of this job, with the price of its share of the machine."""
-    found: list[tuple[float, Offer]] = []
+    found: list[tuple[float, InstanceOffer]] = []
     for kind in types.values():
         if not fits_type(spec, kind):
             continue
@@ -67,7 +69,7 @@
     return found
 
 
-def machines_for(unmet: list[tuple[Waiting, int]], types: dict[str, MachineType]) -> float:
+def machines_for(unmet: list[tuple[PendingJob, int]], types: dict[str, MachineType]) -> float:
     """Roughly how many machines the tasks would fill, each on the smallest type that they fit on."""
     total = 0.0
     for job, count in unmet:
@@ -78,29 +80,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class ScalingDemand:
     """What a plan is made for, beside the snapshot."""
 
-    unmet: list[tuple[Waiting, int]]
+    unmet: list[tuple[PendingJob, int]]
     """Jobs, and how many of their tasks got neither place nor nomination."""
     headroom: list[tuple[JobSpec, int]] = field(default_factory=list)
     """Tasks that should find room at once if they came now; none of a class that can wait."""
     active: bool = True
     """Whether jobs are still coming."""
-    refused: frozenset[Offer] = frozenset()
+    refused: frozenset[InstanceOffer] = frozenset()
     """Offers of which the cloud had none lately."""
-    distrusted: frozenset[Offer] = frozenset()
+    unreliable: frozenset[InstanceOffer] = frozenset()
     """Offers whose machines keep coming late."""
 
 
-class Planner:
+class Autoscaler:
     """One plan: rentals for what will not be served in time, and idle machines to return."""
 
-    def __init__(self, snapshot: Snapshot, demand: Demand, settings: OperatorSettings) -> None:
+    def __init__(self, snapshot: Snapshot, demand: ScalingDemand, settings: OperatorSettings) -> None:
         self._snapshot = snapshot
         self._demand = demand
         self._settings = settings
-        self._plan = Plan()
+        self._plan = ScalingPlan()
         self._nodes = [node.copy() for node in snapshot.nodes.values()]
         self._coming = [node for node in self._nodes if not node.up and node.ready]
         # Room that is there anyway comes first, and idle machines at the full price last.
@@ -117,7 +119,7 @@
         most_new = max(MAX_NEW, int(NEW_PART * max(len(snapshot.nodes), filled)))
         self._max_new = min(most_new, settings.max_machines - len(snapshot.nodes))
 
-    def plan(self) -> Plan:
+    def plan(self) -> ScalingPlan:
         """Gangs first, which need room side by side; then what waits, and then headroom."""
         for job, count in self._demand.unmet:
             if job.spec.is_gang:
@@ -150,7 +152,7 @@
             if not left or not spec.one_zone:
                 return
 
-    def _room_for_waiting(self, job: Waiting, count: int) -> None:
+    def _room_for_waiting(self, job: PendingJob, count: int) -> None:
         """Rents for tasks that neither machines on their way nor the present ones will serve soon."""
         zones = dict(job.zones)
         left = self._take(job.spec, count, zones, self._coming, 0)
@@ -197,15 +199,15 @@
     def _return_idle(self) -> None:
         """Returns machines that have stood idle for long enough, the dearest first, and late ones nobody waits for."""
         if not self._demand.unmet:
-            self._plan.give_back += [node.id for node in self._nodes if not node.up and not node.ready]
+            self._plan.release += [node.id for node in self._nodes if not node.up and not node.ready]
         for node in sorted(self._usable, key=lambda node: (node.spot, -price(node.type, node.spot), node.id)):
             boots = self._settings.keep_idle_boots if node.spot else KEEP_FULL_PRICE_BOOTS
             if node.up and not node.tasks and node.idle_s > boots * node.type.boot_s:
-                self._plan.give_back.append(node.id)
+                self._plan.release.append(node.id)
 
     # -- taking and renting -----------------------------------------------------
 
-    def _take(self, spec: JobSpec, count: int, zones: dict[str, int], nodes: list[Node], index: int) -> int:
+    def _take(self, spec: JobSpec, count: int, zones: dict[str, int], nodes: list[MachineView], index: int) -> int:
         """Puts up to `count` tasks into the nodes' room; returns how many are left."""
         for node in nodes:
             while count and self._fits(spec, zones, node):
@@ -215,7 +217,7 @@
         return count
 
     @staticmethod
-    def _fits(spec: JobSpec, zones: dict[str, int], node: Node) -> bool:
+    def _fits(spec: JobSpec, zones: dict[str, int], node: MachineView) -> bool:
         return (
             allowed(spec, node)
             and zone_allowed(spec, zones, node.zone)
@@ -235,15 +237,15 @@
             count = self._take(spec, count, taken, [node], index)
         return count
 
-    def _rent(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> Node | None:
+    def _rent(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> MachineView | None:
         if self._made >= self._max_new:
             return None
         offer = self._choose(spec, zones, spot_only or not self._settings.rent_full_price)
         return None if offer is None else self._add(offer)
 
-    def _choose(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> Offer | None:
+    def _choose(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> InstanceOffer | None:
         """The cheapest offer; among near equals the smallest type, and the zone we use least."""
-        best: tuple[tuple[float, int, str], Offer] | None = None
+        best: tuple[tuple[float, int, str], InstanceOffer] | None = None
         for share, offer in offers_for(spec, self._snapshot.types, self._demand.refused):
             name, zone, spot = offer
             if not zone_allowed(spec, zones, zone) or (spot_only and not spot):
@@ -251,30 +253,30 @@
             # Large machines are kept for the tasks that need them.
             large = spec.cpus <= self._smallest_cpus < self._snapshot.types[name].cpus
             weight = LARGE_MACHINE_WEIGHT if large else 1.0
-            if offer in self._demand.distrusted:
+            if offer in self._demand.unreliable:
                 weight *= DISTRUSTED_WEIGHT
             order = (round(share * weight, 4), self._in_zone.get((name, zone), 0), zone)
             if best is None or order < best[0]:
                 best = order, offer
         return best[1] if best else None
 
-    def _add(self, offer: Offer) -> Node:
+    def _add(self, offer: InstanceOffer) -> MachineView:
         name, zone, spot = offer
         self._made += 1
         self._in_zone[name, zone] = self._in_zone.get((name, zone), 0) + 1
-        self._plan.rent[offer] = self._plan.rent.get(offer, 0) + 1
-        node = Node(f"{NEW}{self._made}", self._snapshot.types[name], zone, spot, True, False)
+        self._plan.provision[offer] = self._plan.provision.get(offer, 0) + 1
+        node = MachineView(f"{NEW}{self._made}", self._snapshot.types[name], zone, spot, True, False)
         node.settle()
         self._coming.append(node)
         return node
 
 
-def may_move_to_spot(node: Node) -> bool:
+def may_move_to_spot(node: MachineView) -> bool:
     """Whether none of a machine's tasks rules out spot machines."""
     return not any(task.spec is not None and not task.spec.spot for task in node.tasks)
 
 
-def pays_full_price(job: Waiting, snapshot: Snapshot) -> bool:
+def pays_full_price(job: PendingJob, snapshot: Snapshot) -> bool:
     """Whether a machine at the full price is needed now for the job's deadline, and still helps it."""
     spec = job.spec
     if spec.deadline_s is None:
@@ -291,7 +293,7 @@
     return -LATE_BOOTS * ready_s < spare_s < EARLY_BOOTS * ready_s
 
 
-def soon_served(spec: JobSpec, count: int, snapshot: Snapshot, nodes: list[Node]) -> bool:
+def soon_served(spec: JobSpec, count: int, snapshot: Snapshot, nodes: list[MachineView]) -> bool:
     """Whether the present machines will have room well before a new one could be up.
 
     What gangs are to have of it is taken already: a job that waited for that room would wait for ever.
--- a/stileloft/coordination/gangs.py
+++ b/stileloft/scheduling/gangs.py
@@ -14,20 +14,21 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from stileloft.bookkeeping.model import ENDED, PLANNED, Job, Placement
-from stileloft.coordination.snapshot import (
-    Hold,
-    Node,
+from stileloft.model.jobs import Job
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.protocol.messages import JobSpec
+from stileloft.scheduling.snapshot import (
+    MachineView,
     Nomination,
-    Running,
+    PendingJob,
+    Reservation,
+    RunningTask,
     Snapshot,
     Usage,
-    Waiting,
     allowed,
     whole_within_limit,
     zone_allowed,
 )
-from stileloft.protocol.messages import JobSpec
 
 EXPECTED = "expected"
 """In place of a job's id: the nomination of a task that has not been submitted yet."""
@@ -55,11 +56,11 @@
         return Stage.WAITING
     if (
         len(placements) < job.spec.tasks
-        or any(p.state == ENDED for p in placements)
+        or any(p.state == PlacementState.ENDED for p in placements)
         or len({p.attempt for p in placements}) > 1
     ):
         return Stage.BROKEN
-    return Stage.BINDING if any(p.state == PLANNED for p in placements) else Stage.WHOLE
+    return Stage.BINDING if any(p.state == PlacementState.PLANNED for p in placements) else Stage.WHOLE
 
 
 def completed(job: Job) -> bool:
@@ -73,12 +74,12 @@
 
 def left_over(job: Job) -> list[Placement]:
     """What is still placed of a gang that has lost a task."""
-    return [p for p in job.placements() if p.state != ENDED] if stage(job) is Stage.BROKEN else []
+    return [p for p in job.placements() if p.state != PlacementState.ENDED] if stage(job) is Stage.BROKEN else []
 
 
 def next_attempt(job: Job) -> int:
     """Members find each other by a common attempt, which is above all that any had."""
-    planned = next((p.attempt for p in job.placements() if p.state == PLANNED), None)
+    planned = next((p.attempt for p in job.placements() if p.state == PlacementState.PLANNED), None)
     return planned or 1 + max((chunk.attempt for chunk in job.chunks.values()), default=0)
 
 
@@ -88,7 +89,7 @@
 class Ordered(Protocol):
     """The machines that have room for a job's tasks, the best first."""
 
-    def best(self) -> Node | None: ...
+    def best(self) -> MachineView | None: ...
     def changed(self, machine: str) -> None: ...
 
 
@@ -104,13 +105,13 @@
     )
 
 
-def free_slots(spec: JobSpec, node: Node) -> int:
+def free_slots(spec: JobSpec, node: MachineView) -> int:
     return slots(spec, node.cpus, node.gpus, node.memory_gb)
 
 
-def by_zone(spec: JobSpec, nodes: Iterable[Node]) -> dict[str, list[Node]]:
+def by_zone(spec: JobSpec, nodes: Iterable[MachineView]) -> dict[str, list[MachineView]]:
     """Machines that the job may use, by the zones of which one is to take all of it, or under one name."""
-    found: dict[str, list[Node]] = {}
+    found: dict[str, list[MachineView]] = {}
     for node in nodes:
         if allowed(spec, node):
             found.setdefault(node.zone if spec.one_zone else "", []).append(node)
@@ -118,12 +119,12 @@
 
 
 def find_place(
-    job: Waiting,
+    job: PendingJob,
     snapshot: Snapshot,
-    nodes: Iterable[Node],
-    ordered: Callable[[list[Node]], Ordered],
-    fetch_time: Callable[[JobSpec, Node], float],
-) -> list[tuple[int, Node]] | None:
+    nodes: Iterable[MachineView],
+    ordered: Callable[[list[MachineView]], Ordered],
+    fetch_time: Callable[[JobSpec, MachineView], float],
+) -> list[tuple[int, MachineView]] | None:
     """A machine for each task of a gang, in the zone where its last image is there first; None if there is none.
 
     Works on the snapshot, which is as before when it returns.
@@ -134,7 +135,7 @@
     used = snapshot.usage.setdefault(spec.team, Usage())
     if not whole_within_limit(spec, snapshot.teams.get(spec.team), used, job.count):
         return None
-    best: tuple[tuple[float, str], list[tuple[int, Node]]] | None = None
+    best: tuple[tuple[float, str], list[tuple[int, MachineView]]] | None = None
     for zone, there in sorted(by_zone(spec, nodes).items()):
         if sum(free_slots(spec, node) for node in there) < job.count:
             continue
@@ -145,10 +146,10 @@
 
 
 def _fill(
-    job: Waiting, snapshot: Snapshot, machines: Ordered, fetch_time: Callable[[JobSpec, Node], float]
-) -> tuple[list[tuple[int, Node]], float]:
+    job: PendingJob, snapshot: Snapshot, machines: Ordered, fetch_time: Callable[[JobSpec, MachineView], float]
+) -> tuple[list[tuple[int, MachineView]], float]:
     spec = job.spec
-    taken: list[tuple[int, Node, Running]] = []
+    taken: list[tuple[int, MachineView, RunningTask]] = []
     images_s = 0.0
     for index in job.tasks:
         target = machines.best()
@@ -156,7 +157,7 @@
             break
         images_s = max(images_s, fetch_time(spec, target))
         node = snapshot.own(target.id)
-        task = Running((spec.id, index), spec, spec.team, spec.rank, spec.cpus, spec.gpus or 0.0, spec.memory_gb)
+        task = RunningTask((spec.id, index), spec, spec.team, spec.rank, spec.cpus, spec.gpus or 0.0, spec.memory_gb)
         node.take(task)
         job.zones[node.zone] = job.zones.get(node.zone, 0) + 1
         taken.append((index, node, task))
@@ -167,17 +168,17 @@
     return [(index, node) for index, node, _ in taken], images_s
 
 
-def hold_room(job: Waiting, snapshot: Snapshot) -> None:
+def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps the room that a gang will have first, so that small tasks don't fill each hole before it can begin."""
     spec = job.spec
-    best: tuple[float, str, list[tuple[float, Node]]] | None = None
+    best: tuple[float, str, list[tuple[float, MachineView]]] | None = None
     up = [
         node
         for node in snapshot.nodes.values()
-        if node.up and node.ready and node.id not in snapshot.holds and node.id not in job.avoid
+        if node.up and node.ready and node.id not in snapshot.reservations and node.id not in job.avoid
     ]
     for zone, there in by_zone(spec, up).items():
-        coming: list[tuple[float, str, Node]] = []
+        coming: list[tuple[float, str, MachineView]] = []
         for node in there:
             cpus, gpus, memory_gb = node.cpus, node.gpus, node.memory_gb
             had = free_slots(spec, node)
@@ -202,12 +203,12 @@
         for task in node.by_end():
             if task.remaining_s <= max(mine):
                 cpus, gpus, memory_gb = cpus + task.cpus, gpus + task.gpus, memory_gb + task.memory_gb
-        snapshot.holds[node.id] = Hold(
+        snapshot.reservations[node.id] = Reservation(
             until_s,
             cpus - len(mine) * spec.cpus,
             gpus - len(mine) * (spec.gpus or 0.0),
             memory_gb - len(mine) * spec.memory_gb,
-            spec.id if job.first else "",
+            spec.id if job.promoted else "",
         )
 
 
@@ -236,19 +237,19 @@
     return found
 
 
-def beside(job: Waiting, nominated: Iterable[Nomination]) -> list[Nomination]:
+def beside(job: PendingJob, nominated: Iterable[Nomination]) -> list[Nomination]:
     """The nominations that a job has to leave room for: not all of those of gangs that are only expected.
 
     Gangs like these may take their room, and so may jobs that have grown old or were not served for long.
     """
     spec = job.spec
-    keeps = not job.first and not job.overdue
+    keeps = not job.promoted and not job.starving
     return [n for n in nominated if n.key[0] != EXPECTED or keeps and (not spec.is_gang or n.rank > spec.rank)]
 
 
-def leave(snapshot: Snapshot, victims: Iterable[Running]) -> list[str]:
+def leave(snapshot: Snapshot, victims: Iterable[RunningTask]) -> list[str]:
     """Marks all tasks of the victims' gangs as being stopped, on their other machines too; returns these."""
-    jobs = {task.key[0] for task in victims if task.together > 1}
+    jobs = {task.key[0] for task in victims if task.group_size > 1}
     changed = []
     for name in [n.id for n in snapshot.nodes.values() if jobs and any(task.key[0] in jobs for task in n.tasks)]:
         node = snapshot.own(name)
@@ -257,15 +258,15 @@
     return changed
 
 
-def units(tasks: Iterable[Running]) -> list[list[Running]]:
+def units(tasks: Iterable[RunningTask]) -> list[list[RunningTask]]:
     """Tasks of one machine in the groups that go together: a gang is one victim."""
-    found: dict[Any, list[Running]] = {}
+    found: dict[Any, list[RunningTask]] = {}
     for task in tasks:
-        found.setdefault(task.key[0] if task.together > 1 else task.key, []).append(task)
+        found.setdefault(task.key[0] if task.group_size > 1 else task.key, []).append(task)
     return list(found.values())
 
 
-def shortage(spec: JobSpec, count: int, nodes: Iterable[Node], zones: Iterable[str]) -> list[tuple[int, str]]:
+def shortage(spec: JobSpec, count: int, nodes: Iterable[MachineView], zones: Iterable[str]) -> list[tuple[int, str]]:
     """How many tasks of a gang would find no room, by zone, the least first."""
     there = by_zone(spec, nodes)
     lacks = {
--- a/stileloft/coordination/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -3,26 +3,26 @@
 import heapq
 from dataclasses import dataclass, field
 
-from stileloft.bookkeeping.model import TaskKey
-from stileloft.coordination import gangs, preemption
-from stileloft.coordination.preemption import Eviction
-from stileloft.coordination.snapshot import (
+from stileloft.model.placements import TaskKey
+from stileloft.protocol.messages import JobSpec
+from stileloft.scheduling import gangs, preemption
+from stileloft.scheduling.preemption import Preemption
+from stileloft.scheduling.snapshot import (
     EPSILON,
-    SHIELDED,
-    Hold,
-    Node,
+    PREEMPTION_EXEMPT_RANK,
+    MachineView,
     Nomination,
-    Running,
+    PendingJob,
+    Reservation,
+    RunningTask,
     Snapshot,
     Usage,
-    Waiting,
     allowed,
     whole_within_limit,
     within_guarantee,
     within_limit,
     zone_allowed,
 )
-from stileloft.protocol.messages import JobSpec
 
 # Weights of one second of image fetch against the packing terms, by need for a prompt start.
 FETCH_WEIGHT_URGENT = 1.0
@@ -39,30 +39,30 @@
 # Work that goes first because of its age takes no more than this part of the processors.
 AGED_PART = 0.25
 # Waiting tasks that room is kept for in one round.
-MAX_HOLDS = 8
+MAX_RESERVATIONS = 8
 
 
 @dataclass(slots=True)
 class Decision:
     placed: list[tuple[TaskKey, str]] = field(default_factory=list)
-    evictions: list[tuple[TaskKey, Eviction]] = field(default_factory=list)
-    unmet: list[tuple[Waiting, int]] = field(default_factory=list)
+    preemptions: list[tuple[TaskKey, Preemption]] = field(default_factory=list)
+    unmet: list[tuple[PendingJob, int]] = field(default_factory=list)
     """Jobs, and how many of their tasks got neither place nor nomination."""
-    first: frozenset[str] = frozenset()
+    promoted: frozenset[str] = frozenset()
     """Jobs that went before more pressing work because of their age."""
 
 
-def order_key(job: Waiting, snapshot: Snapshot, usage: dict[str, Usage]) -> tuple[float, ...]:
+def order_key(job: PendingJob, snapshot: Snapshot, usage: dict[str, Usage]) -> tuple[float, ...]:
     """Age, priority, then the team's guarantee, then the latest start that meets the deadline."""
     spec = job.spec
-    if job.first:
+    if job.promoted:
         # All of them are old, the more pressing ones too. First each is to begin.
-        return (0, 1 if job.begun else 0, job.submitted)
+        return (0, 1 if job.started else 0, job.submitted)
     owed = within_guarantee(spec, snapshot.teams.get(spec.team), usage.get(spec.team, Usage()))
     return (1, -spec.rank, 0 if owed else 1, latest_start(job, snapshot), job.submitted)
 
 
-def latest_start(job: Waiting, snapshot: Snapshot) -> float:
+def latest_start(job: PendingJob, snapshot: Snapshot) -> float:
     """When the job is to begin at the latest; without a deadline, when its share of the machines would be done.
 
     One array of tens of thousands of tasks would else go before all small jobs that come while it is served.
@@ -77,7 +77,7 @@
     return latest
 
 
-def alone_s(job: Waiting, snapshot: Snapshot) -> float:
+def alone_s(job: PendingJob, snapshot: Snapshot) -> float:
     """Seconds that the whole job would take if its team, or the machines, had nothing else to do."""
     team = snapshot.teams.get(job.spec.team)
     cpus = team.cpus_max if team is not None and team.cpus_max else snapshot.cpus()
@@ -92,19 +92,19 @@
     """
     nodes = [node for node in snapshot.nodes.values() if node.up and node.ready]
     room = AGED_PART * sum(node.type.cpus for node in nodes)
-    room -= sum(task.cpus for node in nodes for task in node.tasks if task.rank == SHIELDED)
+    room -= sum(task.cpus for node in nodes for task in node.tasks if task.rank == PREEMPTION_EXEMPT_RANK)
     aged = [job for job in snapshot.waiting if job.aged]
-    for job in sorted(aged, key=lambda job: (job.begun, job.submitted, job.spec.id)):
-        job.first = room > 0 or not job.begun
-        wanted = (job.count if job.begun else 1) * job.spec.cpus
-        if job.first and not job.spec.is_gang:
-            most = max(1, int(room / job.spec.cpus)) if job.begun and job.spec.cpus else 1
+    for job in sorted(aged, key=lambda job: (job.started, job.submitted, job.spec.id)):
+        job.promoted = room > 0 or not job.started
+        wanted = (job.count if job.started else 1) * job.spec.cpus
+        if job.promoted and not job.spec.is_gang:
+            most = max(1, int(room / job.spec.cpus)) if job.started and job.spec.cpus else 1
             if most < job.count:
                 snapshot.waiting.append(job.split(most))
         room -= wanted
 
 
-def fetch_time(spec: JobSpec, node: Node) -> float:
+def fetch_time(spec: JobSpec, node: MachineView) -> float:
     """Seconds until the machine is likely to have the task's image."""
     if spec.image in node.images:
         return 0.0
@@ -115,28 +115,35 @@
 
 
 def cost(
-    spec: JobSpec, node: Node, smallest_cpus: float, largest_cpus: float, scarce: bool, goal_s: float | None
+    spec: JobSpec,
+    node: MachineView,
+    smallest_cpus: float,
+    largest_cpus: float,
+    scarce: bool,
+    start_objective_s: float | None,
 ) -> float:
     """How bad a machine is for a task that fits there; lower is better."""
     fetch_s = fetch_time(spec, node)
     # All tasks of a gang wait for the last image.
-    weight = FETCH_WEIGHT_URGENT if spec.rank >= 2 or (spec.is_gang and goal_s is not None) else FETCH_WEIGHT
+    weight = FETCH_WEIGHT_URGENT if spec.rank >= 2 or (spec.is_gang and start_objective_s is not None) else FETCH_WEIGHT
     total = weight * fetch_s
-    if goal_s is not None and fetch_s > GOAL_PART * goal_s:
+    if start_objective_s is not None and fetch_s > GOAL_PART * start_objective_s:
         total += MISSED_GOAL
     total += (0.0 if node.spot else ON_DEMAND) + (node.cpus - spec.cpus) / max(node.type.cpus, 1.0)
     if spec.cpus <= smallest_cpus < node.type.cpus:
         # Small tasks leave large machines whole while a small one has room,
         # and first use up the large ones that are broken into already.
         # Those that are to start at once may go where that is likeliest.
-        weight = WHOLE_MACHINE_GOAL if goal_s is not None else WHOLE_MACHINE_SCARCE if scarce else WHOLE_MACHINE
+        weight = (
+            WHOLE_MACHINE_GOAL if start_objective_s is not None else WHOLE_MACHINE_SCARCE if scarce else WHOLE_MACHINE
+        )
         total += weight * (1.0 if node.cpus >= largest_cpus / 2 else 0.3)
     return total
 
 
-def as_running(spec: JobSpec, key: TaskKey, shielded: bool = False, remaining_s: float = 0.0) -> Running:
-    rank = SHIELDED if shielded else spec.rank
-    return Running(
+def as_running(spec: JobSpec, key: TaskKey, preemption_exempt: bool = False, remaining_s: float = 0.0) -> RunningTask:
+    rank = PREEMPTION_EXEMPT_RANK if preemption_exempt else spec.rank
+    return RunningTask(
         key,
         spec,
         spec.team,
@@ -145,14 +152,14 @@
         spec.gpus or 0.0,
         spec.memory_gb,
         remaining_s=remaining_s,
-        together=spec.tasks if spec.is_gang else 1,
+        group_size=spec.tasks if spec.is_gang else 1,
     )
 
 
-def hold_room(job: Waiting, snapshot: Snapshot) -> None:
+def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps room for a task on the machine that will have it first."""
-    spec, holds = job.spec, snapshot.holds
-    if len(holds) >= MAX_HOLDS:
+    spec, reservations = job.spec, snapshot.reservations
+    if len(reservations) >= MAX_RESERVATIONS:
         return
     best: tuple[float, str] | None = None
     for node in snapshot.nodes.values():
@@ -160,7 +167,7 @@
             spec.cpus > node.type.cpus
             or not node.up
             or not node.ready
-            or node.id in holds
+            or node.id in reservations
             or node.id in job.avoid
             or not allowed(spec, node)
             or not zone_allowed(spec, job.zones, node.zone)
@@ -177,19 +184,19 @@
             continue
         if best is None or (at, node.id) < best:
             best = at, node.id
-            hold = Hold(
+            hold = Reservation(
                 at,
                 cpus - spec.cpus,
                 gpus - (spec.gpus or 0.0),
                 memory_gb - spec.memory_gb,
-                spec.id if job.first else "",
+                spec.id if job.promoted else "",
             )
     if best is not None:
-        holds[best[1]] = hold
+        reservations[best[1]] = hold
 
 
 @dataclass(slots=True)
-class Round:
+class SchedulingCycle:
     """What is the same for all jobs of a round."""
 
     snapshot: Snapshot
@@ -202,7 +209,7 @@
     """Machines on which something has room."""
     least: tuple[float, float]
     """The least processors and memory that any waiting task takes."""
-    spares: preemption.Spares
+    spares: preemption.ReclaimableRoom
     saving: set[str] = field(default_factory=set)
     """Teams at their limit, of which an old job is to have what becomes free."""
 
@@ -228,7 +235,7 @@
     Each machine is weighed once, and again only when it has changed.
     """
 
-    def __init__(self, job: Waiting, about: Round, among: list[Node] | None = None) -> None:
+    def __init__(self, job: PendingJob, about: SchedulingCycle, among: list[MachineView] | None = None) -> None:
         self._job = job
         self._about = about
         self._nodes = about.snapshot.nodes
@@ -238,7 +245,7 @@
             self._weigh(node, 0)
         heapq.heapify(self._heap)
 
-    def _weigh(self, node: Node, version: int) -> None:
+    def _weigh(self, node: MachineView, version: int) -> None:
         job, about = self._job, self._about
         spec = job.spec
         if spec.cpus > node.cpus + EPSILON or node.id in job.avoid or not allowed(spec, node):
@@ -246,13 +253,13 @@
         reserved = about.reserved.get(node.id, ())
         if not preemption.room_beside(spec, node, gangs.beside(job, reserved) if reserved else reserved):
             return
-        hold = about.snapshot.holds.get(node.id)
-        if hold is not None and not hold.lets(spec, job.estimate_s, job.overdue):
+        hold = about.snapshot.reservations.get(node.id)
+        if hold is not None and not hold.lets(spec, job.estimate_s, job.starving):
             return
-        weight = cost(spec, node, about.smallest_cpus, about.largest_cpus, about.scarce, job.goal_s)
+        weight = cost(spec, node, about.smallest_cpus, about.largest_cpus, about.scarce, job.start_objective_s)
         self._heap.append((weight, node.id, version))
 
-    def best(self) -> Node | None:
+    def best(self) -> MachineView | None:
         while self._heap:
             _, name, version = self._heap[0]
             node = self._nodes[name]
@@ -274,14 +281,14 @@
             heapq.heappush(self._heap, self._heap.pop())
 
 
-def count_in(job: Waiting, used: Usage, zone: str, sign: int = 1) -> None:
+def count_in(job: PendingJob, used: Usage, zone: str, sign: int = 1) -> None:
     """Counts a task as placed in a zone, or (-1) takes it back."""
     used.cpus += sign * job.spec.cpus
     used.gpus += sign * (job.spec.gpus or 0.0)
     job.zones[zone] = job.zones.get(zone, 0) + sign
 
 
-def serve_gang(job: Waiting, about: Round, decision: Decision) -> None:
+def serve_gang(job: PendingJob, about: SchedulingCycle, decision: Decision) -> None:
     """Places all tasks of a gang, or leaves everything as it was and holds room. Waiting gangs stop nobody."""
     spec, snapshot = job.spec, about.snapshot
     found = gangs.find_place(
@@ -297,20 +304,20 @@
         return
     used = snapshot.usage.setdefault(spec.team, Usage())
     if not any(job.zones.values()) and whole_within_limit(spec, snapshot.teams.get(spec.team), used, job.count):
-        if len(snapshot.holds) < MAX_HOLDS:
-            gangs.hold_room(job, snapshot)
+        if len(snapshot.reservations) < MAX_RESERVATIONS:
+            gangs.reserve_room(job, snapshot)
         decision.unmet.append((job, job.count))
 
 
-def place_task(job: Waiting, index: int, target: Node, about: Round, decision: Decision) -> None:
+def place_task(job: PendingJob, index: int, target: MachineView, about: SchedulingCycle, decision: Decision) -> None:
     spec, snapshot = job.spec, about.snapshot
     node = snapshot.own(target.id)
-    hold = snapshot.holds.get(node.id)
+    hold = snapshot.reservations.get(node.id)
     if hold is not None and job.estimate_s > hold.until_s:
         hold.cpus -= spec.cpus
         hold.gpus -= spec.gpus or 0.0
         hold.memory_gb -= spec.memory_gb
-    node.take(as_running(spec, (spec.id, index), job.first, job.estimate_s))
+    node.take(as_running(spec, (spec.id, index), job.promoted, job.estimate_s))
     if spec.image not in node.images:
         node.fetching |= {spec.image}
     count_in(job, snapshot.usage.setdefault(spec.team, Usage()), node.zone)
@@ -319,11 +326,11 @@
     job.count -= 1
 
 
-def nominate(job: Waiting, index: int, eviction: Eviction, about: Round, decision: Decision) -> None:
+def nominate(job: PendingJob, index: int, eviction: Preemption, about: SchedulingCycle, decision: Decision) -> None:
     """The task is to have the machine that the trials found best, once the victims are gone."""
     spec, snapshot = job.spec, about.snapshot
     key = (spec.id, index)
-    decision.evictions.append((key, eviction))
+    decision.preemptions.append((key, eviction))
     machine = eviction.machine
     if eviction.victims:
         snapshot.own(machine).leave(eviction.victims)
@@ -347,13 +354,13 @@
     """How much one round decides at the most."""
 
     placed: int
-    evictions: int
+    preemptions: int
 
 
 class JobServer:
     """Serves one job of a round: places its tasks, makes room for those that fit nowhere, or holds room."""
 
-    def __init__(self, job: Waiting, about: Round, decision: Decision, bounds: Bounds) -> None:
+    def __init__(self, job: PendingJob, about: SchedulingCycle, decision: Decision, bounds: Bounds) -> None:
         self._job = job
         self._about = about
         self._snapshot = about.snapshot
@@ -362,7 +369,7 @@
         self._team = self._snapshot.teams.get(job.spec.team)
         self._used = self._snapshot.usage.setdefault(job.spec.team, Usage())
         self._candidates: Candidates | None = None
-        self._trials: preemption.Trials | None = None
+        self._trials: preemption.PreemptionTrials | None = None
         self._nominated = 0
 
     def serve(self) -> None:
@@ -382,10 +389,10 @@
     def _save_limit(self) -> None:
         """What its team gives up is kept for an old job: small tasks would take each bit as it becomes free."""
         spec = self._job.spec
-        if self._job.first and spec.team not in self._about.saving:
+        if self._job.promoted and spec.team not in self._about.saving:
             self._about.saving.add(spec.team)
             self._used.add(spec.cpus, spec.gpus or 0.0)
-            hold_room(self._job, self._snapshot)
+            reserve_room(self._job, self._snapshot)
 
     def _serve_task(self, index: int) -> bool:
         """Places a task, or makes room for it; returns whether the job's next task is worth looking at."""
@@ -406,7 +413,7 @@
             return True
         return self._make_room(index)
 
-    def _nominated_target(self, own: Nomination | None) -> Node | None:
+    def _nominated_target(self, own: Nomination | None) -> MachineView | None:
         """The machine that the task is nominated to, if it fits there by now."""
         if own is None:
             return None
@@ -427,23 +434,23 @@
         """Nominates the task to the machine that the trials find best; returns whether there is one."""
         if self._trials is None:
             self._trials = self._begin_trials()
-        if len(self._decision.evictions) >= self._bounds.evictions:
+        if len(self._decision.preemptions) >= self._bounds.preemptions:
             return False
         eviction = self._trials.best()
         if eviction is None:
             return False  # the job's other tasks are alike: no trial helps them either
         nominate(self._job, index, eviction, self._about, self._decision)
         self._trials.changed(eviction.machine)
-        if any(task.together > 1 for task in eviction.victims):
+        if any(task.group_size > 1 for task in eviction.victims):
             self._trials.forget()  # a gang has gone from other machines too
         self._nominated += 1
         return True
 
-    def _begin_trials(self) -> preemption.Trials:
+    def _begin_trials(self) -> preemption.PreemptionTrials:
         job, snapshot, about = self._job, self._snapshot, self._about
-        hold_room(job, snapshot)
-        held = {name for name, hold in snapshot.holds.items() if hold.owner not in ("", job.spec.id)}
-        return preemption.Trials(
+        reserve_room(job, snapshot)
+        held = {name for name, hold in snapshot.reservations.items() if hold.owner not in ("", job.spec.id)}
+        return preemption.PreemptionTrials(
             job.spec,
             job.zones,
             job.avoid | held,
@@ -455,17 +462,17 @@
         )
 
 
-def decide(snapshot: Snapshot, max_placed: int, max_evictions: int) -> Decision:
+def decide(snapshot: Snapshot, max_placed: int, max_preemptions: int) -> Decision:
     """One round. Works on the snapshot, which is used up by it."""
     limit_aged(snapshot)
-    decision = Decision(first=frozenset(job.spec.id for job in snapshot.waiting if job.first))
+    decision = Decision(promoted=frozenset(job.spec.id for job in snapshot.waiting if job.promoted))
     nodes = snapshot.nodes
     kinds = snapshot.types.values()
     smallest = min((kind.cpus for kind in kinds), default=0.0)
     reserved: dict[str, list[Nomination]] = {}
     for nomination in [*snapshot.nominations.values(), *gangs.expect(snapshot)]:
         reserved.setdefault(nomination.machine, []).append(nomination)
-    about = Round(
+    about = SchedulingCycle(
         snapshot,
         reserved,
         smallest,
@@ -476,9 +483,9 @@
             min((job.spec.cpus for job in snapshot.waiting), default=0.0),
             min((job.spec.memory_gb for job in snapshot.waiting), default=0.0),
         ),
-        preemption.Spares(nodes),
+        preemption.ReclaimableRoom(nodes),
     )
-    bounds = Bounds(max_placed, max_evictions)
+    bounds = Bounds(max_placed, max_preemptions)
     for job in sorted(snapshot.waiting, key=lambda job: order_key(job, snapshot, snapshot.usage)):
         about.narrow(len(decision.placed))
         if not job.spec.is_gang:
--- a/stileloft/coordination/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -12,13 +12,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from stileloft.coordination import gangs
-from stileloft.coordination.snapshot import (
+from stileloft.protocol.messages import JobSpec
+from stileloft.scheduling import gangs
+from stileloft.scheduling.snapshot import (
     EPSILON,
-    Node,
+    MachineView,
     Nomination,
     Room,
-    Running,
+    RunningTask,
     Usage,
     allowed,
     beyond_guarantee,
@@ -26,21 +27,20 @@
     within_limit,
     zone_allowed,
 )
-from stileloft.protocol.messages import JobSpec
 from stileloft.settings import Team
 
 
 @dataclass(slots=True)
-class Eviction:
+class Preemption:
     machine: str
-    victims: list[Running]
+    victims: list[RunningTask]
 
 
-Victim = list[Running]
+Victim = list[RunningTask]
 """What goes together on one machine: a task, or a gang's tasks there."""
 
 
-def candidates(spec: JobSpec, node: Node, teams: dict[str, Team], usage: dict[str, Usage]) -> list[Victim]:
+def candidates(spec: JobSpec, node: MachineView, teams: dict[str, Team], usage: dict[str, Usage]) -> list[Victim]:
     """What may be stopped for this task: lowest priority, budget-safe and least loss first.
 
     A gang is one victim: it counts with all its tasks, those on other machines included.
@@ -49,7 +49,7 @@
     owed = within_guarantee(spec, team, usage.get(spec.team, Usage()))
     found = []
     for task in node.tasks:
-        if task.leaving or task.spec is None:
+        if task.stopping or task.spec is None:
             continue
         lower = task.rank < spec.rank
         # A team is given its guarantee at the cost of others' borrowed work, but not of more
@@ -65,7 +65,13 @@
 
     def order(victim: Victim) -> tuple[Any, ...]:
         task = victim[0]
-        return task.rank, not task.safe, task.fresh, task.unsaved_s * task.cpus * task.together, task.key
+        return (
+            task.rank,
+            not task.budget_safe,
+            task.recently_started,
+            task.unsaved_s * task.cpus * task.group_size,
+            task.key,
+        )
 
     return sorted(gangs.units(found), key=order)
 
@@ -81,14 +87,14 @@
     return cpus, gpus, memory_gb
 
 
-def room_beside(spec: JobSpec, node: Node, nominated: Iterable[Nomination]) -> bool:
+def room_beside(spec: JobSpec, node: MachineView, nominated: Iterable[Nomination]) -> bool:
     """The verification function: does it fit with, and without, what is nominated here?"""
     return node.has_room(*beside(spec, nominated))
 
 
 def trial(
-    spec: JobSpec, node: Node, nominated: Iterable[Nomination], teams: dict[str, Team], usage: dict[str, Usage]
-) -> list[Running] | None:
+    spec: JobSpec, node: MachineView, nominated: Iterable[Nomination], teams: dict[str, Team], usage: dict[str, Usage]
+) -> list[RunningTask] | None:
     """The victims on this machine, or None if no removal helps.
 
     An empty list means that the tasks which are leaving already make enough room.
@@ -101,7 +107,7 @@
     room = _TrialRoom(node, needed)
     fits = room_beside(spec, node, nominated)
     for task in node.tasks:
-        if task.leaving:
+        if task.stopping:
             fits = room.remove([task])
     removed: list[Victim] = []
     if not fits:
@@ -123,7 +129,7 @@
 class _TrialRoom:
     """What is free on a machine's copy while tasks are removed from it and returned."""
 
-    def __init__(self, node: Node, needed: Room) -> None:
+    def __init__(self, node: MachineView, needed: Room) -> None:
         self._room: Room = (node.cpus, node.gpus, node.memory_gb)
         self._needed = needed
 
@@ -148,13 +154,13 @@
         return False
 
 
-def loss(victims: list[Running]) -> tuple[float, int, float, int]:
+def loss(victims: list[RunningTask]) -> tuple[float, int, float, int]:
     """What a machine's victims cost: highest priority first, then starts undone, unsaved work, and their number."""
     # Of a gang all tasks go, wherever they are.
-    going = [(victim[0], victim[0].together) for victim in gangs.units(victims)]
+    going = [(victim[0], victim[0].group_size) for victim in gangs.units(victims)]
     return (
         max((task.rank for task in victims), default=-1),
-        sum(together for task, together in going if task.fresh),
+        sum(together for task, together in going if task.recently_started),
         sum(task.unsaved_s * task.cpus * together for task, together in going),
         sum(together for _, together in going),
     )
@@ -163,7 +169,7 @@
 Order = tuple[float, int, float, int, int, str]
 
 
-class Spares:
+class ReclaimableRoom:
     """Machines by what their trials can free at the most, shared by all jobs of a round.
 
     With hundreds of machines and dozens of waiting jobs, nearly all trials would end at once for want of
@@ -171,7 +177,7 @@
     machines where something was stopped are looked at by all later jobs.
     """
 
-    def __init__(self, nodes: Mapping[str, Node]) -> None:
+    def __init__(self, nodes: Mapping[str, MachineView]) -> None:
         self._nodes = nodes
         self._by_rank: dict[int, tuple[list[float], list[str]]] = {}
         self._stopped: dict[str, None] = {}
@@ -179,7 +185,7 @@
     def stopped(self, machine: str) -> None:
         self._stopped[machine] = None
 
-    def likely(self, cpus: float, below: int) -> list[Node]:
+    def likely(self, cpus: float, below: int) -> list[MachineView]:
         """Machines that may have so many processors once all tasks below a rank are gone, and all others left out."""
         found = self._by_rank.get(below)
         if found is None:
@@ -189,7 +195,7 @@
         return [self._nodes[name] for name in dict.fromkeys([*names, *self._stopped])]
 
 
-class Trials:
+class PreemptionTrials:
     """The trials for a job's tasks, which are alike: a machine is tried again only when it has changed."""
 
     def __init__(
@@ -197,11 +203,11 @@
         spec: JobSpec,
         zones: dict[str, int],
         avoid: frozenset[str],
-        nodes: Mapping[str, Node],
+        nodes: Mapping[str, MachineView],
         reserved: Mapping[str, list[Nomination]],
         teams: dict[str, Team],
         usage: dict[str, Usage],
-        spares: Spares,
+        spares: ReclaimableRoom,
     ) -> None:
         self.spec = spec
         self.zones = zones
@@ -211,7 +217,7 @@
         self.teams = teams
         self.usage = usage
         self.spares = spares
-        self._heap: list[tuple[Order, str, list[Running]]] = []
+        self._heap: list[tuple[Order, str, list[RunningTask]]] = []
         self._facts: tuple[bool, list[bool]] | None = None
 
     def _usage_facts(self) -> tuple[bool, list[bool]]:
@@ -222,13 +228,13 @@
             [beyond_guarantee(team, self.usage.get(name, Usage())) for name, team in self.teams.items()],
         )
 
-    def _try(self, node: Node) -> None:
+    def _try(self, node: MachineView) -> None:
         victims = trial(self.spec, node, self.reserved.get(node.id, ()), self.teams, self.usage)
         if victims is not None:
             order = (*loss(victims), 0 if self.spec.image in node.images else 1, node.id)
             heapq.heappush(self._heap, (order, node.id, victims))
 
-    def best(self) -> Eviction | None:
+    def best(self) -> Preemption | None:
         """The best machine and its victims, or None if no trial succeeds."""
         spec = self.spec
         if not within_limit(spec, self.teams.get(spec.team), self.usage.get(spec.team, Usage())):
@@ -243,7 +249,7 @@
         while self._heap:
             _, machine, victims = self._heap[0]
             if zone_allowed(spec, self.zones, self.nodes[machine].zone):
-                return Eviction(machine, victims)
+                return Preemption(machine, victims)
             heapq.heappop(self._heap)  # a zone that is full for the job stays so in this round
         return None
 
@@ -261,15 +267,15 @@
 def preempt(
     spec: JobSpec,
     zones: dict[str, int],
-    nodes: Iterable[Node],
+    nodes: Iterable[MachineView],
     nominations: Iterable[Nomination],
     teams: dict[str, Team],
     usage: dict[str, Usage],
     avoid: frozenset[str] = frozenset(),
-) -> Eviction | None:
+) -> Preemption | None:
     """The best machine and its victims for one task, or None if no trial succeeds."""
     reserved: dict[str, list[Nomination]] = {}
     for nomination in nominations:
         reserved.setdefault(nomination.machine, []).append(nomination)
     by_name = {node.id: node for node in nodes}
-    return Trials(spec, zones, avoid, by_name, reserved, teams, usage, Spares(by_name)).best()
+    return PreemptionTrials(spec, zones, avoid, by_name, reserved, teams, usage, ReclaimableRoom(by_name)).best()
--- a/stileloft/coordination/rounds.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -7,16 +7,21 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping.model import ENDED, PLANNED, Chunk, Job, Machine, Placement, TaskKey
-from stileloft.coordination import gangs, placement
-from stileloft.coordination.placement import Decision
-from stileloft.coordination.preemption import Eviction
-from stileloft.coordination.scaling import Demand, Plan, Planner
-from stileloft.coordination.snapshot import EPSILON, Nomination, Usage, within_limit, zone_allowed
+from stileloft.model.chunks import Chunk
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement, PlacementState, TaskKey
 from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling import gangs, placement
+from stileloft.scheduling.autoscaling import Autoscaler, ScalingDemand, ScalingPlan
+from stileloft.scheduling.placement import Decision
+from stileloft.scheduling.preemption import Preemption
+from stileloft.scheduling.snapshot import EPSILON, Nomination, Usage, within_limit, zone_allowed
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -30,15 +35,15 @@
 PLAN_S = 2.0
 # What one round places, as a multiple of the changes in a transaction.
 PLACED_TXNS = 2
-MAX_EVICTIONS = 8
+MAX_PREEMPTIONS = 8
 # A nomination is given up after this many report intervals beyond its victims' time to save.
-NOMINATION_REPORTS = 3.0
+NOMINATION_HEARTBEATS = 3.0
 
 
-class Rounds:
+class SchedulingLoop:
     """Runs the leader's rounds, one at a time."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._cluster = term.cluster
         self.last_decision: dict[str, Any] = {}
@@ -56,7 +61,7 @@
 
     def request(self) -> None:
         """Asks for a round of decisions."""
-        if not self._term.alive or not self._term.loaded:
+        if not self._term.alive or not self._term.store_loaded:
             return
         if self._round_running:
             self._round_again = True
@@ -71,7 +76,7 @@
         return self._round_at + max(ROUND_GAP_S, (1.0 + PAUSE_ROUNDS) * self._took_s)
 
     def _start_round(self) -> None:
-        if not self._term.confirmed() or not self._term.types:
+        if not self._term.holds_lease() or not self._term.types:
             return
         self._round_running = True
         self._round_again = False
@@ -90,45 +95,45 @@
         if self._round_again:
             self.request()
 
-    def _decide(self, scale: bool) -> tuple[Decision, Plan | None]:
+    def _decide(self, scale: bool) -> tuple[Decision, ScalingPlan | None]:
         """Runs in its own thread; works on a copy."""
         term = self._term
         with term.lock:
             snapshot = term.snapshots.build()
-            refused = term.fleet.refused_now()
-            distrusted = term.fleet.distrusted_now()
+            refused = term.fleet.offers_without_capacity()
+            unreliable = term.fleet.unreliable_offers()
             headroom = term.headroom(gang=False)
             active = term.workload.any_active()
         max_placed = PLACED_TXNS * term.settings.state.txn_ops  # many of them share a change
-        decision = placement.decide(snapshot, max_placed, MAX_EVICTIONS)
+        decision = placement.decide(snapshot, max_placed, MAX_PREEMPTIONS)
         plan = None
         if scale:
-            demand = Demand(decision.unmet, headroom, active, refused, distrusted)
-            plan = Planner(snapshot, demand, term.node.operator_settings).plan()
+            demand = ScalingDemand(decision.unmet, headroom, active, refused, unreliable)
+            plan = Autoscaler(snapshot, demand, term.node.operator_settings).plan()
         return decision, plan
 
-    def _apply(self, outcome: tuple[Decision, Plan | None]) -> None:
+    def _apply(self, outcome: tuple[Decision, ScalingPlan | None]) -> None:
         """Carries out what was decided, as far as it still holds."""
         decision, plan = outcome
         term = self._term
-        if not term.confirmed():
+        if not term.holds_lease():
             return
         with term.lock:
             usage = self._cluster.usage(term.teams)
-            stray_tasks = self._cluster.stray_tasks()
+            orphaned_task_names = self._cluster.orphaned_task_names()
             for key, machine_id in decision.placed:
-                self._place(key, machine_id, usage, stray_tasks, key[0] in decision.first)
+                self._place(key, machine_id, usage, orphaned_task_names, key[0] in decision.promoted)
             for job_id in dict.fromkeys(key[0] for key, _ in decision.placed):
                 self._check_gang(job_id)
-            for key, eviction in decision.evictions:
-                self._evict(key, eviction)
+            for key, preemption in decision.preemptions:
+                self._evict(key, preemption)
             if plan is not None:
                 term.fleet.apply(plan)
         self._record(decision)
         if plan is not None and log.isEnabledFor(logging.DEBUG):
             self._log_picture()
         if self._cluster.dirty:
-            term.ledger.flush()
+            term.commit_queue.flush()
 
     def _record(self, decision: Decision) -> None:
         """Keeps what was decided for the administration API."""
@@ -137,10 +142,10 @@
             "evictions": [
                 {
                     "for": f"{key[0]}/{key[1]}",
-                    "machine": eviction.machine,
-                    "victims": [f"{victim.key[0]}/{victim.key[1]}" for victim in eviction.victims],
+                    "machine": preemption.machine,
+                    "victims": [f"{victim.key[0]}/{victim.key[1]}" for victim in preemption.victims],
                 }
-                for key, eviction in decision.evictions
+                for key, preemption in decision.preemptions
             ],
             "unmet": {job.spec.id: count for job, count in decision.unmet[:50]},
         }
@@ -157,45 +162,50 @@
         cpus, gpus, memory_gb = spec.cpus, spec.gpus or 0.0, spec.memory_gb
         for placed in machine.placements.values():
             job = self._cluster.jobs.get(placed.job)
-            if job is not None and placed.state != ENDED:
+            if job is not None and placed.state != PlacementState.ENDED:
                 cpus += job.spec.cpus
                 gpus += job.spec.gpus or 0.0
                 memory_gb += job.spec.memory_gb
-        for stray in machine.strays.values():
+        for stray in machine.orphaned_tasks.values():
             cpus += stray.cpus
             gpus += stray.gpus
             memory_gb += stray.memory_gb
         return cpus <= kind.cpus + EPSILON and gpus <= kind.gpus + EPSILON and memory_gb <= kind.memory_gb + EPSILON
 
     def _place(
-        self, key: TaskKey, machine_id: str, usage: dict[str, Usage], stray_tasks: set[str], shielded: bool
+        self,
+        key: TaskKey,
+        machine_id: str,
+        usage: dict[str, Usage],
+        orphaned_task_names: set[str],
+        preemption_exempt: bool,
     ) -> None:
         """Plans a task on a machine, if nothing has changed meanwhile that forbids it."""
         job = self._cluster.jobs.get(key[0])
         machine = self._cluster.machines.get(machine_id)
-        if job is None or machine is None or not self._is_free(job, key[1], stray_tasks):
+        if job is None or machine is None or not self._is_free(job, key[1], orphaned_task_names):
             return
         used = usage.setdefault(job.spec.team, Usage())
         if not self._may_take(job, machine, used):
             return
         used.add(job.spec.cpus, job.spec.gpus or 0.0)
-        self._bind(job, key[1], machine, shielded)
+        self._bind(job, key[1], machine, preemption_exempt)
 
     @staticmethod
-    def _is_free(job: Job, index: int, stray_tasks: set[str]) -> bool:
+    def _is_free(job: Job, index: int, orphaned_task_names: set[str]) -> bool:
         """Whether the task has still to run, and is nowhere now."""
-        if job.over or job.reload or f"{job.id}/{index}" in stray_tasks:
+        if job.end_phase or job.reload_pending or f"{job.id}/{index}" in orphaned_task_names:
             return False
-        if index // job.size in job.done_chunks:
+        if index // job.chunk_size in job.finished_chunks:
             return False
-        chunk = job.chunks.get(index // job.size)
+        chunk = job.chunks.get(index // job.chunk_size)
         return chunk is None or (index not in chunk.done and index not in chunk.placements)
 
     def _may_take(self, job: Job, machine: Machine, used: Usage) -> bool:
         """Whether the machine, the job's zones and the team's limit allow one more task."""
         spec = job.spec
         kind = self._term.types.get(machine.type)
-        if kind is None or machine.draining or machine.releasing or not machine.trusted:
+        if kind is None or machine.drain_reason or machine.releasing or not machine.has_current_token:
             return False
         if not within_limit(spec, self._term.teams.get(spec.team), used):
             return False
@@ -203,19 +213,26 @@
             return False
         return self._has_room(machine, kind, spec)
 
-    def _bind(self, job: Job, index: int, machine: Machine, shielded: bool) -> None:
+    def _bind(self, job: Job, index: int, machine: Machine, preemption_exempt: bool) -> None:
         spec = job.spec
-        chunk = job.chunks.setdefault(index // job.size, Chunk())
+        chunk = job.chunks.setdefault(index // job.chunk_size, Chunk())
         chunk.attempt = gangs.next_attempt(job) if spec.is_gang else chunk.attempt + 1
         chunk.dirty = True
         planned = Placement(
-            job.id, index, chunk.attempt, machine.id, machine.zone, machine.spot, PLANNED, shielded=shielded
+            job.id,
+            index,
+            chunk.attempt,
+            machine.id,
+            machine.zone,
+            machine.spot,
+            PlacementState.PLANNED,
+            preemption_exempt=preemption_exempt,
         )
-        planned.placed_here = True
+        planned.placed_by_this_leader = True
         job.add(planned)
         job.last_placed_at = self._term.clock.seconds()
         machine.placements[planned.key] = planned
-        machine.idle_since = machine.view = None
+        machine.idle_since = machine.scheduling_view = None
         self._cluster.nominations.pop(planned.key, None)
         self._cluster.mark_dirty(job)
         log.info(
@@ -223,7 +240,7 @@
             planned.task,
             planned.attempt,
             machine.id,
-            self._term.wall() - job.submitted,
+            self._term.wall_clock() - job.submitted,
             "there" if spec.image in machine.images else "to fetch",
         )
 
@@ -232,29 +249,29 @@
         job = self._cluster.jobs.get(job_id)
         if job is not None and job.spec.is_gang and gangs.stage(job) is gangs.Stage.BROKEN:
             for placed in list(job.placements()):
-                if placed.state == PLANNED:
+                if placed.state == PlacementState.PLANNED:
                     self._term.tasks.end(placed, "its gang is not complete")
 
-    def _evict(self, key: TaskKey, eviction: Eviction) -> None:
+    def _evict(self, key: TaskKey, preemption: Preemption) -> None:
         job = self._cluster.jobs.get(key[0])
-        machine = self._cluster.machines.get(eviction.machine)
-        if job is None or machine is None or job.over or machine.draining:
+        machine = self._cluster.machines.get(preemption.machine)
+        if job is None or machine is None or job.end_phase or machine.drain_reason:
             return
         now = self._term.clock.seconds()
         longest = 0.0
-        for victim in eviction.victims:
+        for victim in preemption.victims:
             placed = machine.placements.get(victim.key)
-            if placed is None or placed.stop_grace is not None:
+            if placed is None or placed.stop_grace_s is not None:
                 continue  # a gang is stopped with the first of its tasks
             log.info("task %s on %s is stopped to make room for %s/%d", placed.task, machine.id, key[0], key[1])
             self._term.tasks.stop(placed)
             stopped = self._cluster.jobs.get(placed.job)
             if stopped is not None:
-                stopped.stopped_for_others += victim.together
-            longest = max(longest, placed.stop_grace or 0.0)
+                stopped.preemption_count += victim.group_size
+            longest = max(longest, placed.stop_grace_s or 0.0)
         for other in [
             k for k, n in self._cluster.nominations.items() if n.machine == machine.id and n.rank < job.spec.rank
         ]:
             del self._cluster.nominations[other]
-        until = now + longest + NOMINATION_REPORTS * self._term.settings.workers.report_s
+        until = now + longest + NOMINATION_HEARTBEATS * self._term.settings.workers.heartbeat_s
         self._cluster.nominations[key] = Nomination(key, machine.id, job.spec.rank, job.spec, until)
--- a/stileloft/coordination/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -3,20 +3,20 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from stileloft.bookkeeping.model import TaskKey
+from stileloft.model.placements import TaskKey
 from stileloft.protocol.messages import PRIORITIES, JobSpec, MachineType
 from stileloft.settings import Team
 
 EPSILON = 1e-6
 # The rank of what more pressing work may not stop.
-SHIELDED = max(PRIORITIES.values()) + 1
+PREEMPTION_EXEMPT_RANK = max(PRIORITIES.values()) + 1
 
 Room = tuple[float, float, float]
 """Processors, accelerators, memory."""
 
 
 @dataclass(slots=True, eq=False)
-class Running:
+class RunningTask:
     """A task that takes room on a machine. Never changed: rounds share it."""
 
     key: TaskKey
@@ -28,18 +28,18 @@
     memory_gb: float
     unsaved_s: float = 0.0
     remaining_s: float = 0.0
-    leaving: bool = False
+    stopping: bool = False
     """It is already being stopped."""
-    safe: bool = True
+    budget_safe: bool = True
     """Stopping it does not yet break its job's budget."""
-    together: int = 1
+    group_size: int = 1
     """How many tasks go with it, itself included: all of its gang."""
-    fresh: bool = False
+    recently_started: bool = False
     """Stopped now it would not count as started, and its class is to start soon."""
 
 
 @dataclass(slots=True, eq=False)
-class Node:
+class MachineView:
     """A machine as the decisions see it.
 
     Machines that did not change are the same object in many snapshots; a round that
@@ -52,7 +52,7 @@
     spot: bool
     ready: bool
     up: bool
-    tasks: list[Running] = field(default_factory=list)
+    tasks: list[RunningTask] = field(default_factory=list)
     images: frozenset[str] = frozenset()
     fetching: frozenset[str] = frozenset()
     """Images that tasks on it wait for."""
@@ -61,7 +61,7 @@
     memory_gb: float = 0.0
     idle_s: float = 0.0
     _spare: dict[int, Room] = field(default_factory=dict)
-    _by_end: list[Running] | None = None
+    _by_end: list[RunningTask] | None = None
 
     def settle(self) -> None:
         """Computes what is free from the machine's size and its tasks."""
@@ -74,8 +74,8 @@
         self._spare = {}
         self._by_end = None
 
-    def copy(self) -> "Node":
-        return Node(
+    def copy(self) -> "MachineView":
+        return MachineView(
             self.id,
             self.type,
             self.zone,
@@ -91,24 +91,24 @@
             self.idle_s,
         )
 
-    def take(self, task: Running) -> None:
+    def take(self, task: RunningTask) -> None:
         self.tasks.append(task)
         self.cpus -= task.cpus
         self.gpus -= task.gpus
         self.memory_gb -= task.memory_gb
         self._forget()
 
-    def give(self, task: Running) -> None:
+    def give(self, task: RunningTask) -> None:
         self.tasks.remove(task)
         self.cpus += task.cpus
         self.gpus += task.gpus
         self.memory_gb += task.memory_gb
         self._forget()
 
-    def leave(self, victims: Iterable[Running]) -> None:
+    def leave(self, victims: Iterable[RunningTask]) -> None:
         """Marks tasks as being stopped; their room is still taken."""
         gone = {id(task) for task in victims}
-        self.tasks = [replace(task, leaving=True) if id(task) in gone else task for task in self.tasks]
+        self.tasks = [replace(task, stopping=True) if id(task) in gone else task for task in self.tasks]
         self._forget()
 
     def has_room(self, cpus: float, gpus: float, memory_gb: float) -> bool:
@@ -118,7 +118,7 @@
         """What is free once all that leaves, and all tasks of a lower rank, are gone: no trial makes more."""
         found = self._spare.get(rank)
         if found is None:
-            going = [task for task in self.tasks if task.leaving or task.rank < rank]
+            going = [task for task in self.tasks if task.stopping or task.rank < rank]
             found = (
                 self.cpus + sum(task.cpus for task in going),
                 self.gpus + sum(task.gpus for task in going),
@@ -127,7 +127,7 @@
             self._spare[rank] = found
         return found
 
-    def by_end(self) -> list[Running]:
+    def by_end(self) -> list[RunningTask]:
         """Its tasks, those that end first first."""
         if self._by_end is None:
             self._by_end = sorted(self.tasks, key=lambda task: task.remaining_s)
@@ -135,7 +135,7 @@
 
 
 @dataclass(slots=True)
-class Hold:
+class Reservation:
     """Room kept for a task that waits, so that smaller ones don't starve it."""
 
     until_s: float
@@ -160,7 +160,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingJob:
     """A job with tasks that wait for a machine."""
 
     spec: JobSpec
@@ -172,25 +172,25 @@
     zones: dict[str, int]
     """Tasks that are placed, by zone."""
     estimate_s: float
-    goal_s: float | None = None
+    start_objective_s: float | None = None
     """How soon its class is to start, by the objectives."""
     avoid: frozenset[str] = frozenset()
     """Machines on which the job failed."""
     aged: bool = False
     """It has waited for long."""
-    first: bool = False
+    promoted: bool = False
     """It goes before more pressing work in this round, which does not stop what it begins."""
-    begun: bool = True
+    started: bool = True
     """One of its tasks was placed already."""
-    overdue: bool = False
+    starving: bool = False
     """Nothing of it was placed for so long that it may use room kept for what is only expected."""
 
-    def split(self, most: int) -> "Waiting":
+    def split(self, most: int) -> "PendingJob":
         """Keeps its first tasks, so many, and returns the others as a job that does not go first.
 
         What is placed of either counts for both, by zone.
         """
-        others = replace(self, count=self.count - most, tasks=self.tasks[most:], first=False)
+        others = replace(self, count=self.count - most, tasks=self.tasks[most:], promoted=False)
         self.count, self.tasks = most, self.tasks[:most]
         return others
 
@@ -223,15 +223,15 @@
 class Snapshot:
     now: float
     """Time of day, for deadlines."""
-    nodes: dict[str, Node]
-    waiting: list[Waiting]
+    nodes: dict[str, MachineView]
+    waiting: list[PendingJob]
     teams: dict[str, Team]
     usage: dict[str, Usage]
     nominations: dict[TaskKey, Nomination]
     types: dict[str, MachineType]
     expected: list[tuple[JobSpec, int]] = field(default_factory=list)
     """Tasks of gangs for which room is to be kept before they come."""
-    holds: dict[str, Hold] = field(default_factory=dict)
+    reservations: dict[str, Reservation] = field(default_factory=dict)
     """Room held in this round, by machine."""
     owned: set[str] = field(default_factory=set)
     """Machines that this round has a copy of."""
@@ -243,7 +243,7 @@
             self._cpus = sum(node.type.cpus for node in self.nodes.values())
         return self._cpus
 
-    def own(self, machine: str) -> Node:
+    def own(self, machine: str) -> MachineView:
         """The machine's copy that may be changed."""
         node = self.nodes[machine]
         if machine not in self.owned:
@@ -252,7 +252,7 @@
         return node
 
 
-def allowed(spec: JobSpec, node: Node) -> bool:
+def allowed(spec: JobSpec, node: MachineView) -> bool:
     """Type, zone and kind of machine, which no wait will change."""
     return (
         (spec.types is None or node.type.name in spec.types)
--- a/stileloft/coordination/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -3,12 +3,16 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping.model import ENDED, Job, Machine, fits_type
-from stileloft.coordination.snapshot import SHIELDED, Node, Running, Snapshot, Waiting
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine, fits_type
+from stileloft.model.placements import PlacementState
 from stileloft.protocol.messages import MachineType
+from stileloft.scheduling.snapshot import PREEMPTION_EXEMPT_RANK, MachineView, PendingJob, RunningTask, Snapshot
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 # A machine's copy for the decisions is kept for so long: its tasks' remaining times may be this old.
 VIEW_S = 1.0
@@ -31,7 +35,7 @@
 class SnapshotBuilder:
     """Copies the leader's picture, under the lock, for the thread that decides."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._cluster = term.cluster
         self._workload = term.workload
@@ -43,7 +47,7 @@
         types = dict(term.types)
         nodes = self._nodes(types, now)
         return Snapshot(
-            now=term.wall(),
+            now=term.wall_clock(),
             nodes=nodes,
             waiting=self._waiting(nodes.values(), now),
             teams=term.teams,
@@ -53,52 +57,52 @@
             expected=term.headroom(gang=True),
         )
 
-    def _nodes(self, types: dict[str, MachineType], now: float) -> dict[str, Node]:
+    def _nodes(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
         """Copies of all machines, those included that are being rented."""
-        nodes: dict[str, Node] = {}
+        nodes: dict[str, MachineView] = {}
         for machine in self._cluster.machines.values():
             kind = types.get(machine.type)
             if kind is not None:
                 nodes[machine.id] = self._view(machine, kind, now)
-        for request, (offer, count) in self._term.fleet.renting.items():
+        for request, (offer, count) in self._term.fleet.provisioning.items():
             for number in range(count):
-                node = Node(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
+                node = MachineView(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
                 node.settle()
                 nodes[node.id] = node
         return nodes
 
-    def _waiting(self, nodes: Iterable[Node], now: float) -> list[Waiting]:
+    def _waiting(self, nodes: Iterable[MachineView], now: float) -> list[PendingJob]:
         """The jobs with tasks that may be placed now."""
-        stray_tasks = self._cluster.stray_tasks()
+        orphaned_task_names = self._cluster.orphaned_task_names()
         aged_s = self._aged_after(nodes)
         avoided: dict[str, set[str]] = {}
-        for (job_id, machine_id), until in self._cluster.avoided.items():
+        for (job_id, machine_id), until in self._cluster.placement_backoff.items():
             if until > now:
                 avoided.setdefault(job_id, set()).add(machine_id)
         found = []
         for job in self._cluster.jobs.values():
-            if job.waiting <= 0 or job.not_before > now or job.reload:
+            if job.waiting <= 0 or job.backoff_until > now or job.reload_pending:
                 continue
             if job.spec.is_gang and job.placed:
                 continue  # the rest of it is ending: it comes again as a whole
             tasks = job.free_tasks(self._most_offered(job))
             if not tasks:
                 continue
-            if stray_tasks:
-                tasks = [i for i in tasks if f"{job.id}/{i}" not in stray_tasks]
+            if orphaned_task_names:
+                tasks = [i for i in tasks if f"{job.id}/{i}" not in orphaned_task_names]
             found.append(
-                Waiting(
+                PendingJob(
                     job.spec,
                     job.submitted,
                     job.waiting,
                     tasks,
                     dict(job.zones),
                     self._workload.estimate(job.spec),
-                    self._workload.wait_goals.get(job.spec.job_class),
+                    self._workload.start_objectives.get(job.spec.job_class),
                     frozenset(avoided.get(job.id, ())),
                     self._aged(job, aged_s),
-                    begun=job.begun,
-                    overdue=now - max(job.last_placed_at, job.known_since) > OVERDUE_PART * BEGIN_S,
+                    started=job.started,
+                    starving=now - max(job.last_placed_at, job.accepted_at) > OVERDUE_PART * BEGIN_S,
                 )
             )
         return found
@@ -108,38 +112,38 @@
         """How many of a job's tasks a round may place: a gang whole, and what keeps failing one at a time."""
         if job.spec.is_gang:
             return job.waiting
-        if len(job.errors) > 1:
+        if len(job.failed_machines) > 1:
             # It fails on several machines, as one that was submitted with a mistake does.
             return 0 if job.placed else 1
-        return 1 if job.errors else TASKS_OFFERED
+        return 1 if job.failed_machines else TASKS_OFFERED
 
-    def _view(self, machine: Machine, kind: MachineType, now: float) -> Node:
+    def _view(self, machine: Machine, kind: MachineType, now: float) -> MachineView:
         """The machine's copy for the decisions; made anew when it has changed, or its times have become old."""
-        view: Node | None = machine.view
-        if view is None or now - machine.view_at > VIEW_S or view.type is not kind:
+        view: MachineView | None = machine.scheduling_view
+        if view is None or now - machine.scheduling_view_at > VIEW_S or view.type is not kind:
             view = self._node(machine, kind, now)
-            machine.view, machine.view_at = view, now
+            machine.scheduling_view, machine.scheduling_view_at = view, now
         elif view.ready != self.is_ready(machine, now):
             view = view.copy()
             view.ready = not view.ready
-            machine.view = view
+            machine.scheduling_view = view
         return view
 
     def is_ready(self, machine: Machine, now: float) -> bool:
         """Whether something may be placed there: it is heard, and it hears us."""
-        if machine.draining is not None or machine.releasing:
+        if machine.drain_reason is not None or machine.releasing:
             return False
         if machine.up_since is None:
-            return not machine.late
+            return not machine.boot_overdue
         return (
-            machine.trusted
-            and now - machine.came_at <= self._term.fleet.quiet_s
+            machine.has_current_token
+            and now - machine.last_pushed_heartbeat_at <= self._term.fleet.heartbeat_overdue_s
             and machine.send_failures < 2
-            and self._term.dispatch.reaches(machine, now)
+            and self._term.dispatcher.reaches(machine, now)
         )
 
-    def _node(self, machine: Machine, kind: MachineType, now: float) -> Node:
-        copy = Node(
+    def _node(self, machine: Machine, kind: MachineType, now: float) -> MachineView:
+        copy = MachineView(
             machine.id,
             kind,
             machine.zone,
@@ -151,7 +155,7 @@
         fetching = set()
         for placement in machine.placements.values():
             job = self._cluster.jobs.get(placement.job)
-            if job is None or placement.state == ENDED:
+            if job is None or placement.state == PlacementState.ENDED:
                 continue  # what has ended takes no room, even if the store does not say so yet
             spec = job.spec
             if spec.image not in machine.images:
@@ -159,25 +163,34 @@
             age = now - placement.running_since if placement.running_since is not None else 0.0
             unsaved = age % spec.checkpoint_s if spec.checkpoint_s else age
             copy.tasks.append(
-                Running(
+                RunningTask(
                     placement.key,
                     spec,
                     spec.team,
-                    SHIELDED if placement.shielded else spec.rank,
+                    PREEMPTION_EXEMPT_RANK if placement.preemption_exempt else spec.rank,
                     spec.cpus,
                     spec.gpus or 0.0,
                     spec.memory_gb,
                     unsaved,
                     self._term.tasks.remaining(job, placement, now),
-                    leaving=placement.stop_grace is not None,
-                    safe=not spec.is_service and job.stopped_for_others < spec.tasks,
-                    together=spec.tasks if spec.is_gang else 1,
-                    fresh=spec.job_class in self._workload.wait_goals and age < STARTED_S,
+                    stopping=placement.stop_grace_s is not None,
+                    budget_safe=not spec.is_service and job.preemption_count < spec.tasks,
+                    group_size=spec.tasks if spec.is_gang else 1,
+                    recently_started=spec.job_class in self._workload.start_objectives and age < STARTED_S,
                 )
             )
-        for task, stray in machine.strays.items():
+        for task, stray in machine.orphaned_tasks.items():
             copy.tasks.append(
-                Running((task, -1), None, stray.team, SHIELDED, stray.cpus, stray.gpus, stray.memory_gb, leaving=True)
+                RunningTask(
+                    (task, -1),
+                    None,
+                    stray.team,
+                    PREEMPTION_EXEMPT_RANK,
+                    stray.cpus,
+                    stray.gpus,
+                    stray.memory_gb,
+                    stopping=True,
+                )
             )
         copy.idle_s = now - machine.idle_since if machine.idle_since is not None else 0.0
         copy.fetching = frozenset(fetching)
@@ -185,9 +198,9 @@
         return copy
 
     def _aged(self, job: Job, after_s: float) -> bool:
-        return self._term.wall() - job.submitted > after_s
+        return self._term.wall_clock() - job.submitted > after_s
 
-    def _aged_after(self, nodes: Iterable[Node]) -> float:
+    def _aged_after(self, nodes: Iterable[MachineView]) -> float:
         """How long a job waits before its age counts: less while a crowd is to begin on few machines."""
         room: dict[str, float] = {}
         for node in nodes:
@@ -195,7 +208,7 @@
                 room[node.type.name] = room.get(node.type.name, 0.0) + node.type.cpus
         first_s = 0.0
         for job in self._cluster.jobs.values():
-            if not job.begun and not job.over and job.waiting:
+            if not job.started and not job.end_phase and job.waiting:
                 spec = job.spec
                 fitting = sum(cpus for name, cpus in room.items() if fits_type(spec, self._term.types[name]))
                 first_s += self._workload.estimate(spec) * spec.cpus / max(fitting, spec.cpus, 1.0)
--- a/stileloft/coordination/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from stileloft.bookkeeping.model import fits_type
-from stileloft.coordination import gangs
+from stileloft.model.machines import fits_type
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling import gangs
 from stileloft.settings import Objective
 
 # Weight of the newest observation in a moving mean.
@@ -47,15 +47,15 @@
     def __init__(
         self,
         objectives: Iterable[Objective],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         types: Callable[[], dict[str, MachineType]],
     ) -> None:
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._types = types
         self._ratios: dict[str, float] = {}
         self.classes: dict[str, ClassLoad] = {}
-        self.wait_goals = self._goals(objectives, "wait")
-        self.finish_goals = self._goals(objectives, "finished")
+        self.start_objectives = self._goals(objectives, "wait")
+        self.completion_objectives = self._goals(objectives, "finished")
 
     def any_active(self) -> bool:
         """Whether jobs of some class are still coming."""
@@ -95,7 +95,7 @@
             spec = load.spec
             if self._has_ended(load) or spec.is_gang is not gang:
                 continue
-            if name in self.wait_goals:
+            if name in self.start_objectives:
                 factor = settings.headroom_wait
             else:
                 factor = settings.headroom if self._allowance(spec) < 0 else 0.0
@@ -129,7 +129,7 @@
                 image_gb=0.0,
                 estimate_s=0.0,
             )
-            for name in self.wait_goals
+            for name in self.start_objectives
             if name not in self.classes
         ]
 
@@ -140,7 +140,7 @@
 
     def _has_ended(self, load: ClassLoad) -> bool:
         """Whether the class has sent nothing for so long that it is taken to have ended."""
-        return self._wall() - load.last > QUIET_ARRIVALS * max(load.gap_s, load.spec.estimate_s)
+        return self._wall_clock() - load.last > QUIET_ARRIVALS * max(load.gap_s, load.spec.estimate_s)
 
     def _allowance(self, spec: JobSpec) -> float:
         """How long a new job of this kind may wait for a machine to be rented, at the least."""
@@ -148,7 +148,9 @@
         if not kinds:
             return 0.0
         ready_s = min(kind.boot_s + spec.image_gb / max(kind.fetch_gb_per_s, 1e-3) for kind in kinds)
-        limits = [limit for limit in (spec.deadline_s, self.finish_goals.get(spec.job_class)) if limit is not None]
+        limits = [
+            limit for limit in (spec.deadline_s, self.completion_objectives.get(spec.job_class)) if limit is not None
+        ]
         if not limits:
             return ready_s
         return min(limits) - self.estimate(spec) - ready_s
--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -4,7 +4,7 @@
 from typing import Annotated
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 Positive = Annotated[float, Meta(gt=0)]
 NonNegative = Annotated[float, Meta(ge=0)]
@@ -44,7 +44,7 @@
 
 
 class Workers(Struct, frozen=True):
-    report_s: Positive
+    heartbeat_s: Positive = field(name="report_s")
     lease_s: Positive
     cancel_s: Positive
     gang_wait_s: Positive = 45.0
