--- a/stileloft/coordination/ledger.py
+++ b/stileloft/store/commit_queue.py
@@ -9,13 +9,16 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import BOUND, ENDED, PLANNED, Job
-from stileloft.coordination.entries import COUNTS_S, LATE_S, Entry, EntryBuilder
+from stileloft.model import records
+from stileloft.model.jobs import Job
+from stileloft.model.placements import PlacementState
 from stileloft.protocol.state import ConflictError, Item, TooLargeError, UnavailableError, UnknownOutcomeError
+from stileloft.store.job_transaction import COUNTS_S, LATE_S, JobTransaction, JobTransactionBuilder
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -40,11 +43,11 @@
 GATHER_S = 1.2
 
 
-class Batch:
+class TransactionBatch:
     """Entries that share a transaction."""
 
     def __init__(self, most_changes: int) -> None:
-        self.entries: list[Entry] = []
+        self.entries: list[JobTransaction] = []
         self.most_changes = most_changes
         self.changes = 0
         self._bytes = 0
@@ -54,7 +57,7 @@
         """Whether no further job is worth looking at."""
         return self.changes >= max(1, self.most_changes - JOB_END_CHANGES + 1)
 
-    def add(self, entry: Entry) -> bool:
+    def add(self, entry: JobTransaction) -> bool:
         """Adds an entry, unless the transaction would become too large."""
         size = records.most_compact_bytes([entry.puts, entry.guards])
         guards = self._guards + len(entry.guards)
@@ -71,13 +74,13 @@
         return True
 
 
-class Ledger:
+class CommitQueue:
     """Writes what is dirty, within the leader's part of the store's limits."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self.term = term
         self.in_flight = 0
-        self._builder = EntryBuilder(term)
+        self._builder = JobTransactionBuilder(term)
         self._timer: Any = None
         self.commits = 0
         self._refused_until = 0.0
@@ -87,12 +90,12 @@
     def flush(self) -> None:
         """Commits what is dirty, as far as the write budget and the limits allow."""
         term = self.term
-        if not term.alive or not term.confirmed():
+        if not term.alive or not term.holds_lease():
             return
         now = term.clock.seconds()
         if now < self._refused_until:
             # Reports ask for a flush many times a second: in an outage each would be a request in vain.
-            self.later(self._refused_until - now)
+            self.flush_within(self._refused_until - now)
             return
         if self.in_flight >= IN_FLIGHT or not self._budget_allows():
             return  # seen first: under a burst hundreds of jobs would be put in order with each report
@@ -108,46 +111,48 @@
         """The dirty jobs that can be written now, what something waits for first."""
         due = []
         for job in self.term.cluster.dirty_jobs():
-            if not job.dirty and now < job.looked_at + LOOK_S:
-                self.later(job.looked_at + LOOK_S - now)  # only its counts may have changed
-            elif job.gathering_since is not None and not job.pressing and now < job.gathering_since + GATHER_S:
-                self.later(job.gathering_since + GATHER_S - now)
-            elif self._is_paced(job) and now < job.committed_at + GATHER_S:
-                self.later(job.committed_at + GATHER_S - now)
-            elif not job.busy:
+            if not job.dirty and now < job.write_checked_at + LOOK_S:
+                self.flush_within(job.write_checked_at + LOOK_S - now)  # only its counts may have changed
+            elif job.coalescing_since is not None and not job.urgent and now < job.coalescing_since + GATHER_S:
+                self.flush_within(job.coalescing_since + GATHER_S - now)
+            elif self._is_paced(job) and now < job.commit_began_at + GATHER_S:
+                self.flush_within(job.commit_began_at + GATHER_S - now)
+            elif not job.commit_in_flight:
                 due.append(job)
         # Under a burst the budget does not suffice for all. First what something waits for: placements, and
         # ends; completions and counts only until users would see them too late. Then each job in its turn: by their
         # age, an array of tens of thousands of tasks used up the budget, and small jobs waited until it was done.
-        due.sort(key=lambda job: (not self._waited_for(job, now), -job.spec.rank, job.write_turn))
+        due.sort(key=lambda job: (not self._waited_for(job, now), -job.spec.rank, job.write_order))
         return due
 
     def _is_paced(self, job: Job) -> bool:
         """Whether a job of many chunks is to gather its changes, as the budget is short."""
-        writes = self.term.writes
-        return job.chunk_count() > 1 and not job.over and writes.level() < SHORT_PART * writes.per_s
+        write_budget = self.term.write_budget
+        return (
+            job.chunk_count() > 1 and not job.end_phase and write_budget.level() < SHORT_PART * write_budget.rate_per_s
+        )
 
     def _most_changes(self) -> int:
-        return min(self.term.limits.ops, int(self.term.writes.per_s))
+        return min(self.term.limits.ops, int(self.term.write_budget.rate_per_s))
 
     def _budget_allows(self) -> bool:
         """Whether a transaction may begin; seen before entries are made, which would be made in vain."""
-        writes = self.term.writes
-        least, level = self._most_changes() // LEAST_PART, writes.level()
+        write_budget = self.term.write_budget
+        least, level = self._most_changes() // LEAST_PART, write_budget.level()
         if level < least:
-            self.later((least - level) / writes.per_s)
+            self.flush_within((least - level) / write_budget.rate_per_s)
         return level >= least
 
-    def _gather(self, waiting: list[Job], now: float) -> tuple[Batch, list[Job]]:
+    def _gather(self, waiting: list[Job], now: float) -> tuple[TransactionBatch, list[Job]]:
         """As many of the jobs as fit into a transaction, and those that are left."""
         most = self._most_changes()
-        batch = Batch(max(min(JOB_END_CHANGES, most), min(most, int(self.term.writes.level()))))
+        batch = TransactionBatch(max(min(JOB_END_CHANGES, most), min(most, int(self.term.write_budget.level()))))
         rest: list[Job] = []
         for job in waiting:
             if batch.is_full():
                 rest.append(job)
                 continue
-            job.looked_at = now
+            job.write_checked_at = now
             entry = self._builder.build(job, batch.most_changes - batch.changes)
             if entry is None:
                 self._nothing_to_write(job)
@@ -161,19 +166,19 @@
             self.term.cluster.dirty.pop(job.id, None)
             self._counts_later(job)
 
-    def _pay(self, batch: Batch) -> bool:
+    def _pay(self, batch: TransactionBatch) -> bool:
         """Takes a transaction's changes from the budget."""
-        writes = self.term.writes
-        if batch.changes and not writes.take(min(batch.changes, writes.per_s)):
-            self.later(min(1.0, batch.changes / writes.per_s))
+        write_budget = self.term.write_budget
+        if batch.changes and not write_budget.try_take(min(batch.changes, write_budget.rate_per_s)):
+            self.flush_within(min(1.0, batch.changes / write_budget.rate_per_s))
             return False
         return True
 
-    def _start(self, batch: Batch) -> None:
+    def _start(self, batch: TransactionBatch) -> None:
         for entry in batch.entries:
-            entry.job.busy = True
-            entry.job.committed_at = self.term.clock.seconds()
-            entry.job.pressing, entry.job.gathering_since = False, None
+            entry.job.commit_in_flight = True
+            entry.job.commit_began_at = self.term.clock.seconds()
+            entry.job.urgent, entry.job.coalescing_since = False, None
             for number in entry.chunks:
                 entry.job.chunks[number].dirty = False
         self.in_flight += 1
@@ -181,16 +186,18 @@
 
     @staticmethod
     def _waited_for(job: Job, now: float) -> bool:
-        return job.pressing or now > job.counts_at + LATE_S
+        return job.urgent or now > job.counts_stored_at + LATE_S
 
-    def gather(self, job: Job, pressing: bool) -> None:
+    def gather(self, job: Job, urgent: bool) -> None:
         """A task of the job is done. Many such share a change, unless it is the last or something else presses."""
-        left = job.spec.tasks - job.done - sum(1 for p in job.placements() if p.state == ENDED and p.done)
-        job.pressing = pressing or left <= 0
-        if job.gathering_since is None:
-            job.gathering_since = self.term.clock.seconds()
+        left = (
+            job.spec.tasks - job.done - sum(1 for p in job.placements() if p.state == PlacementState.ENDED and p.done)
+        )
+        job.urgent = urgent or left <= 0
+        if job.coalescing_since is None:
+            job.coalescing_since = self.term.clock.seconds()
 
-    def later(self, seconds: float) -> None:
+    def flush_within(self, seconds: float) -> None:
         """Has a flush made within so many seconds."""
         if self._timer is not None and self._timer.active():
             # What can wait must not hold back what can't.
@@ -200,11 +207,11 @@
         self._timer = self.term.clock.callLater(seconds, self.flush)
 
     def _counts_later(self, job: Job) -> None:
-        if not job.over and (job.done, job.running()) != job.counts_stored:
+        if not job.end_phase and (job.done, job.running()) != job.stored_counts:
             self.term.cluster.mark_counts(job)
-            self.later(COUNTS_S / 2)
+            self.flush_within(COUNTS_S / 2)
 
-    async def _commit(self, batch: list[Entry]) -> None:
+    async def _commit(self, batch: list[JobTransaction]) -> None:
         term = self.term
         guards = term.leader_guard()
         puts: dict[str, Any] = {}
@@ -226,32 +233,32 @@
         except UnavailableError as error:
             log.info("commit not executed: %s", error)
             self._not_executed(batch)
-            term.writes.give_back(len(puts) + len(deletes))
+            term.write_budget.refund(len(puts) + len(deletes))
         except UnknownOutcomeError as error:
             self.in_flight -= 1
             log.info("commit without an answer: %s", error)
             for entry in batch:
-                entry.job.late_copy = True
-                self.start_reload(entry.job)
+                entry.job.has_unresolved_commit = True
+                self.reload(entry.job)
         else:
-            term.node.integrity.committed(puts, deletes, revision, told=False)
+            term.node.integrity.record_commit(puts, deletes, revision, told=False)
             self._executed(batch, revision)
 
-    def _conflicted(self, batch: list[Entry], conflict: ConflictError) -> None:
+    def _conflicted(self, batch: list[JobTransaction], conflict: ConflictError) -> None:
         """A guard failed: the jobs whose records have changed are read again."""
         self.in_flight -= 1
         if records.LEADER in conflict.failed:
-            self.term.node.election.doubt("the leader key has another version")
+            self.term.node.election.suspect("the leader key has another version")
             return
         log.debug("conflict on %s", conflict)
         for entry in batch:
             if any(key in conflict.failed for key in entry.guards):
-                self.start_reload(entry.job)
+                self.reload(entry.job)
             else:
                 self._again(entry)
         self.flush()
 
-    def _too_large(self, batch: list[Entry], error: TooLargeError, puts: dict[str, Any], changes: int) -> None:
+    def _too_large(self, batch: list[JobTransaction], error: TooLargeError, puts: dict[str, Any], changes: int) -> None:
         """The limits have become lower than was announced. Unchanged it would be refused for ever."""
         limits = self.term.limits
         limits.refused(puts.values(), changes)
@@ -260,15 +267,15 @@
         )
         self._not_executed(batch)
 
-    def _not_executed(self, batch: list[Entry]) -> None:
+    def _not_executed(self, batch: list[JobTransaction]) -> None:
         """Has everything tried again after a pause."""
         self.in_flight -= 1
         for entry in batch:
             self._again(entry)
         self._refused_until = self.term.clock.seconds() + REFUSED_S
-        self.later(REFUSED_S)
+        self.flush_within(REFUSED_S)
 
-    def _executed(self, batch: list[Entry], revision: int) -> None:
+    def _executed(self, batch: list[JobTransaction], revision: int) -> None:
         self.in_flight -= 1
         if not self.term.alive:
             return
@@ -281,38 +288,38 @@
         self.term.after_commit(batch)
         self.flush()
 
-    def _again(self, entry: Entry) -> None:
+    def _again(self, entry: JobTransaction) -> None:
         """Nothing was written: what is in the entry is dirty still."""
-        entry.job.busy = False
+        entry.job.commit_in_flight = False
         for number in entry.chunks:
             entry.job.chunks[number].dirty = True
         self.term.cluster.mark_dirty(entry.job)
 
-    def _committed(self, entry: Entry, revision: int) -> None:
+    def _committed(self, entry: JobTransaction, revision: int) -> None:
         job, term = entry.job, self.term
-        job.busy = False
+        job.commit_in_flight = False
         self._settle_placements(entry)
         self._settle_chunks(entry, revision)
         if entry.final:
             job.done = job.spec.tasks
-            term.tasks.close_job(job, "done")
+            term.tasks.end_job(job, "done")
         elif entry.active:
-            job.size_stored = "n" in entry.puts[records.active_key(job.id)]
+            job.chunk_size_stored = "n" in entry.puts[records.active_key(job.id)]
             job.version = revision
-            job.counts_stored = entry.counts
-            job.counts_at = term.clock.seconds()
-        if job.over and not job.chunks:
+            job.stored_counts = entry.counts
+            job.counts_stored_at = term.clock.seconds()
+        if job.end_phase and not job.chunks:
             term.remove_job(job)
 
-    def _settle_placements(self, entry: Entry) -> None:
+    def _settle_placements(self, entry: JobTransaction) -> None:
         """Planned placements are bound now, and ended ones are gone."""
         job, term = entry.job, self.term
         for placement in entry.bound:
-            if placement.state == PLANNED:
-                placement.state = BOUND
+            if placement.state == PlacementState.PLANNED:
+                placement.state = PlacementState.BOUND
         for placement in entry.ended:
             chunk = job.chunk_of(placement.index)
-            if placement.done and not job.over and placement.index not in chunk.done:
+            if placement.done and not job.end_phase and placement.index not in chunk.done:
                 chunk.done.add(placement.index)
                 job.done += 1
             if chunk.placements.get(placement.index) is placement:
@@ -320,7 +327,7 @@
             term.tasks.placement_cleared(placement)
 
     @staticmethod
-    def _settle_chunks(entry: Entry, revision: int) -> None:
+    def _settle_chunks(entry: JobTransaction, revision: int) -> None:
         """Takes down where the store holds each chunk, and in which version."""
         job = entry.job
         for number in entry.written:
@@ -336,17 +343,17 @@
                 chunk.parts[part] = (version if stored == value else revision, value)
         for number in entry.finished:
             del job.chunks[number]
-            job.done_chunks.add(number)
+            job.finished_chunks.add(number)
         for number in entry.dropped:
             del job.chunks[number]
 
     # -- learning what the store holds ------------------------------------------
 
-    def start_reload(self, job: Job) -> None:
+    def reload(self, job: Job) -> None:
         """Has a job read from the store; until then nothing about it is written."""
-        job.busy = True
-        if not job.reload:
-            job.reload = True
+        job.commit_in_flight = True
+        if not job.reload_pending:
+            job.reload_pending = True
             defer.ensureDeferred(self._reload(job))
 
     async def _reload(self, job: Job) -> None:
@@ -358,7 +365,7 @@
                 break
             except ConflictError as conflict:
                 if records.LEADER in conflict.failed:
-                    term.node.election.doubt("the leader key has another version")
+                    term.node.election.suspect("the leader key has another version")
                     return
                 await term.sleep(REFUSED_S / 3)  # it was cancelled, or what got no answer is executed by now
             except (UnavailableError, UnknownOutcomeError) as error:
@@ -371,7 +378,7 @@
             self._take_in(job, found, phase, chunks)
         log.debug("read %s again: %s", job.id, phase or "active")
         self.flush()
-        term.request_round()
+        term.request_scheduling()
 
     async def _read(self, job: Job) -> tuple[tuple[Any, int] | None, str | None, list[Item]]:
         """The job's record and version, or how it ended; and its chunks."""
@@ -382,11 +389,11 @@
             final = await term.state.get(records.final_key(job.id))
             phase = final[0]["phase"] if final else "cancelled"
         record = None if found is None else found[:2]
-        if record is not None and job.late_copy:
+        if record is not None and job.has_unresolved_commit:
             # What got no answer may be executed seconds later, when its placements would come on top of
             # what was given to others meanwhile. It is guarded on this version of the job's record: written
             # once more, the record bars it for good.
-            while not term.writes.take(1.0):
+            while not term.write_budget.try_take(1.0):
                 await term.sleep(REFUSED_S)
             value, version = record
             record = value, await term.state.commit({**term.leader_guard(), key: version}, {key: value}, [])
@@ -403,20 +410,20 @@
             job.inline_value = None  # whoever removed the record gave its chunk one of its own
         job.load_chunks(chunks)
         job.recount()
-        job.busy = job.reload = job.late_copy = False
+        job.commit_in_flight = job.reload_pending = job.has_unresolved_commit = False
         kept = {id(p) for p in job.placements()}
         for placement in before:
             if id(placement) not in kept:
                 term.tasks.placement_cleared(placement)
         for placement in job.placements():
             term.tasks.attach(placement)
-            if placement.state == ENDED:
+            if placement.state == PlacementState.ENDED:
                 job.chunk_of(placement.index).dirty = True
         if any(chunk.dirty for chunk in job.chunks.values()):
             term.cluster.mark_dirty(job)
         if phase is not None:
-            term.tasks.close_job(job, phase)
+            term.tasks.end_job(job, phase)
             if not job.chunks:
                 term.remove_job(job)
         elif job.spec.is_gang:
-            term.tasks.review_gang(job)
+            term.tasks.reconcile_gang(job)
--- a/stileloft/coordination/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -3,12 +3,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import Job
+from stileloft.model import records
+from stileloft.model.jobs import Job
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +21,7 @@
 class FormatUpgrade:
     """Has the newest format written for good, and brings older records into it."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self._cluster = term.cluster
 
@@ -30,7 +32,7 @@
         replaced yet says nothing of the kind, whatever it was before, so it holds the change back.
         """
         while self._term.alive and self._term.node.format < records.NEWEST_FORMAT:
-            if await self._all_read_it() and self._term.confirmed():
+            if await self._all_read_it() and self._term.holds_lease():
                 await self._store()
             await self._term.sleep(FORMAT_S)
 
@@ -64,15 +66,18 @@
         """Records may be written in the newest format from now on."""
         with self._term.lock:
             for job in self._cluster.jobs.values():
-                job.most_placed = None
-                if not job.over and not job.size_stored:
+                job.max_placed_per_chunk = None
+                if not job.end_phase and not job.chunk_size_stored:
                     self._cluster.dirty[job.id] = None
                 self.split_large_records(job)
-        self._term.request_round()
+        self._term.request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
         """Has records beyond the limit to come written in pieces, before an end or a cancellation needs it."""
         for chunk in job.chunks.values():
-            if not chunk.parts and records.size_of(chunk.record(job.spec, job.size)) > self._term.limits.value_bytes:
+            if (
+                not chunk.parts
+                and records.size_of(chunk.record(job.spec, job.chunk_size)) > self._term.limits.value_bytes
+            ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
--- a/stileloft/coordination/integrity.py
+++ b/stileloft/store/integrity.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from stileloft.bookkeeping.records import JobEnd
+from stileloft.model.records import JobOutcome
 
 
 class StoreIntegrity:
@@ -19,7 +19,7 @@
         """Whether the store may be believed, and written."""
         return True
 
-    def may_stand(self) -> bool:
+    def may_campaign(self) -> bool:
         """Whether this controller may seek the leadership."""
         return True
 
@@ -37,7 +37,7 @@
     async def verify_absence(self) -> None:
         """The same, before a user is told that something does not exist; raises it also while that is not known yet."""
 
-    def knows_ends(self) -> bool:
+    def knows_outcomes(self) -> bool:
         """Whether jobs that ended are known, wherever that is recorded."""
         return True
 
@@ -48,16 +48,16 @@
         """The token of a leader whose key has this version."""
         return version
 
-    def saw_token(self, token: int) -> None:
+    def observe_token(self, token: int) -> None:
         """A worker knows this token."""
 
-    def raised_token(self, token: int) -> None:
+    def record_raised_token(self, token: int) -> None:
         """As the leader, we tell a worker this token, which is above the one of our election."""
 
-    def committed(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, told: bool = True) -> None:
+    def record_commit(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, told: bool = True) -> None:
         """This controller has changed the store; `told`: users hear of all of it, rather than of jobs' ends only."""
 
-    def end_of(self, _job: str) -> JobEnd | None:
+    def outcome_of(self, _job: str) -> JobOutcome | None:
         """How a job ended of which the store has no record of its own."""
         return None
 
--- a/stileloft/coordination/entries.py
+++ b/stileloft/store/job_transaction.py
@@ -4,13 +4,16 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import ENDED, PLANNED, Job, Placement
-from stileloft.coordination import gangs
+from stileloft.model import records
+from stileloft.model.jobs import Job
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.scheduling import gangs
 from stileloft.settings import State
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 # The state that users see may lag by 3 s.
 COUNTS_S = 1.2
@@ -29,7 +32,7 @@
 JOB_CHANGES = 2
 
 
-class Limits:
+class StoreLimits:
     """What the store takes in a transaction and a value: the least of the limits known, or less if it refused that."""
 
     def __init__(self, state: State) -> None:
@@ -51,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class JobTransaction:
     """A job's part of a transaction."""
 
     job: Job
@@ -84,23 +87,23 @@
         return self.written + self.finished + self.dropped
 
 
-class EntryBuilder:
+class JobTransactionBuilder:
     """Compares the leader's picture of a job with what the store holds of it."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
 
-    def build(self, job: Job, room: int) -> Entry | None:
+    def build(self, job: Job, room: int) -> JobTransaction | None:
         """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
-        entry = Entry(job, inline=self._is_inline(job))
-        gang_completed = job.spec.is_gang and not job.over and gangs.completed(job)
+        entry = JobTransaction(job, inline=self._is_inline(job))
+        gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
         done_after = job.done
-        moves = self._leaves_job_record(entry) and not job.over
+        moves = self._leaves_job_record(entry) and not job.end_phase
         for number in [n for n, chunk in job.chunks.items() if chunk.dirty or moves]:
             if entry.guards and entry.changes >= max(1, room - JOB_CHANGES):
                 break
             done_after += self._enter_chunk(entry, number)
-        if job.over:
+        if job.end_phase:
             return entry if entry.puts or entry.deletes or entry.dropped else None
         entry.guards[records.active_key(job.id)] = job.version
         entry.counts = (done_after, job.running())
@@ -114,7 +117,7 @@
 
     def _is_inline(self, job: Job) -> bool:
         """Whether the job's only chunk belongs into the job's own record."""
-        if self._term.node.format < records.INLINE_FORMAT or job.over or job.chunk_count() > 1:
+        if self._term.node.format < records.INLINE_FORMAT or job.end_phase or job.chunk_count() > 1:
             return False
         if any(chunk.stored for chunk in job.chunks.values()):
             return False  # it has a record of its own, from an earlier format, and keeps it
@@ -126,7 +129,7 @@
     def _limit(self) -> int:
         return self._term.limits.value_bytes
 
-    def _finish(self, entry: Entry, room: int) -> None:
+    def _finish(self, entry: JobTransaction, room: int) -> None:
         """The job is done, which is told in one step, whatever it is stored in.
 
         One task that completed means that all of a gang have. Chunks that have no room beside the end are
@@ -143,40 +146,40 @@
                 entry.dropped.append(number)
         entry.written, entry.finished = [], []
 
-    def _writes_job(self, entry: Entry) -> bool:
+    def _writes_job(self, entry: JobTransaction) -> bool:
         """Whether the job's own record is to be written."""
         if entry.finished or (entry.inline and entry.written) or self._leaves_job_record(entry):
             return True
         if self._counts_are_due(entry):
             return True
         sized = self._term.node.format >= records.SIZED_FORMAT
-        return sized and not entry.job.size_stored and self._at_leisure()
+        return sized and not entry.job.chunk_size_stored and self._at_leisure()
 
     @staticmethod
-    def _leaves_job_record(entry: Entry) -> bool:
+    def _leaves_job_record(entry: JobTransaction) -> bool:
         """Whether the job's record has no room any more for the chunk that it holds."""
         return entry.job.has_inline_chunk and not entry.inline
 
-    def _counts_are_due(self, entry: Entry) -> bool:
+    def _counts_are_due(self, entry: JobTransaction) -> bool:
         """Whether users would see the counts too late if they were not written now."""
         job = entry.job
-        if entry.counts == job.counts_stored:
+        if entry.counts == job.stored_counts:
             return False
-        if (entry.counts[1] > 0) != (job.counts_stored[1] > 0):
+        if (entry.counts[1] > 0) != (job.stored_counts[1] > 0):
             return True
         # Each time the counts are told is a change more, so less often while the budget is short.
-        writes = self._term.writes
-        every_s = COUNTS_S if writes.level() > writes.per_s / 2 else LATE_S
+        write_budget = self._term.write_budget
+        every_s = COUNTS_S if write_budget.level() > write_budget.rate_per_s / 2 else LATE_S
         now: float = self._term.clock.seconds()
-        return now - job.counts_at > every_s
+        return now - job.counts_stored_at > every_s
 
     def _at_leisure(self) -> bool:
         """Whether there are changes to spare for what nothing waits for."""
-        return self._term.writes.level() > LEISURE * self._term.writes.per_s
+        return self._term.write_budget.level() > LEISURE * self._term.write_budget.rate_per_s
 
-    def _put_job(self, entry: Entry) -> None:
+    def _put_job(self, entry: JobTransaction) -> None:
         record = self._job_record(entry.job, entry.inline)
-        record["f"] = records.to_ranges(entry.job.done_chunks | set(entry.finished))
+        record["f"] = records.to_ranges(entry.job.finished_chunks | set(entry.finished))
         record["c"] = list(entry.counts)
         entry.puts[records.active_key(entry.job.id)] = record
         entry.active = True
@@ -188,43 +191,43 @@
             record[records.INLINE_CHUNK] = job.chunks[0].inline_record()
         return record
 
-    def _enter_chunk(self, entry: Entry, number: int) -> int:
+    def _enter_chunk(self, entry: JobTransaction, number: int) -> int:
         """Adds a chunk to a job's part of a transaction; returns how many tasks of it are newly done."""
         job = entry.job
         chunk = job.chunks[number]
-        ended = [p for p in chunk.placements.values() if p.state == ENDED]
-        live = [p for p in chunk.placements.values() if p.state != ENDED]
+        ended = [p for p in chunk.placements.values() if p.state == PlacementState.ENDED]
+        live = [p for p in chunk.placements.values() if p.state != PlacementState.ENDED]
         completed = {p.index for p in ended if p.done}
         if not entry.inline:
             entry.guards[records.chunk_key(job.id, number)] = chunk.version
         entry.ended += ended
-        if job.over and not live:
+        if job.end_phase and not live:
             if chunk.stored:
                 entry.deletes += self._keys(job, number)
             entry.dropped.append(number)
             return 0
         # What is left of a cancelled job is recorded until it is gone.
         complete = not live and len(chunk.done | completed) == job.chunk_length(number)
-        if not job.over and complete and self._foldable(job, {*entry.finished, number}):
+        if not job.end_phase and complete and self._foldable(job, {*entry.finished, number}):
             if chunk.stored:
                 entry.deletes += self._keys(job, number)
             entry.finished.append(number)
         else:
             entry.written.append(number)
-            entry.bound += [p for p in live if p.state == PLANNED]
+            entry.bound += [p for p in live if p.state == PlacementState.PLANNED]
             if not entry.inline:
                 self._put_chunk(entry, number)
         return len(completed - chunk.done)
 
-    def _put_chunk(self, entry: Entry, number: int) -> None:
+    def _put_chunk(self, entry: JobTransaction, number: int) -> None:
         """Writes a chunk as records of its own."""
         job, chunk = entry.job, entry.job.chunks[number]
         # A leader that has just begun may not have read the format yet. The length must be told all the same if the
         # job's record has it: what is left of a cancelled job is read by the length that its chunks tell.
-        if self._term.node.format < records.SIZED_FORMAT and not job.size_stored:
+        if self._term.node.format < records.SIZED_FORMAT and not job.chunk_size_stored:
             entry.puts[records.chunk_key(job.id, number)] = chunk.record(job.spec)
             return
-        values = chunk.records(job.spec, job.size, self._limit())
+        values = chunk.records(job.spec, job.chunk_size, self._limit())
         entry.puts[records.chunk_key(job.id, number)] = values[0]
         entry.parts[number] = values[1:]
         for part, value in enumerate(values[1:], 1):
@@ -243,7 +246,7 @@
 
     def _foldable(self, job: Job, finished: set[int]) -> bool:
         """Whether the job's record has room for one more finished chunk; if not, the chunk's own record stays."""
-        ranges = records.to_ranges(job.done_chunks | finished)
+        ranges = records.to_ranges(job.finished_chunks | finished)
         if len(ranges) <= FEW_RANGES:
             return True
         return records.size_of(job.record(True) | {"f": ranges}) <= self._limit()
--- /dev/null
+++ b/stileloft/workers/__init__.py
@@ -0,0 +1,1 @@
+"""Heartbeats of the agents on machines, and the commands sent to them."""
--- a/stileloft/coordination/pending.py
+++ b/stileloft/workers/command_planner.py
@@ -2,13 +2,16 @@
 
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping.model import BOUND, Forget, Machine, Placement
-from stileloft.bookkeeping.starts import StartKey
-from stileloft.coordination.authority import Refusal
+from stileloft.leadership.authority import Refusal
+from stileloft.model.inflight_starts import AttemptKey
+from stileloft.model.machines import Machine, PendingForget
+from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 # Commands in one direct message; a body may hold 64 KiB.
 MAX_COMMANDS = 200
@@ -18,25 +21,27 @@
 FORGET_LEASES = 4.0
 
 
-class PendingCommands:
+class CommandPlanner:
     """Finds what is due for a machine. All methods are called with the term's lock held."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self.term = term
-        self.report_s = term.settings.workers.report_s
+        self.heartbeat_s = term.settings.workers.heartbeat_s
 
     def starts(self, machine: Machine) -> list[Placement]:
         """Placements whose task has to be started, or whose start has to be repeated."""
         authority = self.term.authority
-        unseen = [p for p in machine.placements.values() if p.seen is None and p.state == BOUND]
+        unseen = [
+            p for p in machine.placements.values() if p.reported_state is None and p.state == PlacementState.BOUND
+        ]
         if not unseen:
             return []
-        refusal = authority.starts(machine)
+        refusal = authority.check_starts(machine)
         if refusal is Refusal.NO_SPARE_TOKEN:
-            self.term.dispatch.fence.request_spare(machine, unseen)
+            self.term.dispatcher.fencing.request_spare_token(machine, unseen)
         if refusal is not None:
             return []
-        return [p for p in unseen if authority.start(p, machine) is None]
+        return [p for p in unseen if authority.check_start(p, machine) is None]
 
     def stops(self, machine: Machine, most: int, renewing: bool = False) -> list[dict[str, Any]]:
         """What the machine has to stop, at most so many.
@@ -47,45 +52,45 @@
         required: list[Placement] = []
         others: list[Placement] = []
         for placement in machine.placements.values():
-            if placement.stop_grace is None or placement.state != BOUND:
+            if placement.stop_grace_s is None or placement.state != PlacementState.BOUND:
                 continue
             if renewing and self.term.cluster.has_ended(placement.job):
                 required.append(placement)  # whatever became of the stops before
-            elif now >= placement.stop_at + REPEAT_STOP * self.report_s and not self._was_never_sent(placement):
+            elif now >= placement.stop_sent_at + REPEAT_STOP * self.heartbeat_s and not self._was_never_sent(placement):
                 others.append(placement)
         commands = []
         for placement in (required + others)[:most]:
             # It paces the repeats, and must be the clock of nothing else: it moves for as long as the machine reports.
-            placement.stop_at = now
-            commands.append(messages.stop(placement.task, placement.attempt, placement.stop_grace or 0.0))
-        strays = [
-            messages.stop(task, stray.attempt, 0.0)
-            for task, stray in machine.strays.items()
-            if self.term.authority.stop_task(task) is None
+            placement.stop_sent_at = now
+            commands.append(messages.stop_command(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
+        orphaned_tasks = [
+            messages.stop_command(task, stray.attempt, 0.0)
+            for task, stray in machine.orphaned_tasks.items()
+            if self.term.authority.check_stop_task(task) is None
         ]
-        return commands + strays[: most - len(commands)]
+        return commands + orphaned_tasks[: most - len(commands)]
 
     @staticmethod
     def _was_never_sent(placement: Placement) -> bool:
-        return placement.seen is None and placement.sent_session is None
+        return placement.reported_state is None and placement.sent_epoch is None
 
-    def forgets(self, machine: Machine, most: int) -> list[dict[str, Any]]:
+    def pending_forgets(self, machine: Machine, most: int) -> list[dict[str, Any]]:
         """Exited tasks that the store no longer places here, at most so many.
 
         None of which a start may still be executed: it would run a forgotten attempt again.
         """
         authority = self.term.authority
-        if not machine.forgets or authority.forgets(machine) is not None:
+        if not machine.pending_forgets or authority.check_forgets(machine) is not None:
             return []
         now = self.term.clock.seconds()
-        due = [(task, entry) for task, entry in machine.forgets.items() if entry.due_at <= now][:most]
-        allowed = [(task, e.attempt) for task, e in due if not authority.forget(machine, task, e.attempt, e.done)]
+        due = [(task, entry) for task, entry in machine.pending_forgets.items() if entry.due_at <= now][:most]
+        allowed = [(task, e.attempt) for task, e in due if not authority.check_forget(machine, task, e.attempt, e.done)]
         if len(allowed) < len(due):
-            self.term.dispatch.fence.raise_for_forgets(machine, now)
+            self.term.dispatcher.fencing.fence_for_forgets(machine, now)
         for task, attempt in allowed:
-            del machine.forgets[task]  # what is reported again is forgotten again
-            machine.open_starts.drop(task, attempt)
-        return [messages.forget(task, attempt) for task, attempt in allowed]
+            del machine.pending_forgets[task]  # what is reported again is forgotten again
+            machine.inflight_starts.drop(task, attempt)
+        return [messages.forget_command(task, attempt) for task, attempt in allowed]
 
     def forget_later(self, machine: Machine, task: str, attempt: int, done: bool) -> None:
         """Has an exited task forgotten that the store no longer places there.
@@ -94,15 +99,15 @@
         newer one elsewhere. So attempts that were stopped stay known until the fence bars their starts, which is done
         for many together; a task that is done only says so again.
         """
-        known = machine.forgets.get(task)
+        known = machine.pending_forgets.get(task)
         if known is None or known.attempt != attempt:
             wait_s = 0.0 if done else FORGET_LEASES * self.term.settings.workers.lease_s
-            machine.forgets[task] = Forget(attempt, self.term.clock.seconds() + wait_s, done)
+            machine.pending_forgets[task] = PendingForget(attempt, self.term.clock.seconds() + wait_s, done)
 
-    def required_stops(self, machine: Machine) -> set[StartKey]:
+    def required_stops(self, machine: Machine) -> set[AttemptKey]:
         """What an answer that renews the lease has to stop."""
         return {
             (p.task, p.attempt)
             for p in machine.placements.values()
-            if p.state == BOUND and self.term.cluster.has_ended(p.job)
+            if p.state == PlacementState.BOUND and self.term.cluster.has_ended(p.job)
         }
--- a/stileloft/coordination/dispatch.py
+++ b/stileloft/workers/dispatcher.py
@@ -6,16 +6,19 @@
 import msgspec
 from twisted.internet import defer
 
-from stileloft.bookkeeping.model import Machine, Placement
-from stileloft.coordination.fence import Fence
-from stileloft.coordination.fleet import UNANSWERED_S
-from stileloft.coordination.pending import MAX_COMMANDS
+from stileloft.machines.fleet import UNANSWERED_S
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement
 from stileloft.protocol import messages
-from stileloft.protocol.messages import Report
+from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.workers import NotDeliveredError, UncertainDeliveryError
+from stileloft.workers.command_planner import MAX_COMMANDS
+from stileloft.workers.fencing import MachineFencing
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -45,40 +48,40 @@
     """Answers that would have kept a cancelled task alive, and renewed no lease."""
 
 
-class Dispatch:
+class CommandDispatcher:
     """Answers and direct commands. What may be sent is decided by `authority`, which tokens by `fence`."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self.term = term
-        self.fence = Fence(term)
+        self.fencing = MachineFencing(term)
         self.metrics = Metrics()
-        self.report_s = term.settings.workers.report_s
+        self.heartbeat_s = term.settings.workers.heartbeat_s
         self.claims = 0
         """Claims under way. Those beyond the most at once are made in a later check."""
         self.most_claims = int(CLAIMS_PART * term.settings.quota.max_sockets)
 
     # -- reports --------------------------------------------------------------
 
-    def on_report(self, report: Report) -> dict[str, Any]:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
         """Takes in a report that a worker sent, and answers it."""
         term = self.term
         now = term.clock.seconds()
-        machine = term.machine(report.machine)
-        session, seq, before, claimed = machine.session, machine.seq, machine.heard_at, machine.claimed
-        machine = term.reports.observe(report)
-        if (machine.session, machine.seq) == (session, seq):
+        machine = term.machine(heartbeat.machine)
+        epoch, sequence, before, claimed = machine.epoch, machine.sequence, machine.last_heartbeat_at, machine.claimed
+        machine = term.heartbeats.process(heartbeat)
+        if (machine.epoch, machine.sequence) == (epoch, sequence):
             # A copy that comes late must show no sign of life. If it is the report itself, overtaken by the
             # answer to a command, its worker is to drop this answer: it must renew no lease that we don't count.
-            return messages.orders(NO_TOKEN, [])
-        if machine.session != session:
-            machine.reached_at = float("-inf")  # its tasks were lost though we answered: ask whether it hears us
+            return messages.command_message(NO_TOKEN, [])
+        if machine.epoch != epoch:
+            machine.last_reachable_at = float("-inf")  # its tasks were lost though we answered: ask whether it hears us
         elif claimed and now - before < UNANSWERED_S:
             # Or it would not report to us again so soon. What came first may have been an old report, so it counts
             # only once the worker is known to have our token.
-            machine.reached_at = max(machine.reached_at, before)
-        machine.came_at = now
+            machine.last_reachable_at = max(machine.last_reachable_at, before)
+        machine.last_pushed_heartbeat_at = now
         answer = self._renewal(machine, now)
-        if not machine.trusted or (not machine.sending and term.pending.starts(machine)):
+        if not machine.has_current_token or (not machine.command_in_flight and term.planner.starts(machine)):
             self.send(machine)
         return answer
 
@@ -90,135 +93,135 @@
         not renewed; direct commands stop the rest, and if they don't come through, the end of the lease does.
         """
         term = self.term
-        required = term.pending.required_stops(machine)
-        if not self.fence.raise_token(machine, now) or len(required) > MOST_IN_ANSWER:
+        required = term.planner.required_stops(machine)
+        if not self.fencing.fence_unwanted_starts(machine, now) or len(required) > MOST_IN_ANSWER:
             self.metrics.withheld_renewals += 1
             log.info("the lease of %s is not renewed: its answer cannot bar and stop all that is cancelled", machine.id)
             self.send(machine)
-            return messages.orders(NO_TOKEN, [])
-        commands = term.pending.stops(machine, MOST_IN_ANSWER, renewing=True)
+            return messages.command_message(NO_TOKEN, [])
+        commands = term.planner.stops(machine, MOST_IN_ANSWER, renewing=True)
         told = {(command["piece"], command["try"]) for command in commands} if required else set()
-        if not self.fence.check_renewal(machine, told):
-            return messages.orders(NO_TOKEN, [])
-        machine.renewed_at = now
-        commands += term.pending.forgets(machine, MOST_IN_ANSWER - len(commands))
-        return messages.orders(machine.token, commands)
+        if not self.fencing.check_renewal(machine, told):
+            return messages.command_message(NO_TOKEN, [])
+        machine.lease_renewed_at = now
+        commands += term.planner.pending_forgets(machine, MOST_IN_ANSWER - len(commands))
+        return messages.command_message(machine.token, commands)
 
     # -- commands ---------------------------------------------------------------
 
     def reaches(self, machine: Machine, now: float) -> bool:
         """Whether the machine showed lately that it hears us: one that is only heard is of no use."""
-        return now - machine.reached_at <= self.term.fleet.reached_s
+        return now - machine.last_reachable_at <= self.term.fleet.reachability_timeout_s
 
     def send(self, machine: Machine) -> None:
         """Sends what the machine has to do, one message at a time."""
         term = self.term
         now = term.clock.seconds()
-        if machine.sending or not machine.address or now < machine.retry_at or self._is_settled(machine, now):
+        if machine.command_in_flight or not machine.address or now < machine.retry_at or self._is_settled(machine, now):
             return
-        if term.authority.commands() is not None:
+        if term.authority.check_commands() is not None:
             return
-        self.fence.raise_token(machine, now)
-        starts = term.pending.starts(machine)[:MAX_COMMANDS]
-        commands = term.pending.stops(machine, MAX_COMMANDS)
-        known = machine.trusted and (self.reaches(machine, now) or not machine.reported)
-        known = known and not self.fence.is_overdue(machine, now)
+        self.fencing.fence_unwanted_starts(machine, now)
+        starts = term.planner.starts(machine)[:MAX_COMMANDS]
+        commands = term.planner.stops(machine, MAX_COMMANDS)
+        known = machine.has_current_token and (self.reaches(machine, now) or not machine.heartbeat_received)
+        known = known and not self.fencing.is_acknowledgement_overdue(machine, now)
         if not commands and not starts and (known or not self._worth_claiming(machine)):
             return  # exited tasks can wait for the answer to the next report
         claim = not commands and not starts
         if claim and self.claims >= self.most_claims:
             return
-        commands += term.pending.forgets(machine, MAX_COMMANDS - len(commands))
-        commands += [messages.start(p.task, p.attempt) for p in starts]
-        machine.sending = True
-        session = machine.session or 1
+        commands += term.planner.pending_forgets(machine, MAX_COMMANDS - len(commands))
+        commands += [messages.start_command(p.task, p.attempt) for p in starts]
+        machine.command_in_flight = True
+        epoch = machine.epoch or 1
         for placement in starts:
-            placement.sent_session = session
-            machine.open_starts.sent(placement.task, placement.attempt, now, machine.token, session)
+            placement.sent_epoch = epoch
+            machine.inflight_starts.record_sent(placement.task, placement.attempt, now, machine.token, epoch)
         self.claims += claim
-        defer.ensureDeferred(self._send(machine, session, commands, starts, claim))
+        defer.ensureDeferred(self._send(machine, epoch, commands, starts, claim))
 
     def _is_settled(self, machine: Machine, now: float) -> bool:
         """Whether it is plain that there is nothing to send, as for most of a large fleet, which is looked at often."""
         return (
-            machine.trusted
+            machine.has_current_token
             and not machine.placements
-            and not machine.strays
-            and not self.fence.is_overdue(machine, now)
+            and not machine.orphaned_tasks
+            and not self.fencing.is_acknowledgement_overdue(machine, now)
             and self.reaches(machine, now)
         )
 
     @staticmethod
     def _worth_claiming(machine: Machine) -> bool:
         """A machine that is still booting answers nothing, and reports by itself when it is up."""
-        return machine.reported or bool(machine.placements) or machine.listed_state == "running"
+        return machine.heartbeat_received or bool(machine.placements) or machine.cloud_state == "running"
 
     def _may_transmit(self, machine: Machine, starts: list[Placement]) -> bool:
         """Whether a message is still right now that its connection is there: what was known may have changed since."""
-        refusal = self.term.authority.transmission(starts, machine)
+        refusal = self.term.authority.check_transmission(starts, machine)
         if refusal is not None:
             log.info("commands to %s are withdrawn before they are sent: %s", machine.id, refusal)
             self.metrics.withdrawn += 1
             return False
-        if not self.fence.check_transmission(machine, starts):
+        if not self.fencing.check_transmission(machine, starts):
             return False
         self.metrics.starts_sent += len(starts)
         return True
 
     async def _send(
-        self, machine: Machine, session: int, commands: list[dict[str, Any]], starts: list[Placement], claim: bool
+        self, machine: Machine, epoch: int, commands: list[dict[str, Any]], starts: list[Placement], claim: bool
     ) -> None:
         term, token = self.term, machine.token
         if starts and log.isEnabledFor(logging.DEBUG):
             tasks = [f"{p.task} attempt {p.attempt}" for p in starts]
-            log.debug("starts to %s under token %d, session %d: %s", machine.id, token, session, tasks)
+            log.debug("starts to %s under token %d, session %d: %s", machine.id, token, epoch, tasks)
         try:
             try:
-                executed, report = await term.workers.command(
-                    machine.address, token, session, commands, lambda: self._may_transmit(machine, starts)
+                executed, heartbeat = await term.workers.command(
+                    machine.address, token, epoch, commands, lambda: self._may_transmit(machine, starts)
                 )
             finally:
                 self.claims -= claim
         except (NotDeliveredError, UncertainDeliveryError) as error:
             self._not_answered(machine, starts, error)
             return
-        machine.sending = False
+        machine.command_in_flight = False
         if not term.alive:
             return
         machine.send_failures = 0
         now = term.clock.seconds()
         if executed:
-            machine.reached_at = now
+            machine.last_reachable_at = now
             self._answered(machine, starts, now)
-        if term.tokens.is_later(report.token):
-            term.node.integrity.saw_token(report.token)
-            term.node.election.doubt(f"{machine.id} knows token {report.token}")
+        if term.tokens.is_later(heartbeat.token):
+            term.node.integrity.observe_token(heartbeat.token)
+            term.node.election.suspect(f"{machine.id} knows token {heartbeat.token}")
             return
         with term.lock:
-            term.reports.observe(report)
-        if not executed and (session, token) != (machine.session, machine.token):
+            term.heartbeats.process(heartbeat)
+        if not executed and (epoch, token) != (machine.epoch, machine.token):
             self.send(machine)
         elif (
-            term.pending.starts(machine)
-            or machine.trusted
-            and any(p.stop_grace is not None and p.stop_at == 0.0 for p in machine.placements.values())
+            term.planner.starts(machine)
+            or machine.has_current_token
+            and any(p.stop_grace_s is not None and p.stop_sent_at == 0.0 for p in machine.placements.values())
         ):
-            term.clock.callLater(RETRY * self.report_s, self.send, machine)
-        term.after_report()
+            term.clock.callLater(RETRY * self.heartbeat_s, self.send, machine)
+        term.after_heartbeat()
 
     def _not_answered(
         self, machine: Machine, starts: list[Placement], error: NotDeliveredError | UncertainDeliveryError
     ) -> None:
         """A message was not delivered, or it is not known whether it was."""
-        machine.sending = False
+        machine.command_in_flight = False
         now = self.term.clock.seconds()
         machine.send_failures += 1
-        machine.retry_at = now + RETRY * self.report_s * min(4, machine.send_failures)
+        machine.retry_at = now + RETRY * self.heartbeat_s * min(4, machine.send_failures)
         log.info("commands to %s: %s", machine.id, error)
         if isinstance(error, NotDeliveredError):
             return
         for placement in starts:
-            start = machine.open_starts.get(placement.task, placement.attempt)
+            start = machine.inflight_starts.get(placement.task, placement.attempt)
             if start is not None and start.in_doubt_since is None:
                 start.in_doubt_since = now
                 self.metrics.starts_in_doubt += 1
@@ -229,7 +232,7 @@
                     machine.id,
                     start.first_sent_at,
                     start.token,
-                    start.session,
+                    start.epoch,
                     "never" if start.answered_at is None else f"at {start.answered_at:.3f}",
                 )
 
@@ -237,15 +240,15 @@
         """A message was executed."""
         self.metrics.starts_answered += len(starts)
         for placement in starts:
-            start = machine.open_starts.get(placement.task, placement.attempt)
+            start = machine.inflight_starts.get(placement.task, placement.attempt)
             if start is not None and start.answered_at is None:
                 start.answered_at = now
 
     def status(self) -> dict[str, Any]:
         """What the administration API shows of the commands."""
-        in_doubt = [row for m in self.term.machines.values() for row in m.open_starts.describe(m.id)]
+        in_doubt = [row for m in self.term.machines.values() for row in m.inflight_starts.describe(m.id)]
         return msgspec.structs.asdict(self.metrics) | {
-            "tokens": self.fence.status(),
+            "tokens": self.fencing.status(),
             "in_doubt_now": len(in_doubt),
             "in_doubt": in_doubt[:SHOWN_IN_DOUBT],
         }
--- a/stileloft/coordination/fence.py
+++ b/stileloft/workers/fencing.py
@@ -9,13 +9,16 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
-from stileloft.bookkeeping.model import BOUND, Machine, Placement
-from stileloft.bookkeeping.starts import StartKey
-from stileloft.coordination.invariants import Invariant
-from stileloft.protocol.messages import TaskReport
+from stileloft.leadership.invariants import Invariant
+from stileloft.model.inflight_starts import AttemptKey
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.protocol.messages import TaskStatus
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -23,29 +26,32 @@
 BARRED_KEPT = 64
 
 
-class Fence:
+class MachineFencing:
     """The tokens that machines are addressed with, and what follows from those that their workers know."""
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self._term = term
         self.waiting: dict[str, None] = {}
         """Machines that get no starts until there is a spare token."""
-        self.starts_barred = 0
+        self.starts_fenced = 0
         """Starts that were sent and are known never to be executed, in whose place nothing was lost."""
 
-    def raise_token(self, machine: Machine, now: float) -> bool:
+    def fence_unwanted_starts(self, machine: Machine, now: float) -> bool:
         """Sees to it that no start of a job that is over can be executed once our next message is; returns whether."""
         cluster = self._term.cluster
         unwanted = [
             (p.task, p.attempt)
             for p in machine.placements.values()
-            if p.seen is None and p.state == BOUND and p.sent_session is not None and cluster.has_ended(p.job)
+            if p.reported_state is None
+            and p.state == PlacementState.BOUND
+            and p.sent_epoch is not None
+            and cluster.has_ended(p.job)
         ]
-        if not unwanted or machine.open_starts.highest_token(unwanted) < machine.token:
+        if not unwanted or machine.inflight_starts.highest_token(unwanted) < machine.token:
             return True
         return self._raise(machine, now, f"a start of {unwanted[0][0]} may still be executed")
 
-    def raise_for_forgets(self, machine: Machine, now: float) -> None:
+    def fence_for_forgets(self, machine: Machine, now: float) -> None:
         """Has attempts forgotten soon whose starts may still be executed; for many together, as it takes a report."""
         raised_lately = now - machine.token_raised_at <= self._term.settings.workers.lease_s
         if not raised_lately and self._term.tokens.has_above(machine.token):
@@ -59,31 +65,34 @@
                 False, Invariant.NO_START_WITHOUT_SPARE_TOKEN, "%s, token %d: %s", machine.id, machine.token, reason
             )
         if not invariants.check(
-            token > max(machine.token, machine.known_token if machine.trusted else 0),
+            token > max(machine.token, machine.acknowledged_token if machine.has_current_token else 0),
             Invariant.TOKENS_RISE,
             "%s knows %d, was told %d, would be told %d",
             machine.id,
-            machine.known_token,
+            machine.acknowledged_token,
             machine.token,
             token,
         ):
             return False
         log.info("machine %s gets token %d after %d: %s", machine.id, token, machine.token, reason)
         machine.token, machine.token_raised_at = token, now
-        self._term.node.integrity.raised_token(token)
+        self._term.node.integrity.record_raised_token(token)
         return True
 
-    def is_overdue(self, machine: Machine, now: float) -> bool:
+    def is_acknowledgement_overdue(self, machine: Machine, now: float) -> bool:
         """Whether a machine's worker should have shown by a report that it knows its raised token."""
-        return machine.known_token < machine.token and now > machine.token_raised_at + self._term.dispatch.report_s
+        return (
+            machine.acknowledged_token < machine.token
+            and now > machine.token_raised_at + self._term.dispatcher.heartbeat_s
+        )
 
-    def take_report(self, machine: Machine, tasks: list[TaskReport]) -> None:
+    def process_heartbeat(self, machine: Machine, tasks: list[TaskStatus]) -> None:
         """Takes in what a believed report shows: starts under a lower token, or of a former session, are void."""
-        machine.open_starts.drop_refused(machine.session, machine.known_token)
-        if machine.barred_starts:
+        machine.inflight_starts.drop_fenced(machine.epoch, machine.acknowledged_token)
+        if machine.fenced_starts:
             for task in tasks:
                 self._term.invariants.check(
-                    machine.barred_starts.get(task.task) != task.attempt,
+                    machine.fenced_starts.get(task.task) != task.attempt,
                     Invariant.FENCED_STAYS_FENCED,
                     "%s attempt %d is %s on %s",
                     task.task,
@@ -92,27 +101,27 @@
                     machine.id,
                 )
 
-    def barred(self, machine: Machine, placement: Placement) -> None:
+    def record_fenced(self, machine: Machine, placement: Placement) -> None:
         """The worker does not report a task, and has seen a higher token than any that its start had."""
-        self.starts_barred += 1
-        machine.barred_starts[placement.task] = placement.attempt
-        while len(machine.barred_starts) > BARRED_KEPT:
-            del machine.barred_starts[next(iter(machine.barred_starts))]
+        self.starts_fenced += 1
+        machine.fenced_starts[placement.task] = placement.attempt
+        while len(machine.fenced_starts) > BARRED_KEPT:
+            del machine.fenced_starts[next(iter(machine.fenced_starts))]
 
-    def request_spare(self, machine: Machine, unseen: list[Placement]) -> None:
+    def request_spare_token(self, machine: Machine, unseen: list[Placement]) -> None:
         """Has a record written once more, as the revision of that transaction is a token for the fence."""
         cluster = self._term.cluster
         self.waiting[machine.id] = None
         for placement in unseen:
             job = cluster.jobs.get(placement.job)
-            if job is not None and not cluster.is_over(job.id):
-                if not job.busy:
+            if job is not None and not cluster.is_blocked(job.id):
+                if not job.commit_in_flight:
                     job.chunk_of(placement.index).dirty = True
                     cluster.mark_dirty(job)
-                    self._term.ledger.later(0.0)
+                    self._term.commit_queue.flush_within(0.0)
                 return
 
-    def take_waiting(self) -> list[str]:
+    def take_waiting_machines(self) -> list[str]:
         """Machines that waited for a spare token."""
         found = list(self.waiting)
         self.waiting.clear()
@@ -120,18 +129,18 @@
 
     # -- assertions, apart from what decides -------------------------------------------
 
-    def check_renewal(self, machine: Machine, stopped: set[StartKey]) -> bool:
+    def check_renewal(self, machine: Machine, stopped: set[AttemptKey]) -> bool:
         """Whether an answer that stops these attempts may renew the lease: the bound on a cancelled task holds."""
         jobs, check = self._term.jobs, self._term.invariants.check
         for placement in machine.placements.values():
             job = jobs.get(placement.job)
-            if placement.state != BOUND or (job is not None and job.over is None):
+            if placement.state != PlacementState.BOUND or (job is not None and job.end_phase is None):
                 continue
             key = placement.task, placement.attempt
             if not check(key in stopped, Invariant.RENEWAL_STOPS, "%s attempt %d on %s", *key, machine.id):
                 return False
-            start = machine.open_starts.get(*key)
-            fenced = placement.seen is not None or start is None or start.token < machine.token
+            start = machine.inflight_starts.get(*key)
+            fenced = placement.reported_state is not None or start is None or start.token < machine.token
             if not check(fenced, Invariant.RENEWAL_FENCES, "%s attempt %d on %s: %s", *key, machine.id, start):
                 return False
         return True
@@ -141,7 +150,7 @@
         jobs, check = self._term.jobs, self._term.invariants.check
         for placement in starts:
             job = jobs.get(placement.job)
-            goes_on = job is not None and job.over is None
+            goes_on = job is not None and job.end_phase is None
             if not check(goes_on, Invariant.NO_START_AFTER_END, "%s to %s", placement.task, machine.id):
                 return False
         can_fence = not starts or self._term.tokens.has_above(machine.token)
@@ -154,6 +163,6 @@
             "first": tokens.first,
             "highest_issued": tokens.highest_issued,
             "raised": tokens.issued,
-            "starts_barred": self.starts_barred,
+            "starts_barred": self.starts_fenced,
             "machines_waiting_for_a_spare": len(self.waiting),
         }
--- a/stileloft/coordination/reports.py
+++ b/stileloft/workers/heartbeats.py
@@ -3,12 +3,16 @@
 import logging
 from typing import TYPE_CHECKING
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import BOUND, ENDED, Job, Machine, Placement, Stray
-from stileloft.protocol.messages import BUSY, EXITED, NO_ROOM, RUNNING, UNKNOWN, WAITING, Report, TaskReport
+from stileloft.model import records
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine, OrphanedTask
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.protocol.messages import BUSY, EXITED, NO_ROOM, RUNNING, UNKNOWN, WAITING, Heartbeat, TaskStatus
 
 if TYPE_CHECKING:
-    from stileloft.coordination.leader import Term
+    from stileloft.leadership.leader import Leader
+
+    pass
 
 log = logging.getLogger(__name__)
 
@@ -16,139 +20,139 @@
 COUNTS_FLUSH_S = 0.25
 
 
-class Reports:
+class HeartbeatProcessor:
     """Takes in reports, in the order in which their workers made them.
 
     All methods are called with the term's lock held.
     """
 
-    def __init__(self, term: "Term") -> None:
+    def __init__(self, term: "Leader") -> None:
         self.term = term
-        self.report_s = term.settings.workers.report_s
+        self.heartbeat_s = term.settings.workers.heartbeat_s
 
-    def observe(self, report: Report) -> Machine:
+    def process(self, heartbeat: Heartbeat) -> Machine:
         """Takes in a report, unless a newer one is known."""
         term = self.term
         now = term.clock.seconds()
-        machine = term.machine(report.machine)
-        if machine.reported and (report.session, report.seq) <= (machine.session, machine.seq):
+        machine = term.machine(heartbeat.machine)
+        if machine.heartbeat_received and (heartbeat.epoch, heartbeat.sequence) <= (machine.epoch, machine.sequence):
             return machine
-        machine.heard_at = now
-        if not machine.reported or report.address != machine.address:
-            machine.address = report.address
-        machine.type, machine.zone, machine.spot = report.type, report.zone, report.spot
+        machine.last_heartbeat_at = now
+        if not machine.heartbeat_received or heartbeat.address != machine.address:
+            machine.address = heartbeat.address
+        machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
         if machine.up_since is None:
             self._came_up(machine, now)
-        new_session = report.session != machine.session
-        machine.session, machine.seq = report.session, report.seq
-        self._take_token(machine, report.token, new_session, now)
-        machine.reported = True
-        if new_session:
-            machine.barred_starts.clear()
-            machine.forgets.clear()
-            machine.strays.clear()
-            machine.view = None
-        if report.notice_s is not None and machine.notice_until is None:
-            log.info("machine %s will be taken away in %.1f s", machine.id, report.notice_s)
-            machine.notice_until = now + report.notice_s
-            machine.draining = "taken away"
-            term.request_round()
-        if machine.trusted and term.loaded:
+        new_epoch = heartbeat.epoch != machine.epoch
+        machine.epoch, machine.sequence = heartbeat.epoch, heartbeat.sequence
+        self._take_token(machine, heartbeat.token, new_epoch, now)
+        machine.heartbeat_received = True
+        if new_epoch:
+            machine.fenced_starts.clear()
+            machine.pending_forgets.clear()
+            machine.orphaned_tasks.clear()
+            machine.scheduling_view = None
+        if heartbeat.reclaim_in_s is not None and machine.reclaim_at is None:
+            log.info("machine %s will be taken away in %.1f s", machine.id, heartbeat.reclaim_in_s)
+            machine.reclaim_at = now + heartbeat.reclaim_in_s
+            machine.drain_reason = "taken away"
+            term.request_scheduling()
+        if machine.has_current_token and term.store_loaded:
             # Before the store was read, all of its tasks would look as if they were not to be there, and be stopped.
-            self._take_tasks(machine, report.tasks, now)
-        machine.idle_since = None if machine.placements or machine.strays else (machine.idle_since or now)
+            self._take_tasks(machine, heartbeat.tasks, now)
+        machine.idle_since = None if machine.placements or machine.orphaned_tasks else (machine.idle_since or now)
         return machine
 
     def _came_up(self, machine: Machine, now: float) -> None:
         """The machine's first report of all."""
         machine.up_since = now
-        machine.view = None
+        machine.scheduling_view = None
         # Failures from before it was up say nothing about it.
         machine.send_failures, machine.retry_at = 0, 0.0
         kind = ", spot" if machine.spot else ""
         log.info("machine %s is up: %s in %s%s", machine.id, machine.type, machine.zone, kind)
-        self.term.fleet.came_up(machine)
-        self.term.request_round()
+        self.term.fleet.record_boot(machine)
+        self.term.request_scheduling()
 
-    def _take_token(self, machine: Machine, token: int, new_session: bool, now: float) -> None:
+    def _take_token(self, machine: Machine, token: int, new_epoch: bool, now: float) -> None:
         """Whether its report can be believed: it carries our own token."""
-        was_trusted = machine.trusted
-        machine.trusted = self.term.tokens.is_own(token)
-        machine.known_token = token
-        claims = machine.trusted and not machine.claimed
-        if new_session or claims:
+        had_current_token = machine.has_current_token
+        machine.has_current_token = self.term.tokens.is_own(token)
+        machine.acknowledged_token = token
+        claims = machine.has_current_token and not machine.claimed
+        if new_epoch or claims:
             # A session that nobody answers lasts for a lease as well, and what was started in it lives as long.
-            machine.renewed_at = now
+            machine.lease_renewed_at = now
         if claims:
             machine.claimed = True
-            machine.came_at = now  # it reports by itself at once, having learned our token
-        if machine.trusted and not was_trusted:
-            self.term.request_round()
+            machine.last_pushed_heartbeat_at = now  # it reports by itself at once, having learned our token
+        if machine.has_current_token and not had_current_token:
+            self.term.request_scheduling()
 
-    def _take_tasks(self, machine: Machine, tasks: list[TaskReport], now: float) -> None:
+    def _take_tasks(self, machine: Machine, tasks: list[TaskStatus], now: float) -> None:
         unseen = dict(machine.placements)
-        strays: dict[str, Stray] = {}
-        self.term.dispatch.fence.take_report(machine, tasks)
+        orphaned_tasks: dict[str, OrphanedTask] = {}
+        self.term.dispatcher.fencing.process_heartbeat(machine, tasks)
         for task in tasks:
             key = records.split_task(task.task)
             placement = machine.placements.get(key)
             if placement is not None and placement.attempt == task.attempt:
                 unseen.pop(key, None)
-                if placement.state != ENDED:
+                if placement.state != PlacementState.ENDED:
                     self._take_state(machine, placement, task, now)
             elif task.state == EXITED:
-                self.term.pending.forget_later(machine, task.task, task.attempt, task.why == "done")
+                self.term.planner.forget_later(machine, task.task, task.attempt, task.why == "done")
             else:
-                strays[task.task] = self._stray(key[0], task)
-        self._take_strays(machine, strays)
+                orphaned_tasks[task.task] = self._stray(key[0], task)
+        self._take_strays(machine, orphaned_tasks)
         for placement in unseen.values():
             self._take_absence(machine, placement)
 
-    def _take_strays(self, machine: Machine, strays: dict[str, Stray]) -> None:
+    def _take_strays(self, machine: Machine, orphaned_tasks: dict[str, OrphanedTask]) -> None:
         """Tasks on the machine that the store does not place there."""
-        if machine.strays.keys() - strays.keys():
-            self.term.request_round()
-        if strays.keys() != machine.strays.keys():
-            machine.view = None
-        for task_id in strays.keys() - machine.strays.keys():
-            if self.term.authority.stop_task(task_id) is None:
+        if machine.orphaned_tasks.keys() - orphaned_tasks.keys():
+            self.term.request_scheduling()
+        if orphaned_tasks.keys() != machine.orphaned_tasks.keys():
+            machine.scheduling_view = None
+        for task_id in orphaned_tasks.keys() - machine.orphaned_tasks.keys():
+            if self.term.authority.check_stop_task(task_id) is None:
                 log.info("task %s on %s is not ours to run there: stopping it", task_id, machine.id)
-        machine.strays = strays
+        machine.orphaned_tasks = orphaned_tasks
 
     def _take_absence(self, machine: Machine, placement: Placement) -> None:
         """The machine does not report a task that is placed there."""
-        placement.seen = None
-        if placement.state != BOUND:
+        placement.reported_state = None
+        if placement.state != PlacementState.BOUND:
             return
-        unwanted = machine.draining is not None or placement.stop_grace is not None
-        if placement.sent_session is None:
+        unwanted = machine.drain_reason is not None or placement.stop_grace_s is not None
+        if placement.sent_epoch is None:
             if unwanted:
                 # The worker knows our token, so no older leader's start can be executed any more.
                 self.term.tasks.end(placement, "it was not started")
-        elif placement.sent_session < machine.session:
+        elif placement.sent_epoch < machine.epoch:
             # Sessions kill their tasks when they end, and starts sent in one fail in the next.
             self.term.tasks.end(placement, "its session is over")
-        elif unwanted and machine.open_starts.get(placement.task, placement.attempt) is None:
-            self.term.dispatch.fence.barred(machine, placement)
+        elif unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
+            self.term.dispatcher.fencing.record_fenced(machine, placement)
             self.term.tasks.end(placement, "its start was barred before it came")
 
-    def _stray(self, job_id: str, task: TaskReport) -> Stray:
+    def _stray(self, job_id: str, task: TaskStatus) -> OrphanedTask:
         job = self.term.jobs.get(job_id)
         if job is None:
-            return Stray(task.attempt, 0.0, 0.0, 0.0, "")
+            return OrphanedTask(task.attempt, 0.0, 0.0, 0.0, "")
         spec = job.spec
-        return Stray(task.attempt, spec.cpus, spec.gpus or 0.0, spec.memory_gb, spec.team)
+        return OrphanedTask(task.attempt, spec.cpus, spec.gpus or 0.0, spec.memory_gb, spec.team)
 
-    def _take_state(self, machine: Machine, placement: Placement, task: TaskReport, now: float) -> None:
+    def _take_state(self, machine: Machine, placement: Placement, task: TaskStatus, now: float) -> None:
         if task.state == EXITED:
             self._take_exit(machine, placement, task.why, now)
-        elif placement.seen != task.state:
-            placement.seen = task.state
-            machine.view = None
+        elif placement.reported_state != task.state:
+            placement.reported_state = task.state
+            machine.scheduling_view = None
             job = self.term.jobs.get(placement.job)
             if job is not None and task.state in (WAITING, RUNNING):
                 # One that waits for the others of its gang has its image too, but has not begun.
-                self.term.fleet.images.seen(machine, job.spec.image)
+                self.term.fleet.images.record_use(machine, job.spec.image)
             if task.state == RUNNING:
                 self._take_running(placement, job, now)
 
@@ -157,16 +161,16 @@
             placement.running_since = now
         if job is None:
             return
-        if not job.begun:
-            log.info("job %s begins, %.1f s after acceptance", job.id, self.term.wall() - job.submitted)
-        job.begun = True
+        if not job.started:
+            log.info("job %s begins, %.1f s after acceptance", job.id, self.term.wall_clock() - job.submitted)
+        job.started = True
         self.term.cluster.mark_counts(job)
-        self.term.ledger.later(COUNTS_FLUSH_S)
+        self.term.commit_queue.flush_within(COUNTS_FLUSH_S)
 
     def _take_exit(self, machine: Machine, placement: Placement, why: str | None, now: float) -> None:
         """What follows from a task's end; of a gang that lost a task the whole comes again, at once."""
         tasks = self.term.tasks
-        placement.seen = EXITED
+        placement.reported_state = EXITED
         if why == "done":
             tasks.completed(machine, placement, now)
             return
@@ -174,10 +178,10 @@
             tasks.failed(machine, placement)
         elif why == NO_ROOM:
             log.info("task %s did not fit on %s", placement.task, machine.id)
-            tasks.avoid(placement, machine.id, 2 * self.report_s)
+            tasks.avoid(placement, machine.id, 2 * self.heartbeat_s)
         elif why == UNKNOWN:
             log.info("task %s is not known to %s", placement.task, machine.id)
-            tasks.delay(placement.job, self.report_s / 2)
+            tasks.delay(placement.job, self.heartbeat_s / 2)
         elif why == BUSY:
             # The other attempt is listed too, and is stopped as a stray; meanwhile go elsewhere.
             log.info("task %s is on %s with another attempt", placement.task, machine.id)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 import hypothesis
 import pytest
 
-from stileloft.coordination.invariants import Invariant, InvariantMonitor
+from stileloft.leadership.invariants import Invariant, InvariantMonitor
 from tests import known_red
 
 # By default each run draws the same examples, so that its verdict is the same each time; how long an example takes
--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stileloft.coordination.invariants import InvariantMonitor
+from stileloft.leadership.invariants import InvariantMonitor
 from tests.simulation.network import Hold
 from tests.simulation.world import World
 
@@ -191,7 +191,7 @@
     term = None if name is None else world.nodes[name].term
     if term is not None:
         for machine in list(term.machines.values())[::3]:
-            term.fleet.give_back(machine, "an operator's wish")
+            term.fleet.release(machine, "an operator's wish")
 
 
 def freeze_leader(world: World) -> None:
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -23,9 +23,9 @@
 from twisted.internet import defer, reactor
 from twisted.web import resource, server
 
-from stileloft.bookkeeping.records import split_task
+from stileloft.model.records import split_task
 from stileloft.protocol import messages
-from stileloft.protocol.users import REPORT_PATH
+from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 from tests.rules import Rules
 from tests.simulation.cloud import Cloud
@@ -109,7 +109,7 @@
         return defer.ensureDeferred(self._deliver(target, body))
 
     async def _deliver(self, target: str, body: Any) -> Reply:
-        reply = await self.world.client.request("POST", self.world.public[target], REPORT_PATH, body, 4.0)
+        reply = await self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
         return Reply(reply.status, reply.body)
 
 
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -13,12 +13,12 @@
 
 from twisted.internet.testing import StringTransport
 
-from stileloft.coordination.dispatch import Dispatch
-from stileloft.coordination.fleet import Fleet
-from stileloft.coordination.leader import Term
-from stileloft.coordination.rounds import Rounds
+from stileloft.leadership.leader import Leader
+from stileloft.machines.fleet import Fleet
 from stileloft.protocol import messages
+from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.server import Answer, Router, make_site
+from stileloft.workers.dispatcher import CommandDispatcher
 from tests.simulation.fleet import FleetWorld
 
 REPEATS = 2000
@@ -85,8 +85,8 @@
     while True:
         world.run(0.5)
         name = world.leader()
-        if name is not None and world.nodes[name].term.loaded:
-            known = sum(1 for machine in world.nodes[name].term.machines.values() if machine.trusted)
+        if name is not None and world.nodes[name].term.store_loaded:
+            known = sum(1 for machine in world.nodes[name].term.machines.values() if machine.has_current_token)
             if known >= machines:
                 break
     print(f"  all machines known to the new leader {world.now - killed_at:.1f} s (simulated) after the loss of the old")
@@ -107,7 +107,7 @@
 
 def measure_report_requests(connections_kept: bool) -> None:
     """A report through the real server, with an answer that has nothing to say."""
-    handlers = {"POST": lambda _body, _arguments: Answer(200, messages.orders(7, []))}
+    handlers = {"POST": lambda _body, _arguments: Answer(200, messages.command_message(7, []))}
     router = Router(
         lambda _path: (handlers, {}), messages.encode, messages.decode, "application/cbor", lambda _: connections_kept
     )
@@ -145,7 +145,12 @@
     for machines in sizes:
         measure_memory(machines)
     costs = Costs()
-    for owner, method in ((Rounds, "_decide"), (Rounds, "_apply"), (Term, "_check"), (Dispatch, "on_report")):
+    for owner, method in (
+        (SchedulingLoop, "_decide"),
+        (SchedulingLoop, "_apply"),
+        (Leader, "_check"),
+        (CommandDispatcher, "on_report"),
+    ):
         costs.watch(owner, method)
     costs.watch(Fleet, "take_list")
     for machines in sizes:
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -8,10 +8,10 @@
 import sys
 import time
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import JobEnd
 from stileloft.features import Features, RebuildFeature
-from stileloft.rebuild.ends import Ends
+from stileloft.model import records
+from stileloft.model.records import JobOutcome
+from stileloft.rebuild.job_outcomes import Ends
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.snapshot import to_pieces
 from tests.simulation.fleet import FleetWorld
@@ -81,7 +81,7 @@
     began = time.process_time()
     ends = Ends()
     for number in numbers:
-        ends.add(f"j-{number:06d}", JobEnd("done", 1 + number % 40))
+        ends.add(f"j-{number:06d}", JobOutcome("done", 1 + number % 40))
     added_s = time.process_time() - began
     began = time.process_time()
     values = ends.to_records(16 * 1024)
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -2,35 +2,35 @@
 
 import copy
 
-from stileloft.bookkeeping.model import TaskKey
-from stileloft.coordination import preemption
-from stileloft.coordination.placement import MAX_HOLDS, as_running, cost, fetch_time, limit_aged, order_key
-from stileloft.coordination.preemption import Eviction, loss
-from stileloft.coordination.snapshot import (
-    Hold,
-    Node,
+from stileloft.model.placements import TaskKey
+from stileloft.protocol.messages import JobSpec
+from stileloft.scheduling import preemption
+from stileloft.scheduling.placement import MAX_RESERVATIONS, as_running, cost, fetch_time, limit_aged, order_key
+from stileloft.scheduling.preemption import Preemption, loss
+from stileloft.scheduling.snapshot import (
+    MachineView,
     Nomination,
-    Running,
+    PendingJob,
+    Reservation,
+    RunningTask,
     Snapshot,
     Usage,
-    Waiting,
     allowed,
     beyond_guarantee,
     within_guarantee,
     within_limit,
     zone_allowed,
 )
-from stileloft.protocol.messages import JobSpec
 
 
-def trial(job: JobSpec, node: Node, nominated: list[Nomination], snapshot: Snapshot) -> list[Running] | None:
+def trial(job: JobSpec, node: MachineView, nominated: list[Nomination], snapshot: Snapshot) -> list[RunningTask] | None:
     """The design's words, with lists and sums only: remove in order, then return in the opposite order."""
     teams, usage = snapshot.teams, snapshot.usage
     owed = within_guarantee(job, teams.get(job.team), usage.get(job.team, Usage()))
     single = [
         t
         for t in node.tasks
-        if not t.leaving
+        if not t.stopping
         and t.spec is not None
         and (
             t.rank < job.rank
@@ -43,12 +43,20 @@
         )
     ]
     # A gang is one victim, with what it loses on all its machines.
-    may = [[t] for t in single if t.together == 1]
-    may += [[t for t in single if t.key[0] == name] for name in {t.key[0] for t in single if t.together > 1}]
-    may.sort(key=lambda v: (v[0].rank, not v[0].safe, v[0].fresh, v[0].unsaved_s * v[0].cpus * v[0].together, v[0].key))
+    may = [[t] for t in single if t.group_size == 1]
+    may += [[t for t in single if t.key[0] == name] for name in {t.key[0] for t in single if t.group_size > 1}]
+    may.sort(
+        key=lambda v: (
+            v[0].rank,
+            not v[0].budget_safe,
+            v[0].recently_started,
+            v[0].unsaved_s * v[0].cpus * v[0].group_size,
+            v[0].key,
+        )
+    )
 
-    def fits(gone: list[list[Running]], leave: bool = True) -> bool:
-        stay = [t for t in node.tasks if not any(t in victim for victim in gone) and not (leave and t.leaving)]
+    def fits(gone: list[list[RunningTask]], leave: bool = True) -> bool:
+        stay = [t for t in node.tasks if not any(t in victim for victim in gone) and not (leave and t.stopping)]
         wanted = [n.spec for n in nominated if n.rank >= job.rank] + [job]
         return (
             sum(t.cpus for t in stay) + sum(w.cpus for w in wanted) <= node.type.cpus + 1e-6
@@ -68,24 +76,24 @@
     return None
 
 
-def preempt(job: Waiting, snapshot: Snapshot, nominations: list[Nomination]) -> Eviction | None:
+def preempt(job: PendingJob, snapshot: Snapshot, nominations: list[Nomination]) -> Preemption | None:
     """The best machine and its victims."""
     spec = job.spec
     if not within_limit(spec, snapshot.teams.get(spec.team), snapshot.usage.get(spec.team, Usage())):
         return None
     found = []
     for node in snapshot.nodes.values():
-        hold = snapshot.holds.get(node.id)
+        hold = snapshot.reservations.get(node.id)
         if not may_use(job, node) or (hold and hold.owner not in ("", spec.id)):
             continue
         victims = trial(spec, node, [n for n in nominations if n.machine == node.id], snapshot)
         if victims is not None:
             image = 0 if spec.image in node.images else 1
-            found.append(((*loss(victims), image, node.id), Eviction(node.id, victims)))
+            found.append(((*loss(victims), image, node.id), Preemption(node.id, victims)))
     return min(found, key=lambda item: item[0])[1] if found else None
 
 
-def may_use(job: Waiting, node: Node) -> bool:
+def may_use(job: PendingJob, node: MachineView) -> bool:
     """Whether the machine is one for the job's tasks, whatever room it has."""
     return (
         node.up
@@ -96,7 +104,7 @@
     )
 
 
-def find(job: Waiting, snapshot: Snapshot, nominations: list[Nomination], scarce: bool) -> Node | None:
+def find(job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool) -> MachineView | None:
     """The best machine that fits now, beside the tasks nominated there."""
     spec = job.spec
     kinds = [kind.cpus for kind in snapshot.types.values()]
@@ -104,15 +112,15 @@
     for node in snapshot.nodes.values():
         if not may_use(job, node):
             continue
-        hold = snapshot.holds.get(node.id)
-        if hold is not None and not hold.lets(spec, job.estimate_s, job.overdue):
+        hold = snapshot.reservations.get(node.id)
+        if hold is not None and not hold.lets(spec, job.estimate_s, job.starving):
             continue
         if preemption.room_beside(spec, node, [n for n in nominations if n.machine == node.id]):
-            found.append((cost(spec, node, min(kinds), max(kinds), scarce, job.goal_s), node.id))
+            found.append((cost(spec, node, min(kinds), max(kinds), scarce, job.start_objective_s), node.id))
     return snapshot.nodes[min(found)[1]] if found else None
 
 
-def hold_room(job: Waiting, snapshot: Snapshot) -> None:
+def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps room on the machine that will have it first."""
     spec = job.spec
     found = []
@@ -120,7 +128,7 @@
         if not (
             node.up
             and node.ready
-            and node.id not in snapshot.holds
+            and node.id not in snapshot.reservations
             and node.id not in job.avoid
             and allowed(spec, node)
             and zone_allowed(spec, job.zones, node.zone)
@@ -133,20 +141,24 @@
             cpus, memory_gb, at = cpus + task.cpus, memory_gb + task.memory_gb, task.remaining_s
         if spec.cpus <= cpus and spec.memory_gb <= memory_gb:
             found.append(
-                (at, node.id, Hold(at, cpus - spec.cpus, 0.0, memory_gb - spec.memory_gb, spec.id if job.first else ""))
+                (
+                    at,
+                    node.id,
+                    Reservation(at, cpus - spec.cpus, 0.0, memory_gb - spec.memory_gb, spec.id if job.promoted else ""),
+                )
             )
-    if found and len(snapshot.holds) < MAX_HOLDS:
+    if found and len(snapshot.reservations) < MAX_RESERVATIONS:
         _, name, hold = min(found, key=lambda item: item[:2])
-        snapshot.holds[name] = hold
+        snapshot.reservations[name] = hold
 
 
-def take(job: Waiting, key: TaskKey, node: Node, snapshot: Snapshot) -> None:
+def take(job: PendingJob, key: TaskKey, node: MachineView, snapshot: Snapshot) -> None:
     """Puts a task there."""
-    spec, hold = job.spec, snapshot.holds.get(node.id)
+    spec, hold = job.spec, snapshot.reservations.get(node.id)
     if hold is not None and job.estimate_s > hold.until_s:
         hold.cpus -= spec.cpus
         hold.memory_gb -= spec.memory_gb
-    node.take(as_running(spec, key, job.first, job.estimate_s))
+    node.take(as_running(spec, key, job.promoted, job.estimate_s))
     if spec.image not in node.images:
         node.fetching |= {spec.image}
     job.zones[node.zone] = job.zones.get(node.zone, 0) + 1
@@ -155,7 +167,7 @@
 
 
 def place_gang(
-    job: Waiting, snapshot: Snapshot, nominations: list[Nomination], scarce: bool
+    job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool
 ) -> list[tuple[TaskKey, str]] | None:
     """Tries each zone on a copy of everything, task by task."""
     spec = job.spec
@@ -164,22 +176,22 @@
     if not within_limit(spec, snapshot.teams.get(spec.team), rest):
         return None
     heeded = [
-        n for n in nominations if n.key[0] != "expected" or (n.rank > spec.rank and not (job.first or job.overdue))
+        n for n in nominations if n.key[0] != "expected" or (n.rank > spec.rank and not (job.promoted or job.starving))
     ]
     found = []
     for zone in sorted({node.zone for node in snapshot.nodes.values()}) if spec.one_zone else [""]:
         copied = copy.deepcopy(snapshot)
         copied.nodes = {name: node for name, node in copied.nodes.items() if zone in ("", node.zone)}
-        tried = Waiting(
+        tried = PendingJob(
             spec,
             job.submitted,
             job.count,
             job.tasks,
             dict(job.zones),
             job.estimate_s,
-            job.goal_s,
+            job.start_objective_s,
             job.avoid,
-            overdue=job.overdue,
+            starving=job.starving,
         )
         placed, images_s = [], 0.0
         for index in job.tasks:
@@ -195,7 +207,7 @@
     return min(found, key=lambda item: item[:2])[2] if found else None
 
 
-def hold_room_for_gang(job: Waiting, snapshot: Snapshot) -> None:
+def hold_room_for_gang(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps the room in the zone that will have all of it first."""
     spec = job.spec
     found = []
@@ -207,7 +219,7 @@
                 and node.up
                 and node.ready
                 and allowed(spec, node)
-                and node.id not in snapshot.holds
+                and node.id not in snapshot.reservations
                 and node.id not in job.avoid
             ):
                 had = 0
@@ -224,18 +236,18 @@
         rooms.sort()
         if len(rooms) >= job.count:
             found.append((rooms[job.count - 1][0], zone, rooms[: job.count]))
-    if not found or len(snapshot.holds) >= MAX_HOLDS:
+    if not found or len(snapshot.reservations) >= MAX_RESERVATIONS:
         return
     until, _, chosen = min(found)
     for name in {name for _, name in chosen}:
         node, mine = snapshot.nodes[name], [at for at, other in chosen if other == name]
         going = [t for t in node.tasks if t.remaining_s <= max(mine)]
-        snapshot.holds[name] = Hold(
+        snapshot.reservations[name] = Reservation(
             until,
             node.cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
             0.0,
             node.memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
-            spec.id if job.first else "",
+            spec.id if job.promoted else "",
         )
 
 
@@ -267,11 +279,11 @@
 
 
 def decide(  # noqa: C901, PLR0912, PLR0915 - the model is one list of steps
-    snapshot: Snapshot, max_placed: int, max_evictions: int
+    snapshot: Snapshot, max_placed: int, max_preemptions: int
 ) -> tuple[list[tuple[TaskKey, str]], list[tuple[TaskKey, str, list[TaskKey]]], dict[str, int]]:
     """Placements, evictions and what is unmet."""
     placed: list[tuple[TaskKey, str]] = []
-    evictions: list[tuple[TaskKey, str, list[TaskKey]]] = []
+    preemptions: list[tuple[TaskKey, str, list[TaskKey]]] = []
     unmet: dict[str, int] = {}
     saving: list[str] = []
     limit_aged(snapshot)
@@ -297,10 +309,10 @@
             if len(placed) >= max_placed:
                 break
             if not within_limit(spec, team, used):
-                if job.first and spec.team not in saving:
+                if job.promoted and spec.team not in saving:
                     saving.append(spec.team)
                     used.cpus += spec.cpus
-                    hold_room(job, snapshot)
+                    reserve_room(job, snapshot)
                 break
             key = (spec.id, index)
             own = next((n for n in nominations if n.key == key), None)
@@ -316,7 +328,7 @@
                 ):
                     target = node
             if target is None and not stuck:
-                heeded = [n for n in nominations if n.key[0] != "expected" or not (job.first or job.overdue)]
+                heeded = [n for n in nominations if n.key[0] != "expected" or not (job.promoted or job.starving)]
                 target = find(job, snapshot, heeded, scarce)
             if target is not None:
                 take(job, key, target, snapshot)
@@ -327,13 +339,13 @@
                 nominated += 1
                 continue
             if not stuck:
-                hold_room(job, snapshot)
+                reserve_room(job, snapshot)
             stuck = True
-            eviction = preempt(job, snapshot, nominations) if len(evictions) < max_evictions else None
+            eviction = preempt(job, snapshot, nominations) if len(preemptions) < max_preemptions else None
             if eviction is None:
                 break
-            evictions.append((key, eviction.machine, sorted(v.key for v in eviction.victims)))
-            gone = {t.key[0] for t in eviction.victims if t.together > 1}
+            preemptions.append((key, eviction.machine, sorted(v.key for v in eviction.victims)))
+            gone = {t.key[0] for t in eviction.victims if t.group_size > 1}
             for node in snapshot.nodes.values():
                 node.leave([t for t in node.tasks if t in eviction.victims or t.key[0] in gone])
             nominations = [n for n in nominations if n.machine != eviction.machine or n.rank >= spec.rank]
@@ -342,4 +354,4 @@
             nominated += 1
         if stuck and job.count > nominated and within_limit(spec, team, used):
             unmet[spec.id] = job.count - nominated
-    return placed, evictions, unmet
+    return placed, preemptions, unmet
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -7,9 +7,9 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping.records import split_task
+from stileloft.model.records import split_task
 from stileloft.protocol import messages
-from stileloft.protocol.users import REPORT_PATH
+from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import ConnectionFailedError, NoResponseError, Reply
 from tests.simulation.clients import Connection
 from tests.simulation.deployment import SETTINGS
@@ -62,9 +62,9 @@
         number = self.processes[name]
         process = Process(self, name, number)
         version = self.versions[name]
-        node = version.Node(
+        node = version.controller_class(
             process,
-            version.parse(self.settings(name)),
+            version.parse_settings(self.settings(name)),
             lambda: self.now + 1000.0,
             lambda *_, **options: self.CONNECTION(self, name, number, **options),
             **({"features": self.features[name]} if version is NEW and self.features[name] else {}),
@@ -94,7 +94,7 @@
     def keeps_report_connection(self, name: str) -> bool:
         """Whether a node leaves a worker's connection open after its answer; the versions before always do."""
         keep = getattr(self.nodes[name], "keep_request", None)
-        return keep is None or keep(REPORT_PATH)
+        return keep is None or keep(HEARTBEAT_PATH)
 
     def kill(self, name: str, back_after: float | None = 5.0, version: Version | None = None) -> None:
         """Ends a process; it comes back as it was, or as another version."""
@@ -127,7 +127,11 @@
         self.clock.callLater(wait + self.random.uniform(0.0, 0.005), later)
 
     def leader(self) -> str | None:
-        return next((n for n, node in self.nodes.items() if node is not None and node.election.confirmed()), None)
+        return next((name for name, node in self.nodes.items() if node is not None and self._leads(name, node)), None)
+
+    def _leads(self, name: str, node: Any) -> bool:
+        holds_lease: Callable[[], bool] = self.versions[name].part(node.election, "holds_lease")
+        return holds_lease()
 
     def to_node(self, name: str, work: Callable[[], Any]) -> Any:
         """A request that came to a process: a frozen one takes it up when it goes on."""
@@ -152,7 +156,7 @@
         node = self.nodes[name]
         if node is None:
             raise ConnectionFailedError("no process")
-        answer = node.report(self.versions[name].messages.parse_report(body))
+        answer = self.versions[name].handle_heartbeat(node, body)
         return Reply(answer.status, messages.decode(messages.encode(answer.body)))
 
     def new_leader(self, name: str) -> None:
@@ -167,4 +171,4 @@
     def copy_report(self, name: str, body: Any) -> None:
         node = self.nodes[name]
         if node is not None:
-            node.report(self.versions[name].messages.parse_report(body))
+            self.versions[name].handle_heartbeat(node, body)
--- a/tests/simulation/fleet.py
+++ b/tests/simulation/fleet.py
@@ -1,7 +1,7 @@
 """A deployment of thousands of machines, whose nodes have far fewer sockets than there are machines."""
 
-from stileloft.bookkeeping import records
 from stileloft.features import Features
+from stileloft.model import records
 from tests.simulation.deployment import TYPES, with_settings
 from tests.simulation.world import World
 
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import defer
 
-from stileloft.coordination.node import Node
+from stileloft.controller.controller import Controller
 
 
 class Users:
@@ -46,7 +46,7 @@
         self.rules.cancelling(job)
         self._ask(lambda node: node.admission.cancel(job), self._told, job)
 
-    def _ask(self, ask: Callable[[Node], Any], told: Callable[[str, Any], None], job: str) -> None:
+    def _ask(self, ask: Callable[[Controller], Any], told: Callable[[str, Any], None], job: str) -> None:
         self.rules.asked(job)
         name = self.random.choice(self.names)
         node = self.nodes[name]
@@ -92,7 +92,7 @@
         if self.random.random() < 0.2 and not self.rules.is_final(job):
             self.clock.callLater(self.random.uniform(0.0, 0.05), self.cancel, job)
 
-    def _look(self, name: str, ask: Callable[[Node], Any], job: str) -> None:
+    def _look(self, name: str, ask: Callable[[Controller], Any], job: str) -> None:
         node, number, asked_at = self.nodes[name], self.processes[name], self.now
         if node is None:
             return
@@ -104,8 +104,8 @@
         self.awake(name, lambda: defer.ensureDeferred(ask(node)).addCallbacks(answer, lambda _: None))
 
     @staticmethod
-    def _question(job: str) -> Callable[[Node], Any]:
+    def _question(job: str) -> Callable[[Controller], Any]:
         return lambda node: node.admission.status(job)
 
-    def _submission(self, body: dict[str, Any]) -> Callable[[Node], Any]:
+    def _submission(self, body: dict[str, Any]) -> Callable[[Controller], Any]:
         return lambda node: node.admission.submit(self.versions[node.settings.member].messages.parse_job(body))
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -4,7 +4,7 @@
 
 from twisted.internet import defer
 
-from stileloft.bookkeeping.records import split_task
+from stileloft.model.records import split_task
 from stileloft.protocol import messages
 from stileloft.transport.client import NoResponseError, Reply
 from tests.simulation.gangs import Gang
@@ -21,7 +21,7 @@
         self.address = f"{name}:9000"
         self.rented = world.now
         self.up = self.gone = self.hung = False
-        self.session, self.seq, self.token = 1, 0, 0
+        self.epoch, self.sequence, self.token = 1, 0, 0
         self.renewed = world.now
         self.notice: float | None = None
         self.tasks: dict[str, dict[str, Any]] = {}
@@ -43,15 +43,15 @@
             self.boot()
 
     def report(self) -> dict[str, Any]:
-        self.seq += 1
+        self.sequence += 1
         return {
             "host": self.name,
             "endpoint": self.address,
             "build": self.kind["label"],
             "yard": self.zone,
             "loaner": self.spot,
-            "stint": self.session,
-            "tick": self.seq,
+            "stint": self.epoch,
+            "tick": self.sequence,
             "baton": self.token,
             "warningS": None if self.notice is None else max(0.0, self.notice - self.world.now),
             "pieces": [
@@ -73,7 +73,7 @@
             for name in list(self.tasks):
                 self.leave(name)
             self.tasks.clear()
-            self.session += 1
+            self.epoch += 1
             self.renewed = self.world.now
 
     def loop(self) -> None:
@@ -86,7 +86,7 @@
         if self.gone or self.hung or not self.up or self.reporting:
             return
         self.reporting = True
-        sent, session, target = self.world.now, self.session, self.target
+        sent, session, target = self.world.now, self.epoch, self.target
         if not self.connect(target):
             self.reporting = False
             self.next_node()
@@ -101,7 +101,7 @@
                 timer.cancel()
             if reply.status != 200 or not self.world.keeps_report_connection(target):
                 self.disconnect()
-            if self.gone or self.hung or session != self.session:
+            if self.gone or self.hung or session != self.epoch:
                 return
             if reply.status == 421:
                 steward = (reply.body or {}).get("steward")
@@ -158,7 +158,7 @@
         if self.hung:
             raise NoResponseError("hangs")
         self.lapse()
-        if body["baton"] < self.token or body["stint"] != self.session:
+        if body["baton"] < self.token or body["stint"] != self.epoch:
             self.refuse(body)
             return Reply(409, self.report())
         if body["baton"] > self.token:
@@ -194,7 +194,7 @@
         if known is not None and (known["try"] == attempt or known["phase"] != "exited"):
             return  # no effect, or another attempt is here still, which a real worker refuses
         job = self.world.jobs.get(split_task(name)[0])
-        state = {"try": attempt, "phase": "fetching", "cause": None, "session": self.session}
+        state = {"try": attempt, "phase": "fetching", "cause": None, "session": self.epoch}
         self.tasks[name] = state
         if job is None:
             state["phase"], state["cause"] = "exited", "no_such"
@@ -254,7 +254,7 @@
         for name in list(self.tasks):
             self.leave(name)
         self.tasks.clear()
-        self.session, self.seq, self.token = 1, 0, 0
+        self.epoch, self.sequence, self.token = 1, 0, 0
         self.renewed = self.world.now
 
     def die(self) -> None:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from stileloft.bookkeeping.records import split_task
-from stileloft.coordination.node import Node
+from stileloft.controller.controller import Controller
 from stileloft.features import Features
+from stileloft.model.records import split_task
 from tests.rules import Rules
 from tests.simulation.cloud import Cloud
 from tests.simulation.controllers import Controllers
@@ -85,7 +85,7 @@
         """Until when users ask at all nodes, and submit again, within milliseconds of each answer that counts."""
         self.begin_untroubled()
         self.processes = {name: 0 for name in self.names}
-        self.nodes: dict[str, Node | None] = dict.fromkeys(self.names)
+        self.nodes: dict[str, Controller | None] = dict.fromkeys(self.names)
         self.rules = Rules(self)
         self.state = StateService(self)
         self.cloud = Cloud(self, capacity)
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -11,8 +11,8 @@
 
 from twisted.internet import defer, reactor
 
-from stileloft.bookkeeping import records
-from stileloft.protocol.users import REPORT_PATH
+from stileloft.model import records
+from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 from tests.loopback_cluster import LOCAL, LoopbackCloud, LoopbackCluster, LoopbackMachine
 from tests.simulation.deployment import TYPES, with_settings
@@ -84,7 +84,7 @@
     def _report(self, target: str, body: Any) -> defer.Deferred:
         if self.world.mute.get(self.name, 0.0) > self.world.now:
             raise NoResponseError("silence")
-        answered = self.world.client.request("POST", self.world.public[target], REPORT_PATH, body, 4.0)
+        answered = self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
         return defer.ensureDeferred(answered).addCallback(self._unless_deaf)
 
     def _unless_deaf(self, reply: Reply) -> Reply:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,22 +7,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stileloft.coordination.gangs import units
-from stileloft.coordination.placement import decide
-from stileloft.coordination.preemption import candidates, loss, preempt, room_beside
-from stileloft.coordination.scaling import Demand, Offer, Planner
-from stileloft.coordination.snapshot import (
-    Hold,
-    Node,
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling.autoscaling import Autoscaler, InstanceOffer, ScalingDemand
+from stileloft.scheduling.gangs import units
+from stileloft.scheduling.placement import decide
+from stileloft.scheduling.preemption import candidates, loss, preempt, room_beside
+from stileloft.scheduling.snapshot import (
+    MachineView,
     Nomination,
-    Running,
+    PendingJob,
+    Reservation,
+    RunningTask,
     Snapshot,
     Usage,
-    Waiting,
     allowed,
 )
-from stileloft.protocol.admin import OperatorSettings
-from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.settings import Team
 from tests import reference_model as plain
 
@@ -39,14 +39,14 @@
     return JobSpec(id=f"j-{number}", job_class="batch", team=team, kind=kind, priority=priority, cpus=cpus, **fields)
 
 
-def node(name: str, kind: MachineType, tasks: list[Running], **more: object) -> Node:
-    made = Node(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
+def node(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
+    made = MachineView(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
     made.settle()
     return made
 
 
 @st.composite
-def fleets(draw: st.DrawFn) -> list[Node]:
+def fleets(draw: st.DrawFn) -> list[MachineView]:
     nodes = []
     serial = itertools.count(100)
     # Two gangs may have tasks on any of the machines.
@@ -64,7 +64,7 @@
     unsaved = [float(draw(st.integers(0, 30))) for _ in gangs]
     for number in range(draw(st.integers(1, 3))):
         kind = draw(st.sampled_from([SMALL, LARGE]))
-        tasks: list[Running] = []
+        tasks: list[RunningTask] = []
         free = kind.cpus
         for _ in range(draw(st.integers(0, 5))):
             which = draw(st.integers(0, 5))
@@ -72,7 +72,7 @@
                 job = gangs[which]
                 free -= job.cpus
                 tasks.append(
-                    Running(
+                    RunningTask(
                         (job.id, next(serial)),
                         job,
                         job.team,
@@ -82,7 +82,7 @@
                         1.0,
                         unsaved_s=unsaved[which],
                         remaining_s=7.0,
-                        together=4,
+                        group_size=4,
                     )
                 )
                 continue
@@ -97,7 +97,7 @@
                 draw(st.sampled_from(["core", "edge"])),
             )
             tasks.append(
-                Running(
+                RunningTask(
                     (job.id, 0),
                     job,
                     job.team,
@@ -113,7 +113,7 @@
     return nodes
 
 
-def used(nodes: list[Node]) -> dict[str, Usage]:
+def used(nodes: list[MachineView]) -> dict[str, Usage]:
     usage = {name: Usage() for name in TEAMS}
     for one in nodes:
         for task in one.tasks:
@@ -124,7 +124,7 @@
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16), st.sampled_from(["idle", "standard", "urgent"]), st.sampled_from(["core", "edge"]))
 def test_preemption_is_the_designs_trial_on_the_best_machine(
-    nodes: list[Node], cpus: int, priority: str, team: str
+    nodes: list[MachineView], cpus: int, priority: str, team: str
 ) -> None:
     job = spec(1, float(cpus), priority, team)
     usage = used(nodes)
@@ -147,7 +147,7 @@
 
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16))
-def test_every_victim_is_necessary(nodes: list[Node], cpus: int) -> None:
+def test_every_victim_is_necessary(nodes: list[MachineView], cpus: int) -> None:
     job = spec(1, float(cpus), "urgent")
     found = preempt(job, {}, nodes, [], TEAMS, used(nodes))
     if found is None:
@@ -183,7 +183,7 @@
             types=draw(st.sampled_from([None, ["large"]])),
             kind=draw(st.sampled_from(["array", "gang"])),
         )
-        waiting.append(Waiting(job, float(draw(st.integers(0, 50))), tasks, list(range(tasks)), {}, 10.0))
+        waiting.append(PendingJob(job, float(draw(st.integers(0, 50))), tasks, list(range(tasks)), {}, 10.0))
     return Snapshot(60.0, {n.id: n for n in nodes}, waiting, TEAMS, used(nodes), {}, {"small": SMALL, "large": LARGE})
 
 
@@ -211,22 +211,22 @@
             assert max(where.count(z) for z in where) <= (jobs[job_id].tasks + 1) // 2
     for name, team in TEAMS.items():
         assert usage[name] <= max(team.cpus_max or 1e9, used(list(snapshot.nodes.values()))[name].cpus)
-    for key, eviction in decision.evictions:
+    for key, eviction in decision.preemptions:
         for victim in eviction.victims:
             assert victim.rank <= jobs[key[0]].rank and victim.key[0] != key[0]
 
 
 @DERANDOMIZED
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
-def test_decisions_are_those_of_the_plain_model(snapshot: Snapshot, max_evictions: int, random) -> None:
+def test_decisions_are_those_of_the_plain_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
     """Whole rounds, with room held, nominations of earlier rounds, images and tasks that leave."""
     for one in snapshot.nodes.values():
         one.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
         one.leave([task for task in one.tasks if random.random() < 0.2])
     for job in snapshot.waiting:
-        job.goal_s = random.choice([None, 2.0])
-        job.aged, job.begun = random.random() < 0.3, random.random() < 0.5
-        job.overdue = random.random() < 0.3
+        job.start_objective_s = random.choice([None, 2.0])
+        job.aged, job.started = random.random() < 0.3, random.random() < 0.5
+        job.starving = random.random() < 0.3
         job.avoid = frozenset(name for name in snapshot.nodes if random.random() < 0.1)
         if random.random() < 0.3 and not job.spec.is_gang:
             key, name = (job.spec.id, job.tasks[-1]), random.choice(list(snapshot.nodes))
@@ -235,11 +235,11 @@
         (spec(950 + i, 2.0, priority, kind="gang", spot=False, one_zone=i == 0), random.randrange(6))
         for i, priority in enumerate(random.sample(["idle", "standard", "urgent"], 2))
     ]
-    expected = plain.decide(copy.deepcopy(snapshot), 6, max_evictions)
+    expected = plain.decide(copy.deepcopy(snapshot), 6, max_preemptions)
     before = {name: (one, one.cpus, list(one.tasks)) for name, one in snapshot.nodes.items()}
-    decision = decide(snapshot, 6, max_evictions)
+    decision = decide(snapshot, 6, max_preemptions)
     assert decision.placed == expected[0]
-    assert [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.evictions] == expected[1]
+    assert [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.preemptions] == expected[1]
     assert {job.spec.id: left for job, left in decision.unmet} == expected[2]
     # The machines as they were handed in serve other rounds too.
     assert all(one.cpus == cpus and one.tasks == tasks for one, cpus, tasks in before.values())
@@ -275,7 +275,7 @@
         for job in draw.choices(running, k=draw.randint(0, 6)):
             if job.cpus <= one.cpus:
                 one.take(
-                    Running(
+                    RunningTask(
                         (job.id, next(serial)),
                         job,
                         job.team,
@@ -285,10 +285,10 @@
                         1.0,
                         unsaved_s=left[job.id] / 2,
                         remaining_s=left[job.id],
-                        safe=draw.random() < 0.7,
-                        leaving=draw.random() < 0.1,
-                        together=4 if job.is_gang else 1,
-                        fresh=left[job.id] < 15,
+                        budget_safe=draw.random() < 0.7,
+                        stopping=draw.random() < 0.1,
+                        group_size=4 if job.is_gang else 1,
+                        recently_started=left[job.id] < 15,
                     )
                 )
         nodes.append(one)
@@ -305,7 +305,7 @@
             spot=draw.random() < 0.4,
         )
         waits.append(
-            Waiting(
+            PendingJob(
                 job,
                 float(draw.randint(0, 50)),
                 tasks,
@@ -314,8 +314,8 @@
                 float(draw.randint(2, 20)),
                 draw.choice([None, 2.0]),
                 aged=draw.random() < 0.2,
-                begun=draw.random() < 0.5,
-                overdue=draw.random() < 0.3,
+                started=draw.random() < 0.5,
+                starving=draw.random() < 0.3,
             )
         )
     expected = [(any_spec(950 + i, 2, kind="gang", spot=i == 1, one_zone=i == 0), draw.randint(0, 8)) for i in range(2)]
@@ -332,7 +332,7 @@
         expected = plain.decide(copy.deepcopy(snapshot), 50, 8)
         decision = decide(snapshot, 50, 8)
         assert decision.placed == expected[0], seed
-        stopped = [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.evictions]
+        stopped = [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.preemptions]
         assert stopped == expected[1], seed
         assert {job.spec.id: left for job, left in decision.unmet} == expected[2], seed
         placed: dict[str, int] = {}
@@ -342,18 +342,18 @@
             if job.spec.is_gang:
                 assert placed.get(job.spec.id, 0) in (0, job.spec.tasks), seed
                 gangs_placed += job.spec.id in placed
-        gangs_stopped += any(v.together > 1 for _, e in decision.evictions for v in e.victims)
+        gangs_stopped += any(v.group_size > 1 for _, e in decision.preemptions for v in e.victims)
         # A waiting gang stops nobody.
-        assert not {key[0] for key, _ in decision.evictions} & {j.spec.id for j in snapshot.waiting if j.spec.is_gang}
+        assert not {key[0] for key, _ in decision.preemptions} & {j.spec.id for j in snapshot.waiting if j.spec.is_gang}
     assert gangs_placed > 200 and gangs_stopped > 5
 
 
 @DERANDOMIZED
 @given(fleets(), st.lists(st.tuples(st.integers(1, 8), st.sampled_from(["standard", "urgent"])), max_size=5))
-def test_a_task_waits_only_when_it_fits_nowhere(nodes: list[Node], wanted: list[tuple[int, str]]) -> None:
+def test_a_task_waits_only_when_it_fits_nowhere(nodes: list[MachineView], wanted: list[tuple[int, str]]) -> None:
     """Against first fit by brute force: what is left unplaced has no room left."""
     waiting = [
-        Waiting(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
+        PendingJob(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
         for i, (cpus, priority) in enumerate(wanted)
     ]
     snapshot = Snapshot(
@@ -363,20 +363,20 @@
     placed = {key[0] for key, _ in decision.placed}
     for job in waiting:
         if job.spec.id not in placed:
-            assert all(n.cpus < job.spec.cpus or n.id in snapshot.holds for n in snapshot.nodes.values())
+            assert all(n.cpus < job.spec.cpus or n.id in snapshot.reservations for n in snapshot.nodes.values())
 
 
 def test_nominated_room_is_not_given_away() -> None:
-    busy = Running(("j-9", 0), spec(9, 8.0), "core", 1, 8.0, 0.0, 1.0, remaining_s=100.0)
+    busy = RunningTask(("j-9", 0), spec(9, 8.0), "core", 1, 8.0, 0.0, 1.0, remaining_s=100.0)
     one = node("n-0", SMALL, [busy])
     urgent, other = spec(1, 6.0, "urgent", tasks=1), spec(2, 4.0, tasks=1)
 
     def snapshot(nominations: dict) -> Snapshot:
-        waiting = [Waiting(urgent, 0.0, 1, [0], {}, 10.0), Waiting(other, 0.0, 1, [0], {}, 10.0)]
+        waiting = [PendingJob(urgent, 0.0, 1, [0], {}, 10.0), PendingJob(other, 0.0, 1, [0], {}, 10.0)]
         return Snapshot(0.0, {"n-0": one}, waiting, TEAMS, used([one]), nominations, {"small": SMALL})
 
     first = decide(snapshot({}), 10, 8)
-    assert [(key, e.machine, [v.key for v in e.victims]) for key, e in first.evictions] == [
+    assert [(key, e.machine, [v.key for v in e.victims]) for key, e in first.preemptions] == [
         (("j-1", 0), "n-0", [("j-9", 0)])
     ]
     one.give(busy)
@@ -391,10 +391,10 @@
     gang = spec(1, 4.0, "urgent", tasks=3, kind="gang")
     for machines, expected in ((1, 0), (2, 3)):
         nodes = [node(f"n-{i}", SMALL, []) for i in range(machines)]
-        waits = [Waiting(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
+        waits = [PendingJob(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
         snapshot = Snapshot(0.0, {n.id: n for n in nodes}, waits, TEAMS, used(nodes), {}, {"small": SMALL})
         decision = decide(snapshot, 10, 8)
-        assert len(decision.placed) == expected and decision.evictions == []
+        assert len(decision.placed) == expected and decision.preemptions == []
         assert [job.spec.id for job, _ in decision.unmet] == (["j-1"] if expected == 0 else [])
         assert sum(n.cpus for n in snapshot.nodes.values()) == 8.0 * machines - 4.0 * expected
 
@@ -408,35 +408,37 @@
     assert candidates(spec(1, 4.0), one, TEAMS, used([])) == []
 
 
-def waiting(job: JobSpec, count: int) -> Waiting:
-    return Waiting(job, 0.0, count, list(range(count)), {}, 10.0)
+def waiting(job: JobSpec, count: int) -> PendingJob:
+    return PendingJob(job, 0.0, count, list(range(count)), {}, 10.0)
 
 
 def scale(
-    unmet: list[tuple[Waiting, int]],
-    nodes: list[Node],
-    refused: set[Offer] | None = None,
+    unmet: list[tuple[PendingJob, int]],
+    nodes: list[MachineView],
+    refused: set[InstanceOffer] | None = None,
     settings: OperatorSettings | None = None,
 ):
     snapshot = Snapshot(0.0, {n.id: n for n in nodes}, [], TEAMS, used(nodes), {}, {"small": SMALL, "large": LARGE})
-    demand = Demand(unmet, refused=frozenset(refused or ()))
-    return Planner(snapshot, demand, settings or OperatorSettings()).plan()
+    demand = ScalingDemand(unmet, refused=frozenset(refused or ()))
+    return Autoscaler(snapshot, demand, settings or OperatorSettings()).plan()
 
 
 def test_rentals_are_cheap_and_fit_the_task() -> None:
     large = scale([(waiting(spec(1, 16.0), 2), 2)], [])
-    assert list(large.rent) == [("large", "a", True)] and sum(large.rent.values()) == 1
+    assert list(large.provision) == [("large", "a", True)] and sum(large.provision.values()) == 1
     small = scale([(waiting(spec(1, 4.0), 2), 2)], [])
-    assert list(small.rent) == [("small", "a", True)]
+    assert list(small.provision) == [("small", "a", True)]
     elsewhere = scale([(waiting(spec(1, 4.0), 2), 2)], [], {("small", "a", True)})
-    assert list(elsewhere.rent) == [("small", "b", True)]
+    assert list(elsewhere.provision) == [("small", "b", True)]
     dear = scale([(waiting(spec(1, 4.0, spot=False), 2), 2)], [])
-    assert list(dear.rent) == [("small", "a", False)]
+    assert list(dear.provision) == [("small", "a", False)]
     assert (
-        scale([(waiting(spec(1, 4.0, spot=False), 2), 2)], [], settings=OperatorSettings(rent_full_price=False)).rent
+        scale(
+            [(waiting(spec(1, 4.0, spot=False), 2), 2)], [], settings=OperatorSettings(rent_full_price=False)
+        ).provision
         == {}
     )
-    assert scale([(waiting(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)).rent == {}
+    assert scale([(waiting(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)).provision == {}
 
 
 def test_room_kept_for_gangs_is_no_room_for_others() -> None:
@@ -447,15 +449,15 @@
         job = waiting(spec(1, 4.0), 2)
         snapshot = Snapshot(0.0, {"n-0": kept}, [job], TEAMS, used([kept]), {}, {"small": SMALL}, keep)
         decision = decide(snapshot, 10, 8)
-        assert len(decision.placed) + 2 * len(decision.evictions) == placed
-        rented = Planner(snapshot, Demand(decision.unmet), OperatorSettings()).plan().rent
+        assert len(decision.placed) + 2 * len(decision.preemptions) == placed
+        rented = Autoscaler(snapshot, ScalingDemand(decision.unmet), OperatorSettings()).plan().provision
         assert sum(rented.values()) == (1 if keep else 0)
     old = waiting(spec(1, 4.0), 2)
     old.aged = True
     snapshot = Snapshot(0.0, {"n-0": kept}, [old], TEAMS, used([kept]), {}, {"small": SMALL}, expected)
     assert len(decide(snapshot, 10, 8).placed) == 1  # it begins with one task
     overdue = waiting(spec(1, 4.0), 2)
-    overdue.overdue = True
+    overdue.starving = True
     snapshot = Snapshot(0.0, {"n-0": kept}, [overdue], TEAMS, used([kept]), {}, {"small": SMALL}, expected)
     assert len(decide(snapshot, 10, 8).placed) == 2  # it has waited beside that room for too long
 
@@ -463,17 +465,17 @@
 def test_machines_on_the_way_count_and_idle_ones_go_back() -> None:
     coming = node("n-1", SMALL, [])
     coming.up = False
-    assert scale([(waiting(spec(1, 4.0), 2), 2)], [coming]).rent == {}
+    assert scale([(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
     idle = node("n-2", SMALL, [], idle_s=100.0)
-    assert scale([], [idle]).give_back == ["n-2"]
-    assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).give_back == []
+    assert scale([], [idle]).release == ["n-2"]
+    assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
 
 
 def test_held_room_is_open_to_what_was_not_served_for_long() -> None:
     """But for room that is held for an old job: that is for it alone, or for what fits beside it."""
     small = spec(1, 4.0)
     for owner, lets in (("", True), ("j-000002", False)):
-        hold = Hold(20.0, 2.0, 0.0, 8.0, owner)
+        hold = Reservation(20.0, 2.0, 0.0, 8.0, owner)
         assert hold.lets(small, 40.0, overdue=True) is lets
         assert not hold.lets(small, 40.0) and hold.lets(spec(1, 2.0), 40.0, overdue=True)
 
@@ -486,5 +488,5 @@
     snapshot = Snapshot(0.0, {n.id: n for n in nodes}, [old], TEAMS, used(nodes), {}, {"small": SMALL})
     decision = decide(snapshot, 100, 8)
     assert sorted(key for key, _ in decision.placed) == [("j-1", index) for index in range(28)]
-    shielded = [task for n in snapshot.nodes.values() for task in n.tasks if task.rank > 3]
-    assert len(shielded) == 8
+    preemption_exempt = [task for n in snapshot.nodes.values() for task in n.tasks if task.rank > 3]
+    assert len(preemption_exempt) == 8
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -10,17 +10,18 @@
 from twisted.internet import defer
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from stileloft.bookkeeping.model import BOUND, Machine, Placement
-from stileloft.bookkeeping.starts import OpenStarts
-from stileloft.coordination.authority import Authority, Refusal
-from stileloft.coordination.dispatch import MOST_IN_ANSWER, NO_TOKEN
-from stileloft.coordination.fence import Fence
-from stileloft.coordination.invariants import EVIDENCE_KEPT, LOGGED_OF_A_KIND, Invariant, InvariantMonitor
-from stileloft.coordination.leader import Term
-from stileloft.coordination.tokens import MOST_SPARES, FencingTokens
 from stileloft.features import Features, RebuildFeature
+from stileloft.leadership.authority import Authority, Refusal
+from stileloft.leadership.fencing_tokens import MOST_SPARES, FencingTokens
+from stileloft.leadership.invariants import EVIDENCE_KEPT, LOGGED_OF_A_KIND, Invariant, InvariantMonitor
+from stileloft.leadership.leader import Leader
+from stileloft.model.inflight_starts import InflightStarts
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
 from stileloft.transport.client import Client, ConnectionFailedError
+from stileloft.workers.dispatcher import MOST_IN_ANSWER, NO_TOKEN
+from stileloft.workers.fencing import MachineFencing
 from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.network import Hold
 from tests.simulation.world import World
@@ -76,15 +77,15 @@
 
 
 def test_a_start_is_open_until_its_session_or_its_token_is_over() -> None:
-    starts = OpenStarts()
-    starts.sent("j-1/0", 1, 10.0, 5, 1)
-    starts.sent("j-1/1", 1, 11.0, 7, 1)
-    starts.sent("j-1/0", 1, 12.0, 6, 1)  # sent again: when it was first sent stays
+    starts = InflightStarts()
+    starts.record_sent("j-1/0", 1, 10.0, 5, 1)
+    starts.record_sent("j-1/1", 1, 11.0, 7, 1)
+    starts.record_sent("j-1/0", 1, 12.0, 6, 1)  # sent again: when it was first sent stays
     first = starts.get("j-1/0", 1)
     assert first is not None and (first.first_sent_at, first.token) == (10.0, 6)
-    assert starts.drop_refused(1, 6) == [] and starts.highest_token([("j-1/0", 1), ("j-9/9", 1)]) == 6
-    assert [key for key, _ in starts.drop_refused(1, 7)] == [("j-1/0", 1)]
-    assert [key for key, _ in starts.drop_refused(2, 7)] == [("j-1/1", 1)]
+    assert starts.drop_fenced(1, 6) == [] and starts.highest_token([("j-1/0", 1), ("j-9/9", 1)]) == 6
+    assert [key for key, _ in starts.drop_fenced(1, 7)] == [("j-1/0", 1)]
+    assert [key for key, _ in starts.drop_fenced(2, 7)] == [("j-1/1", 1)]
     assert starts.by_attempt == {}
 
 
@@ -92,7 +93,7 @@
 # ----------------------------------------------------------------------------------------------------
 
 
-def leading(world: World) -> Term:
+def leading(world: World) -> Leader:
     name = world.leader()
     assert name is not None
     node = world.nodes[name]
@@ -110,13 +111,15 @@
     machine, worker = term.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
-    late = messages.orders(token, [messages.start(placement.task, placement.attempt)]) | {"stint": worker.session}
-    assert term.authority.forget(machine, placement.task, placement.attempt, False) is Refusal.START_OPEN
-    assert term.authority.forget(machine, placement.task, placement.attempt, True) is None
-    machine.open_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
-    assert term.authority.forget(machine, placement.task, placement.attempt, True) is Refusal.START_OPEN
+    late = messages.command_message(token, [messages.start_command(placement.task, placement.attempt)]) | {
+        "stint": worker.epoch
+    }
+    assert term.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
+    assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is None
+    machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
+    assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
     term.tasks.stop(placement, 0.0)
-    machine.draining = None
+    machine.drain_reason = None
     world.run(4 * world.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
     assert worker.token > token, "it was forgotten under a higher token than its start had"
@@ -200,16 +203,16 @@
     term = leading(world)
     machine = next(m for m in term.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
-    assert term.authority.transmission([placement], machine) is Refusal.SEEN
-    placement.seen = None
-    assert term.authority.transmission([placement], machine) is None
+    assert term.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
+    placement.reported_state = None
+    assert term.authority.check_transmission([placement], machine) is None
     term.tokens._spares.clear()
-    assert term.authority.transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
+    assert term.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
     term.node.election._confirmed_until = 0.0
-    assert term.authority.transmission([placement], machine) is Refusal.NOT_CONFIRMED
-    assert term.authority.transmission([], machine) is None
+    assert term.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
+    assert term.authority.check_transmission([], machine) is None
     term.alive = False
-    assert term.authority.transmission([], machine) is Refusal.TERM_OVER
+    assert term.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
 
 
 def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
@@ -218,13 +221,13 @@
     machine = next(iter(term.machines.values()))
     before = machine.token
     term.tokens._spares.clear()
-    term.dispatch.fence.raise_for_forgets(machine, world.now)
+    term.dispatcher.fencing.fence_for_forgets(machine, world.now)
     assert machine.token == before and no_violations == []
     term.tokens.committed(10**6)
-    term.dispatch.fence.raise_for_forgets(machine, world.now)
+    term.dispatcher.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
     term.tokens.committed(10**6 + 1)
-    term.dispatch.fence.raise_for_forgets(machine, world.now + 0.1)
+    term.dispatcher.fencing.fence_for_forgets(machine, world.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
@@ -243,7 +246,7 @@
 
     machines = set(world.cloud.machines)
     wire.request = connecting
-    term.fleet.give_back(next(iter(term.machines.values())), "a test")
+    term.fleet.release(next(iter(term.machines.values())), "a test")
     world.run(0.1)
     term.node.election._confirm(world.now)
     term.fleet._request_machines(("small", "a", True), 1)
@@ -261,7 +264,7 @@
     keep = admission._keep_final
 
     def keeping(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
-        seen.append(job.over)  # the answer is made, and not sent yet
+        seen.append(job.end_phase)  # the answer is made, and not sent yet
         return keep(job_id, value)
 
     admission._keep_final = keeping  # type: ignore[method-assign]
@@ -275,13 +278,13 @@
     world = busy_world(34)
     term = leading(world)
     term.tokens._spares.clear()
-    commits = term.ledger.commits
+    commits = term.commit_queue.commits
     world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
     world.run(0.2)
     term.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     world.run(20)
-    assert term.ledger.commits > commits and "j-000200/0" in world.rules.done
-    assert term.dispatch.fence.waiting == {}
+    assert term.commit_queue.commits > commits and "j-000200/0" in world.rules.done
+    assert term.dispatcher.fencing.waiting == {}
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
@@ -344,7 +347,7 @@
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease bars the start."""
-    monkeypatch.setattr(Fence, "raise_token", lambda *_: True)
+    monkeypatch.setattr(MachineFencing, "fence_unwanted_starts", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
     run_watched(world, 80.0)
@@ -357,8 +360,12 @@
 def test_a_start_of_a_job_that_is_over_is_seen_and_not_sent(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
-    monkeypatch.setattr(Authority, "start", lambda _, placement, __: None if placement.state == BOUND else Refusal.SEEN)
-    monkeypatch.setattr(Authority, "transmission", lambda *_: None)
+    monkeypatch.setattr(
+        Authority,
+        "check_start",
+        lambda _, placement, __: None if placement.state == PlacementState.BOUND else Refusal.ALREADY_REPORTED,
+    )
+    monkeypatch.setattr(Authority, "check_transmission", lambda *_: None)
     world = busy_world(46)
     hold_and_cancel(world)
     run_watched(world, 60.0)
@@ -385,8 +392,8 @@
     term = leading(world)
     machine = next(m for m in term.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
-    term.dispatch.fence.barred(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
+    term.dispatcher.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
     world.run(5)
     assert no_violations and no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
-    assert Machine("n").barred_starts == {}
+    assert Machine("n").fenced_starts == {}
     no_violations.clear()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from stileloft.coordination.scaling import Plan
-from stileloft.protocol.cloud import RENT_LIMIT
+from stileloft.protocol.cloud import PROVISION_LIMIT
+from stileloft.scheduling.autoscaling import ScalingPlan
 from stileloft.transport import sockets
 from stileloft.transport.sockets import Sockets
 from tests.simulation.fleet import JOBS, FleetWorld
@@ -21,7 +21,7 @@
 def known_machines(world: World) -> int:
     """Machines that the present leader hears."""
     term = world.nodes[world.leader()].term
-    return sum(1 for machine in term.machines.values() if machine.trusted)
+    return sum(1 for machine in term.machines.values() if machine.has_current_token)
 
 
 def run_until_done(world: World, longest_s: float) -> None:
@@ -103,11 +103,11 @@
     world.run(5)
     fleet = world.nodes[world.leader()].term.fleet
     before = len(world.cloud.machines)
-    wanted = 2 * RENT_LIMIT + 20
-    fleet.apply(Plan(rent={("small", "a", True): wanted}))
+    wanted = 2 * PROVISION_LIMIT + 20
+    fleet.apply(ScalingPlan(provision={("small", "a", True): wanted}))
     world.run(2)
     assert len(world.cloud.machines) - before >= wanted
-    assert not fleet.refused_now()
+    assert not fleet.offers_without_capacity()
 
 
 @pytest.mark.parametrize(("soft", "hard", "expected"), [(1024, 4096, 2064), (1024, 1500, 1500), (4096, 4096, None)])
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -5,10 +5,11 @@
 import pytest
 from twisted.internet import defer
 
-from stileloft.bookkeeping.model import BOUND, ENDED, Job, Placement
-from stileloft.coordination import gangs
-from stileloft.coordination.admission import why_impossible
-from stileloft.protocol.messages import MachineType, parse_job, parse_report
+from stileloft.jobs.admission import why_impossible
+from stileloft.model.jobs import Job
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
+from stileloft.scheduling import gangs
 from stileloft.settings import Team
 from tests.simulation.gangs import Gang
 from tests.simulation.workers import Machine
@@ -267,13 +268,13 @@
     "states, stage",
     [
         ([], gangs.Stage.WAITING),
-        ([(1, "planned", False)] * 4, gangs.Stage.BINDING),
-        ([(1, BOUND, False)] * 3 + [(1, "planned", False)], gangs.Stage.BINDING),
-        ([(1, BOUND, False)] * 4, gangs.Stage.WHOLE),
-        ([(1, BOUND, False)] * 3, gangs.Stage.BROKEN),
-        ([(1, BOUND, False)] * 3 + [(2, BOUND, False)], gangs.Stage.BROKEN),
-        ([(1, BOUND, False)] * 3 + [(1, ENDED, False)], gangs.Stage.BROKEN),
-        ([(1, BOUND, False), (1, ENDED, True)], gangs.Stage.COMPLETED),
+        ([(1, PlacementState.PLANNED, False)] * 4, gangs.Stage.BINDING),
+        ([(1, PlacementState.BOUND, False)] * 3 + [(1, PlacementState.PLANNED, False)], gangs.Stage.BINDING),
+        ([(1, PlacementState.BOUND, False)] * 4, gangs.Stage.WHOLE),
+        ([(1, PlacementState.BOUND, False)] * 3, gangs.Stage.BROKEN),
+        ([(1, PlacementState.BOUND, False)] * 3 + [(2, PlacementState.BOUND, False)], gangs.Stage.BROKEN),
+        ([(1, PlacementState.BOUND, False)] * 3 + [(1, PlacementState.ENDED, False)], gangs.Stage.BROKEN),
+        ([(1, PlacementState.BOUND, False), (1, PlacementState.ENDED, True)], gangs.Stage.COMPLETED),
     ],
 )
 def test_what_becomes_of_a_gang_follows_from_its_placements(states: list, stage: gangs.Stage) -> None:
@@ -281,7 +282,7 @@
     assert gangs.stage(job) is stage
     assert gangs.may_start(job) is (stage is gangs.Stage.WHOLE)
     assert gangs.next_attempt(job) == (
-        1 if any(s == "planned" for _, s, _ in states) or not states else 1 + max(a for a, _, _ in states)
+        1 if any(s == PlacementState.PLANNED for _, s, _ in states) or not states else 1 + max(a for a, _, _ in states)
     )
 
 
@@ -317,7 +318,7 @@
             {"piece": "j-1/2", "try": 1, "phase": "exited", "cause": "incomplete"},
         ],
     }
-    assert [(t.state, t.why) for t in parse_report(body).tasks] == [
+    assert [(t.state, t.why) for t in parse_heartbeat(body).tasks] == [
         ("waiting", None),
         ("exited", "peer lost"),
         ("exited", "gang not complete"),
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -8,8 +8,9 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import Job, Placement, job_from_record
+from stileloft.model import records
+from stileloft.model.jobs import Job, job_from_record
+from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
 from tests.test_rules import crash_leader, finish, load, outage
@@ -164,7 +165,7 @@
     value = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
     again = job_from_record(json.loads(json.dumps(value)), 9, 5)
     again.recount()
-    assert (again.done, again.placed, again.version, again.size) == (2, 2, 9, 22)
+    assert (again.done, again.placed, again.version, again.chunk_size) == (2, 2, 9, 22)
     read = again.chunks[0]
     assert (read.attempt, read.done, read.inline, read.stored) == (3, {0, 4}, True, False)
     assert [(p.index, p.attempt, p.machine, p.zone, p.spot) for p in again.placements()] == [
@@ -250,7 +251,7 @@
     for index in range(placed):
         name = names[index % len(names)]
         job.add(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
-    values = job.chunk_of(0).records(job.spec, job.size, value_bytes)
+    values = job.chunk_of(0).records(job.spec, job.chunk_size, value_bytes)
     assert all(records.size_of(value) <= value_bytes for value in values)
     assert sum(len(value["p"]) for value in values) == placed
 
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from stileloft.coordination.node import Node
+from stileloft.controller.controller import Controller
 from tests.simulation.world import World
 from tests.test_inline_records import count_changes
 from tests.test_overlapping_faults import all_away, boots, cancel_now, close_looks, late_writes, many_questions, outage
@@ -163,7 +163,7 @@
     changes = sum(count for kind, count in counted.items() if "active" in kind or "tasks" in kind)
     assert changes <= 6 * tries
     term = world.nodes[world.leader()].term
-    assert [m.id for m in term.machines.values() if m.draining] == []
+    assert [m.id for m in term.machines.values() if m.drain_reason] == []
     world.cancel("j-000900")
     finish(world, 60)
     assert world.rules.last["j-000900"] == "aborted" and world.rules.broken == []
@@ -192,7 +192,7 @@
     name = world.leader()
     assert name is not None
     node = world.nodes[name]
-    assert isinstance(node, Node)
+    assert isinstance(node, Controller)
     term = node.term
     assert term is not None
     world.freeze(name, 6.0)
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from stileloft.bookkeeping import records
-from stileloft.coordination.leader import Term
-from stileloft.coordination.rounds import Rounds
+from stileloft.leadership.leader import Leader
+from stileloft.model import records
 from stileloft.protocol import messages
+from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.client import NoResponseError, Reply
 from tests.simulation.deployment import TYPES
 from tests.simulation.workers import Machine
@@ -355,7 +355,7 @@
 
 
 def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Term, "may_renew", lambda _: True)
+    monkeypatch.setattr(Leader, "may_renew", lambda _: True)
     broken = [line for seed in (1, 2, 3) for line in graces_in_a_row(seed, 0.012).rules.broken]
     assert any("ran_cancelled" in line for line in broken)
 
@@ -620,7 +620,7 @@
         world.run(0.1)
     job = world.nodes[world.leader()].term.jobs["j-000001"]
     for settled in (False, True):
-        while job.reload != (not settled) and world.now < 70:
+        while job.reload_pending != (not settled) and world.now < 70:
             world.clock.advance(0.01)
     # It has been read again; were it carried out now, its placements would come on top of what follows.
     assert handle(*late[0]).status == 409
@@ -648,10 +648,10 @@
         assert world.deliver_report(leader, body).status == 200
     known = term.machines[machine.name]
     assert known.placements and not known.claimed
-    assert not term.dispatch.reaches(known, world.now)
-    assert not term.fleet.session_over(known, world.now + 1.2 * 12.0)
-    assert not term.fleet.session_over(known, term.started_at + term.grace_s + 12.0)
-    assert term.fleet.session_over(known, term.started_at + term.grace_s + 1.2 * 12.0)
+    assert not term.dispatcher.reaches(known, world.now)
+    assert not term.fleet.lease_expired(known, world.now + 1.2 * 12.0)
+    assert not term.fleet.lease_expired(known, term.started_at + term.renewal_grace_s + 12.0)
+    assert term.fleet.lease_expired(known, term.started_at + term.renewal_grace_s + 1.2 * 12.0)
 
 
 def test_a_new_session_that_nobody_answered_lasts_for_a_lease() -> None:
@@ -664,11 +664,11 @@
     known = term.machines[machine.name]
     for name in world.names:
         world.cut(machine.name, name, 90.0)
-    known.renewed_at = world.now - 11.9
-    machine.session += 1
-    term.reports.observe(messages.parse_report(machine.report()))
-    assert not term.fleet.session_over(known, world.now + 12.0)
-    assert term.fleet.session_over(known, world.now + 1.2 * 12.0)
+    known.lease_renewed_at = world.now - 11.9
+    machine.epoch += 1
+    term.heartbeats.process(messages.parse_heartbeat(machine.report()))
+    assert not term.fleet.lease_expired(known, world.now + 12.0)
+    assert term.fleet.lease_expired(known, world.now + 1.2 * 12.0)
 
 
 def test_before_the_store_is_read_no_lease_is_renewed() -> None:
@@ -706,12 +706,12 @@
     world.run(4)
     leader = world.leader()
     term = world.nodes[leader].term
-    term.ledger.start_reload(term.jobs[job])
+    term.commit_queue.reload(term.jobs[job])
     refuse_leader(world)
     world.cancel(job)
     world.run(0.01)
     term.watch.on_change(job, None, world.state.revision)
-    assert term.jobs[job].reload and not term.machines[machine.name].claimed
+    assert term.jobs[job].reload_pending and not term.machines[machine.name].claimed
     told = world.deliver_report(leader, machine.report()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
         name for name, on in world.rules.where.items() if on is machine and name.startswith(job)
@@ -741,7 +741,7 @@
 
 
 def test_the_checker_sees_an_impossible_job_that_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stileloft.coordination.admission.why_impossible", lambda *_: None)
+    monkeypatch.setattr("stileloft.jobs.admission.why_impossible", lambda *_: None)
     world = World(seed=1)
     world.run(5)
     odd_requests(world)
@@ -750,8 +750,10 @@
 
 
 def test_the_checker_sees_what_waits_beside_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Rounds._place
-    monkeypatch.setattr(Rounds, "_place", lambda rounds, key, *more: key[0] != "j-000001" and plain(rounds, key, *more))
+    plain = SchedulingLoop._place
+    monkeypatch.setattr(
+        SchedulingLoop, "_place", lambda rounds, key, *more: key[0] != "j-000001" and plain(rounds, key, *more)
+    )
     world = World(seed=1, loss=0.0)
     for number in (1, 2):
         world.submit(world.job(number, pieces=1, guessS=60.0))
@@ -828,22 +830,22 @@
     assert set(rented_zones(0, 5, yard="b", crew="edge")) == {"b"}
     assert rented_zones(10, 6).count("a") >= 3
     term = world.nodes[world.leader()].term
-    while not term.fleet.distrusted_now() and world.now < 60:
+    while not term.fleet.unreliable_offers() and world.now < 60:
         world.run(0.05)
-    assert {zone for _, zone, _ in term.fleet.distrusted_now()} == {"a"}
+    assert {zone for _, zone, _ in term.fleet.unreliable_offers()} == {"a"}
     before = set(world.every_machine)
     world.run(8)
     instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
     assert len(instead) >= 2 and set(instead) == {"b"}
     fails[0] = False
     world.run(200)  # all is done, and machines go back
-    assert term.fleet.distrusted_now() == set()
+    assert term.fleet.unreliable_offers() == set()
     assert "a" in rented_zones(40, 8)
     finish(world)
     assert world.rules.broken == []
 
 
-@pytest.mark.parametrize("kind", [records.RENTED, records.IMAGES])
+@pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_late_records_of_rentals_and_images_do_no_harm(kind: str, seed: int) -> None:
     """They get no answer and are carried out seconds later, over newer ones; then leaders change that read them."""
@@ -888,8 +890,8 @@
         crash_leader(world)
         world.run(6)
         term = world.nodes[world.leader()].term
-        assert [machine.id for machine in term.machines.values() if machine.late and machine.listed_state] == []
-        assert term.fleet.distrusted_now() == set()
+        assert [machine.id for machine in term.machines.values() if machine.boot_overdue and machine.cloud_state] == []
+        assert term.fleet.unreliable_offers() == set()
         assert before <= set(world.cloud.machines) and len(world.cloud.machines) <= len(before) + 3
     finish(world)
     assert world.rules.broken == []
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -12,9 +12,9 @@
 from twisted.internet import defer
 from twisted.python.failure import Failure
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.records import split_task
 from stileloft.features import Features, RebuildFeature
+from stileloft.model import records
+from stileloft.model.records import split_task
 from stileloft.protocol.admin_errors import InvalidSettingsError
 from stileloft.rebuild.protection import Phase
 from tests.simulation.world import World
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -9,20 +9,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import active_record, separate_chunk
-from stileloft.bookkeeping.records import JobEnd
 from stileloft.features import FeaturesError, parse
-from stileloft.protocol.messages import JobSpec, Report, TaskReport, parse_job
-from stileloft.rebuild import undecided
-from stileloft.rebuild.directory import SnapshotDirectory
-from stileloft.rebuild.ends import Ends, InvalidEndsError
-from stileloft.rebuild.merge import Image, merge
-from stileloft.rebuild.notes import InvalidNotesError, parse_notes, take_in
+from stileloft.model import records
+from stileloft.model.chunks import separate_chunk
+from stileloft.model.jobs import active_record
+from stileloft.model.records import JobOutcome
+from stileloft.protocol.messages import Heartbeat, JobSpec, TaskStatus, parse_job
+from stileloft.rebuild import unresolved_tasks as undecided
+from stileloft.rebuild.change_broadcast import InvalidNotesError, parse_notes, take_in
+from stileloft.rebuild.job_outcomes import Ends, InvalidEndsError
 from stileloft.rebuild.reconstruction import ATTEMPT_MARGIN, Evidence, Reconstruction, reconstruct
 from stileloft.rebuild.replica import Replica
+from stileloft.rebuild.replica_merge import Image, merge
 from stileloft.rebuild.snapshot import Holder, InvalidSnapshotError, Snapshot, from_pieces, read_piece, to_pieces
-from stileloft.rebuild.undecided import Decision, InvalidDecisionError, Undecided
+from stileloft.rebuild.snapshot_directory import SnapshotDirectory
+from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
 from tests.simulation.world import World
 
 DEPLOYMENT = "0123456789abcdef"
@@ -58,7 +59,7 @@
     assert {key: record.value() for key, record in replica.records.items()} == {"active/j-1": {"c": 2}}
     replica.apply("images/n-1", ["img"], 13)
     replica.apply("final/j-2", {"phase": "done", "n": 3}, 13)
-    assert set(replica.records) == {"active/j-1"} and replica.ends.get("j-2") == JobEnd("done", 3)
+    assert set(replica.records) == {"active/j-1"} and replica.ends.get("j-2") == JobOutcome("done", 3)
 
 
 def test_notes_of_another_store_change_nothing() -> None:
@@ -67,7 +68,7 @@
     take_in(parse_notes({"deployment": DEPLOYMENT, "generation": 1, "changes": changes}), replica)
     assert "active/j-1" in replica.records and not len(replica.ends)
     take_in(parse_notes({"deployment": DEPLOYMENT, "generation": 2, "changes": changes}), replica)
-    assert not replica.records and replica.ends.get("j-1") == JobEnd("cancelled", 0)
+    assert not replica.records and replica.ends.get("j-1") == JobOutcome("cancelled", 0)
 
 
 @pytest.mark.parametrize(
@@ -96,20 +97,20 @@
 def test_ends_are_what_was_added_after_any_encoding(ends: dict[str, tuple[str, int]], value_bytes: int) -> None:
     found = Ends()
     for job, end in ends.items():
-        found.add(job, JobEnd(*end))
+        found.add(job, JobOutcome(*end))
     values = found.to_records(value_bytes)
     read = Ends()
     for value in json.loads(json.dumps(values)):
         read.load(value)
-    assert dict(read.items()) == dict(found.items()) == {job: JobEnd(*end) for job, end in ends.items()}
+    assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*end) for job, end in ends.items()}
     assert all(records.size_of(value) <= value_bytes for value in values)
 
 
 def test_the_first_end_of_a_job_stays() -> None:
     ends = Ends()
-    ends.add("j-7", JobEnd("cancelled", 0))
-    ends.add("j-7", JobEnd("done", 3))
-    assert ends.get("j-7") == JobEnd("cancelled", 0) and ends.get("j-07") is None and len(ends) == 1
+    ends.add("j-7", JobOutcome("cancelled", 0))
+    ends.add("j-7", JobOutcome("done", 3))
+    assert ends.get("j-7") == JobOutcome("cancelled", 0) and ends.get("j-07") is None and len(ends) == 1
 
 
 @pytest.mark.parametrize("value", [None, {}, {"groups": [{"phase": "done"}]}, {"groups": 3}])
@@ -123,7 +124,7 @@
     numbers = [(7919 * n) % 1_000_003 for n in range(20_000)]
     ends = Ends()
     for number in numbers:
-        ends.add(f"j-{number:06d}", JobEnd("done", 3))
+        ends.add(f"j-{number:06d}", JobOutcome("done", 3))
     size = sum(records.size_of(value) for value in ends.to_records(16 * 1024))
     assert size * 4 < records.size_of(records.to_ranges(set(numbers)))
 
@@ -134,7 +135,7 @@
 def large_snapshot() -> Snapshot:
     values = {f"active/j-{n:06d}": ({"s": {"nameId": f"j-{n:06d}"}, "pad": "x" * 900}, n + 1) for n in range(300)}
     replica = replica_of(values, 400)
-    replica.ends.add("j-999999", JobEnd("done", 3))
+    replica.ends.add("j-999999", JobOutcome("done", 3))
     return snapshot_of("node-1", replica, led=9, highest=9)
 
 
@@ -144,7 +145,7 @@
     assert len(pieces) > 4 and all(len(piece) < 64 * 1024 for piece in pieces)
     read = from_pieces([read_piece(piece, DEPLOYMENT) for piece in pieces])
     assert read.holder == snapshot.holder and read.replica.records == snapshot.replica.records
-    assert read.replica.ends.get("j-999999") == JobEnd("done", 3) and read.replica.revision == 400
+    assert read.replica.ends.get("j-999999") == JobOutcome("done", 3) and read.replica.revision == 400
 
 
 def damaged(piece: bytes, **changes: Any) -> bytes:
@@ -202,11 +203,11 @@
 def test_two_replicas_that_differ_give_the_newest_of_each_record() -> None:
     behind = replica_of({"active/j-1": ({"c": 1}, 5), "active/j-2": ({"c": 1}, 6), "active/j-4": ({}, 31)}, 20)
     ahead = replica_of({"active/j-1": ({"c": 2}, 25), "active/j-3": ({}, 28)}, 30)
-    behind.ends.add("j-9", JobEnd("cancelled", 0))
+    behind.ends.add("j-9", JobOutcome("cancelled", 0))
     image = merge([snapshot_of("a", behind, highest=3), snapshot_of("b", ahead, led=4, highest=4)], DEPLOYMENT, 0, 9)
     # j-2 was deleted before revision 30, and j-4 was accepted after it by the controller that is behind.
     assert image.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
-    assert image.ends.get("j-9") == JobEnd("cancelled", 0)
+    assert image.ends.get("j-9") == JobOutcome("cancelled", 0)
     assert image.leader_heard and image.token == 4 and image.sources == ["b", "a"]
 
 
@@ -238,13 +239,13 @@
     }
 
 
-def report(machine: str, *tasks: TaskReport, session: int = 1) -> Report:
-    return Report(machine, f"{machine}:1", "small", "a", session, 5, 7, True, None, list(tasks))
+def report(machine: str, *tasks: TaskStatus, session: int = 1) -> Heartbeat:
+    return Heartbeat(machine, f"{machine}:1", "small", "a", session, 5, 7, True, None, list(tasks))
 
 
 def rebuilt(
     image: Image,
-    reports: list[Report] | None = None,
+    reports: list[Heartbeat] | None = None,
     present: dict[str, Any] | None = None,
     once: frozenset[str] = frozenset(),
 ) -> Reconstruction:
@@ -268,9 +269,9 @@
     job = spec(1, pieces=6)
     placed = {"0": [1, "n-1", "a", 1], "1": [2, "n-1", "a", 1], "2": [3, "n-1", "a", 1]}
     reports = [
-        report("n-1", TaskReport("j-000001/0", 1, "running"), TaskReport("j-000001/1", 2, "exited", "stopped")),
-        report("n-2", TaskReport("j-000001/1", 4, "running"), TaskReport("j-000001/3", 5, "fetching")),
-        report("n-3", TaskReport("j-000001/4", 6, "exited", "done")),
+        report("n-1", TaskStatus("j-000001/0", 1, "running"), TaskStatus("j-000001/1", 2, "exited", "stopped")),
+        report("n-2", TaskStatus("j-000001/1", 4, "running"), TaskStatus("j-000001/3", 5, "fetching")),
+        report("n-3", TaskStatus("j-000001/4", 6, "exited", "done")),
     ]
     chunk = rebuilt(Image(job_records(job, placed)), reports).puts[records.chunk_key(job.id, 0)]
     assert chunk["p"] == {
@@ -285,7 +286,7 @@
 def test_a_class_that_runs_once_starts_again_only_what_is_shown_not_to_have_completed() -> None:
     job = spec(1, pieces=4, lane="once")
     placed = {"0": [1, "n-1", "a", 1], "1": [2, "n-9", "a", 1], "2": [3, "n-1", "a", 1]}
-    reports = [report("n-1", TaskReport("j-000001/2", 3, "exited", "error"))]
+    reports = [report("n-1", TaskStatus("j-000001/2", 3, "exited", "error"))]
     result = rebuilt(Image(job_records(job, placed)), reports, once=frozenset({"once"}))
     evidence = result.undecided["j-000001"].evidence
     assert evidence.keys() == {"0", "1", "3"}
@@ -297,19 +298,19 @@
 
 
 def test_a_job_that_only_a_worker_knows_stays_known() -> None:
-    result = rebuilt(Image(leader_heard=True), [report("n-1", TaskReport("j-000005/2", 1, "running"))])
+    result = rebuilt(Image(leader_heard=True), [report("n-1", TaskStatus("j-000005/2", 1, "running"))])
     assert result.undecided["j-000005"].unknown and "n-1" in result.undecided["j-000005"].evidence["2"]
     over = Image(leader_heard=True)
-    over.ends.add("j-000005", JobEnd("cancelled", 0))
-    assert not rebuilt(over, [report("n-1", TaskReport("j-000005/2", 1, "running"))]).undecided
+    over.ends.add("j-000005", JobOutcome("cancelled", 0))
+    assert not rebuilt(over, [report("n-1", TaskStatus("j-000005/2", 1, "running"))]).undecided
 
 
 def test_what_is_over_stays_over_in_an_older_state() -> None:
     """Its old records go; what may still run of it is kept to be stopped; what was accepted since stays."""
     done, cancelled, accepted = spec(1), spec(2), spec(3)
     image = Image(job_records(cancelled, {"0": [1, "n-1", "a", 1]}), Ends(), True)
-    image.ends.add(done.id, JobEnd("done", 3))
-    image.ends.add(cancelled.id, JobEnd("cancelled", 0))
+    image.ends.add(done.id, JobOutcome("done", 3))
+    image.ends.add(cancelled.id, JobOutcome("cancelled", 0))
     present = job_records(done, {"0": [1, "n-1", "a", 1]}) | job_records(accepted, {})
     result = rebuilt(image, present=present)
     assert sorted(result.deletes) == [records.active_key(done.id), records.chunk_key(done.id, 0)]
@@ -330,12 +331,12 @@
 )
 
 
-def reported_task(index: int, attempt: int, what: str) -> TaskReport:
+def reported_task(index: int, attempt: int, what: str) -> TaskStatus:
     exited = what in ("done", "stopped")
-    return TaskReport(f"j-000001/{index}", attempt, "exited" if exited else what, what if exited else None)
+    return TaskStatus(f"j-000001/{index}", attempt, "exited" if exited else what, what if exited else None)
 
 
-def plain_place(index: int, reports: list[Report]) -> list[Any] | None:
+def plain_place(index: int, reports: list[Heartbeat]) -> list[Any] | None:
     """Where a task is, by a plain search: where it completed, else where it is, else where it ended last."""
     name = f"j-000001/{index}"
     listed = [(r, task) for r in reports for task in r.tasks if task.task == name]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from stileloft.bookkeeping.model import Job
-from stileloft.coordination.admission import Admission, RetryLaterError
-from stileloft.coordination.fleet import Fleet
-from stileloft.coordination.node import blind_grace
-from stileloft.coordination.snapshot_builder import SnapshotBuilder
+from stileloft.controller.controller import renewal_grace
+from stileloft.jobs.admission import Admission, RetryLaterError
+from stileloft.machines.fleet import Fleet
+from stileloft.model.jobs import Job
 from stileloft.protocol import messages
+from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.settings import Workers
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
@@ -436,7 +436,9 @@
     for seconds in (5.0, 10.0):
         world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
     world.run(10.5)
-    assert world.now - machine.heard_at < term.fleet.quiet_s and not term.snapshots.is_ready(machine, world.now)
+    assert world.now - machine.last_heartbeat_at < term.fleet.heartbeat_overdue_s and not term.snapshots.is_ready(
+        machine, world.now
+    )
     world.run(8.0)
     assert term.snapshots.is_ready(machine, world.now) and world.rules.broken == []
 
@@ -454,14 +456,26 @@
     machine = term.machines[name]
     world.cut(name, leader, 20.0)
     world.run(3.0)
-    before = machine.heard_at, machine.renewed_at, machine.reached_at, machine.session, machine.seq
+    before = (
+        machine.last_heartbeat_at,
+        machine.lease_renewed_at,
+        machine.last_reachable_at,
+        machine.epoch,
+        machine.sequence,
+    )
     # The worker would accept an answer with our token as one that renews its lease.
     assert world.deliver_report(leader, body).body == {"baton": 0, "orders": []}
-    assert (machine.heard_at, machine.renewed_at, machine.reached_at, machine.session, machine.seq) == before
+    assert (
+        machine.last_heartbeat_at,
+        machine.lease_renewed_at,
+        machine.last_reachable_at,
+        machine.epoch,
+        machine.sequence,
+    ) == before
     peer = next(n for n in world.names if n != leader)
     world.deliver_report(peer, body)
     seen = tuple(world.nodes[peer].view().machines[name])
-    assert seen <= (machine.session, machine.seq)  # so it does not count as heard there
+    assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
 
 def test_a_stopped_attempt_stays_known_while_repeats_of_its_start_may_come() -> None:
@@ -472,8 +486,10 @@
     term = world.nodes[world.leader()].term
     (name,) = {m.name for m in world.rules.where.values()}
     placement = next(iter(term.machines[name].placements.values()))
-    start = messages.orders(term.token, [messages.start(placement.task, placement.attempt)]) | {"stint": 1}
-    term.machines[name].draining = "a test"
+    start = messages.command_message(term.token, [messages.start_command(placement.task, placement.attempt)]) | {
+        "stint": 1
+    }
+    term.machines[name].drain_reason = "a test"
     term.tasks.stop(placement, 0.0)
     world.run(30)
     assert world.rules.where["j-000001/0"].name != name
@@ -483,16 +499,16 @@
 
 
 def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
-    for lease_s, report_s, cancel_s in ((19.0, 3.0, 44.0), (10.0, 1.0, 30.0), (12.0, 2.0, 12.0)):
-        workers = Workers(report_s, lease_s, cancel_s)
-        grace_s = blind_grace(workers, 0.1 * lease_s)
+    for lease_s, heartbeat_s, cancel_s in ((19.0, 3.0, 44.0), (10.0, 1.0, 30.0), (12.0, 2.0, 12.0)):
+        workers = Workers(heartbeat_s, lease_s, cancel_s)
+        grace_s = renewal_grace(workers, 0.1 * lease_s)
         assert 0 <= grace_s <= 3 * lease_s
         assert grace_s == 0 or grace_s + lease_s < cancel_s
 
 
 def test_the_checker_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the wait for a silent machine's lease the checker must object."""
-    monkeypatch.setattr(Fleet, "session_over", lambda _, machine, now: now - machine.heard_at > 3.0)
+    monkeypatch.setattr(Fleet, "lease_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
     world = World(seed=7)
     load(world)
     world.clock.callLater(35.0, hang(10.0), world)
@@ -545,10 +561,10 @@
     term = world.nodes[world.leader()].term
     term.lock = StrictLock()
     job = Job(messages.parse_job(world.job(7)), world.now, 24)
-    job.over = "cancelled"
+    job.end_phase = "cancelled"
     job.chunk_of(0).dirty = True
     term.jobs[job.id] = job
     term.cluster.mark_dirty(job)
-    term.ledger.flush()
+    term.commit_queue.flush()
     world.run(1)
     assert job.id not in term.jobs
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,15 +10,15 @@
 from twisted.internet.testing import StringTransport
 
 from stileloft import cli
-from stileloft.bookkeeping import records
-from stileloft.coordination.ledger import REFUSED_S
+from stileloft.model import records
 from stileloft.protocol import messages
 from stileloft.protocol.admin import OperatorSettings, parse_operator_settings
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError
 from stileloft.protocol.rebuild_admin import RebuildResources
-from stileloft.protocol.state import Budget
-from stileloft.protocol.users import REPORT_PATH, PublicResources
+from stileloft.protocol.state import TokenBucket
+from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
 from stileloft.settings import SettingsError, parse
+from stileloft.store.commit_queue import REFUSED_S
 from stileloft.transport.client import Reply
 from stileloft.transport.server import Answer, Router, make_site
 from stileloft.transport.sockets import Sockets
@@ -188,15 +188,15 @@
             raise TemporarilyUnavailableError("later")
         if spec.id == "j-422":
             raise NeverError("too large")
-        return spec.id == "j-201", messages.state_answer(spec.id, "queued")
+        return spec.id == "j-201", messages.job_status_message(spec.id, "queued")
 
     async def status(self, job):
         if job == "j-500":
             raise RuntimeError("a defect")
-        return None if job == "j-404" else messages.state_answer(job, "running", 1, 2)
+        return None if job == "j-404" else messages.job_status_message(job, "running", 1, 2)
 
     async def cancel(self, job):
-        return messages.state_answer(job, "cancelled")
+        return messages.job_status_message(job, "cancelled")
 
 
 def exchange(data: bytes, keep: Callable[[str], bool] = lambda _: True) -> tuple[int, dict[str, str], bytes]:
@@ -259,7 +259,7 @@
     sockets = Sockets(clock, lambda: open_now[0], 1000)
 
     def keep(path: str) -> bool:
-        return path == REPORT_PATH or sockets.keep_users()
+        return path == HEARTBEAT_PATH or sockets.keep_users()
 
     poll = b"GET /v2/runs/j-1 HTTP/1.1\r\nHost: x\r\n\r\n"
     report = b"POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n\xa0"
@@ -297,7 +297,8 @@
     """A chunk with every task placed on machines of long names."""
     import orjson
 
-    from stileloft.bookkeeping.model import Job, Placement
+    from stileloft.model.jobs import Job
+    from stileloft.model.placements import Placement
 
     for value_kb in (4.0, 16.0):
         size = records.chunk_size(value_kb)
@@ -339,9 +340,9 @@
             "baton": node.election.token + 1,
             "pieces": [],
         },
-        messages.Report,
+        messages.Heartbeat,
     )
-    assert node.report(report).status == 421
+    assert node.handle_heartbeat(report).status == 421
     assert not node.election.leading
 
 
@@ -380,13 +381,13 @@
 
 def test_a_budget_holds_its_burst_and_no_more() -> None:
     clock = Clock()
-    budget = Budget(clock, 2.5, burst_s=2.0)
-    assert [budget.take() for _ in range(6)] == [True] * 5 + [False]
+    budget = TokenBucket(clock, 2.5, burst_s=2.0)
+    assert [budget.try_take() for _ in range(6)] == [True] * 5 + [False]
     clock.advance(0.4)
-    assert [budget.take(), budget.take()] == [True, False]
+    assert [budget.try_take(), budget.try_take()] == [True, False]
     clock.advance(60.0)
     assert budget.level() == 5.0
-    budget.give_back(3.0)
+    budget.refund(3.0)
     assert budget.level() == 5.0
 
 
@@ -411,7 +412,7 @@
     term = world.nodes[world.leader()].term
     world.run(9.9)
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_S
-    assert term.writes.level() > term.writes.per_s - 1
+    assert term.write_budget.level() > term.write_budget.rate_per_s - 1
     world.run(60)
     assert set(world.rules.last.values()) == {"done"} and world.rules.broken == []
 
@@ -461,8 +462,8 @@
     world.run(30)
     term = world.nodes[world.leader()].term
     machine = next(m for m in world.cloud.machines.values() if m.up)
-    late = messages.parse_report(machine.report())
+    late = messages.parse_heartbeat(machine.report())
     world.cloud.machines.pop(machine.name).die()
     world.run(20)
-    assert machine.name in term.fleet.gone
-    assert term.on_report(late)["orders"] == [] and machine.name not in term.machines
+    assert machine.name in term.fleet.released_machines
+    assert term.on_heartbeat(late)["orders"] == [] and machine.name not in term.machines
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from stileloft.bookkeeping import records
-from stileloft.coordination import placement
-from stileloft.coordination.preemption import Trials
-from stileloft.coordination.rounds import Rounds
-from stileloft.coordination.snapshot_builder import SnapshotBuilder
+from stileloft.model import records
+from stileloft.scheduling import placement
+from stileloft.scheduling.preemption import PreemptionTrials
+from stileloft.scheduling.scheduling_loop import SchedulingLoop
+from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.transport.sockets import KEEP_USERS, Sockets
 from tests.simulation.deployment import TYPES, with_settings
 from tests.simulation.world import World
@@ -37,10 +37,10 @@
 
         monkeypatch.setattr(owner, name, call)
 
-    counted(Rounds, "_decide", "rounds")
+    counted(SchedulingLoop, "_decide", "rounds")
     counted(SnapshotBuilder, "_node", "copies")
     counted(placement.Candidates, "_weigh", "weighed")
-    counted(Trials, "_try", "tried")
+    counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,12 +7,14 @@
 import msgspec
 import pytest
 
-from stileloft.bookkeeping import records
-from stileloft.bookkeeping.model import ENDED, PLANNED, Chunk, Job, Placement, job_from_record
-from stileloft.coordination.entries import Limits
+from stileloft.model import records
+from stileloft.model.chunks import Chunk
+from stileloft.model.jobs import Job, job_from_record
+from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import JobSpec, job_from_wire
 from stileloft.protocol.peers import PeerView
 from stileloft.settings import State, parse
+from stileloft.store.job_transaction import StoreLimits
 from tests.simulation.world import World
 from tests.test_gangs import gang, gang_load
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
@@ -31,7 +33,7 @@
     found: dict[str, Any] = {}
     for key, value in items.items():
         if key.startswith(records.ACTIVE):
-            job = version.model.job_from_record(value, 1, size)
+            job = version.job_from_record(value, 1, size)
             chunks = [(k, v, 1) for k, v in sorted(items.items()) if k.startswith(f"{records.TASKS}{job.id}/")]
             if version is NEW:
                 job.load_chunks(chunks)
@@ -44,7 +46,7 @@
             found[job.id] = {
                 "spec": version.messages.job_to_wire(job.spec),
                 "done": job.done,
-                "size": job.size,
+                "size": version.part(job, "chunk_size"),
                 "free": job.free_tasks(10_000),
                 "attempts": {str(n): c.attempt for n, c in sorted(job.chunks.items())},
                 "placed": sorted([p.index, p.attempt, p.machine, p.zone, p.spot] for p in job.placements()),
@@ -197,7 +199,7 @@
     world.submit(world.job(1, pieces=30, vcpus=0.5))
     world.run(20)
     record = world.state.items["active/j-000001"][0]
-    assert record["n"] == 65 and job_from_record(record, 1, 5).size == 65
+    assert record["n"] == 65 and job_from_record(record, 1, 5).chunk_size == 65
 
 
 def test_a_day_under_limits_that_come_without_notice() -> None:
@@ -238,7 +240,7 @@
         45.0,
         200.0,
     )
-    limits = Limits(State(100.0, 50.0, 4.0, 12))
+    limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.refused(["small"] * 8, 10)
     assert (limits.ops, limits.value_bytes) == (5, 4096)
     limits.refused(["small", "x" * 3000], 2)
@@ -247,7 +249,7 @@
         limits.refused(["small"], 1)
     assert limits.ops == 5 and limits.value_bytes == 512
     # Of large values too fewer changes are tried first: smaller values would make more of them.
-    limits = Limits(State(100.0, 50.0, 4.0, 12))
+    limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.refused(["x" * 3000] * 6, 6)
     assert (limits.ops, limits.value_bytes) == (3, 4096)
     for _ in range(3):
@@ -280,7 +282,7 @@
     chunk = job.chunk_of(0)
     chunk.attempt, chunk.done = 999, set(range(0, 2 * done, 2))
     for index in range(2 * done, 2 * done + placed):
-        job.add(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PLANNED))
+        job.add(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PlacementState.PLANNED))
     return job, chunk
 
 
@@ -289,7 +291,7 @@
 )
 def test_a_chunk_in_pieces_is_the_same_chunk(placed: int, done: int, name: str) -> None:
     job, chunk = chunk_of(placed, done, name)
-    values = chunk.records(job.spec, job.size, 2048)
+    values = chunk.records(job.spec, job.chunk_size, 2048)
     assert all(records.size_of(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
     again = Job(job.spec, 0.0, 256)
     again.load_chunks(
@@ -306,4 +308,4 @@
     assert {part: version for part, (version, _) in again.chunks[0].parts.items()} == {
         part: part + 5 for part in range(1, len(values))
     }
-    assert all(p.state != ENDED for p in again.placements())
+    assert all(p.state != PlacementState.ENDED for p in again.placements())
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,5 +1,6 @@
-"""This version of the program, and the one in production, which nodes of the stand-ins can run side by side."""
+"""This version of the program, and the one in production, which nodes of the fakes can run side by side."""
 
+import contextlib
 import functools
 import importlib
 import io
@@ -9,44 +10,73 @@
 import tarfile
 import tempfile
 import tomllib
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 ROOT = Path(__file__).parent.parent
 LAST_FORMAT_1 = "7f751773ace7bdb78fec4f9818b2ebda927dfa76"
 """The last version that writes a record for each chunk of a job."""
 
 
-class Version(NamedTuple):
-    """What the stand-ins use of a version of the program."""
+LEGACY_NAMES = {
+    "handle_heartbeat": "report",
+    "parse_heartbeat": "parse_report",
+    "holds_lease": "confirmed",
+    "chunk_size": "size",
+}
+"""What earlier versions call the parts that the fakes use, where this version has another name."""
 
-    Node: Any
-    parse: Any
+
+@dataclass(frozen=True)
+class Version:
+    """What the fakes use of a version of the program."""
+
+    controller_class: Any
+    parse_settings: Any
     messages: Any
     connection_failed: Any
     """What its client raises when no connection is made, and when no response comes."""
     no_response: Any
-    model: Any
+    job_from_record: Any
     records: Any
+    is_legacy: bool
 
+    def part(self, owner: Any, name: str) -> Any:
+        """An attribute under the name that this version has for it."""
+        return getattr(owner, LEGACY_NAMES.get(name, name) if self.is_legacy else name)
 
-def _exception(module: Any, name: str, name_in_production: str) -> Any:
-    """An exception of a version of the program, under the name that this version has for it."""
-    return getattr(module, name, None) or getattr(module, name_in_production)
+    def handle_heartbeat(self, controller: Any, body: Any) -> Any:
+        """A controller's answer to a heartbeat, given as it came on the wire."""
+        heartbeat = self.part(self.messages, "parse_heartbeat")(body)
+        return self.part(controller, "handle_heartbeat")(heartbeat)
 
 
-def _version(package: str) -> Version:
-    def module(name: str) -> Any:
-        return importlib.import_module(f"{package}.{name}")
+def _module(package: str, *names: str) -> Any:
+    """The first of these modules that a version of the program has."""
+    for name in names:
+        with contextlib.suppress(ModuleNotFoundError):
+            return importlib.import_module(f"{package}.{name}")
+    raise ModuleNotFoundError(f"{package} has none of {names}")
+
 
+def _attribute(owner: Any, *names: str) -> Any:
+    """The first of these attributes that there is."""
+    return next(getattr(owner, name) for name in names if hasattr(owner, name))
+
+
+def _version(package: str) -> Version:
+    controller = _module(package, "controller.controller", "coordination.node")
+    client = _module(package, "transport.client")
     return Version(
-        module("coordination.node").Node,
-        module("settings").parse,
-        module("protocol.messages"),
-        _exception(module("transport.client"), "ConnectionFailedError", "Refused"),
-        _exception(module("transport.client"), "NoResponseError", "Unanswered"),
-        module("bookkeeping.model"),
-        module("bookkeeping.records"),
+        controller_class=_attribute(controller, "Controller", "Node"),
+        parse_settings=_module(package, "settings").parse,
+        messages=_module(package, "protocol.messages"),
+        connection_failed=_attribute(client, "ConnectionFailedError", "Refused"),
+        no_response=_attribute(client, "NoResponseError", "Unanswered"),
+        job_from_record=_module(package, "model.jobs", "bookkeeping.model").job_from_record,
+        records=_module(package, "model.records", "bookkeeping.records"),
+        is_legacy=hasattr(controller, "Node"),
     )
 
 
