--- /dev/null
+++ b/stileloft/controller/administration.py
@@ -0,0 +1,106 @@
+"""What a controller tells its operators and its peers, and takes from them."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from stileloft.controller.budgets import StateBudgets
+from stileloft.controller.clients import Clients
+from stileloft.controller.heartbeat_referrals import HeartbeatReferrals
+from stileloft.controller.operator_settings import OperatorSettingsStore
+from stileloft.controller.state_service_check import StateServiceCheck
+from stileloft.features import Features
+from stileloft.leadership.election import Election
+from stileloft.leadership.invariants import InvariantMonitor
+from stileloft.machines.catalog import MachineCatalog
+from stileloft.model import records
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.protocol.peers import PeerView
+from stileloft.transport.clock import Clock
+
+if TYPE_CHECKING:
+    from stileloft.rebuild.service import Rebuild
+
+NEVER_SERVED_S = 1e9
+"""Told in place of an age that has no bound, in seconds."""
+
+
+@dataclass(frozen=True, slots=True)
+class Administration:
+    """Answers the requests on the peer address."""
+
+    member: str
+    clock: Clock
+    features: Features
+    election: Election
+    clients: Clients
+    catalog: MachineCatalog
+    operator_settings: OperatorSettingsStore
+    referrals: HeartbeatReferrals
+    state_service_check: StateServiceCheck
+    invariants: InvariantMonitor
+    budgets: StateBudgets
+    rebuild: "Rebuild | None"
+    leadership_status: Callable[[], dict[str, Any] | None]
+    """What is shown of the leadership; None while this controller doesn't lead."""
+
+    def status(self) -> dict[str, Any]:
+        """What an operator may ask of this controller."""
+        answer: dict[str, Any] = {
+            "member": self.member,
+            "role": "leader" if self.election.leading else "standby",
+            "leader": self.election.leader_member,
+            "token": self.election.token,
+            "served": self.state_service_check.served(),
+            "confirmed": self.election.holds_lease(),
+            "machine_types": sorted(self.catalog.types),
+            "settings": msgspec.to_builtins(self.operator_settings.current),
+            "invariants": self.invariants.status(),
+            "budgets": {"leader_writes": round(self.budgets.leader_writes.level(), 1)},
+        }
+        if self.rebuild is not None:
+            answer["features"] = {"rebuild": msgspec.to_builtins(self.features.rebuild)}
+            answer["rebuild"] = self.rebuild.status()
+        leadership = self.leadership_status()
+        if leadership is not None:
+            answer["leadership"] = leadership
+        return answer
+
+    def view(self) -> PeerView:
+        """What this controller sees, for a peer that doubts its own view."""
+        protection = None if self.rebuild is None else self.rebuild.protection
+        return PeerView(
+            min(self.clock.seconds() - self.clients.state.served_at, NEVER_SERVED_S),
+            self.referrals.recent(),
+            self.member,
+            records.NEWEST_FORMAT,
+            protects=protection is not None,
+            deployment=protection.deployment if protection else "",
+            highest_token=protection.highest_token if protection else 0,
+        )
+
+    async def read_settings(self) -> tuple[OperatorSettings, int]:
+        """The operators' settings in the store, and their version (0: never set)."""
+        return await self.operator_settings.read()
+
+    async def change_settings(self, settings: OperatorSettings, version: int) -> int:
+        """Replaces the operators' settings of a version; returns the new version."""
+        return await self.operator_settings.change(settings, version)
+
+    def rebuild_status(self) -> dict[str, Any] | None:
+        """What is known of the store and of a rebuild; None without the feature."""
+        return None if self.rebuild is None else self.rebuild.status()
+
+    def snapshot_piece(self, number: int) -> bytes | None:
+        """A piece of this controller's replica of the store, for a peer that rebuilds it."""
+        return None if self.rebuild is None else self.rebuild.protection.piece(number)
+
+    def take_notes(self, body: Any) -> bool:
+        """Takes in what a peer has just told its users; returns whether it could be read."""
+        return self.rebuild is not None and self.rebuild.take_notes(body)
+
+    async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
+        """Takes an operator's word on unresolved tasks; None if the job has none."""
+        return None if self.rebuild is None else await self.rebuild.decide(job, task, decision)
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -17,7 +17,7 @@
 ALONE_S = 3 * SERVED_S
 
 
-class ServiceCheck:
+class StateServiceCheck:
     """Asks now and then, and compares with what the other controllers say."""
 
     def __init__(self, clock: Clock, state: StateClient, peers: PeerClient) -> None:
--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -3,10 +3,11 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 from twisted.internet import defer
 
+from stileloft.machines.catalog import MachineCatalog
 from stileloft.model import records
 from stileloft.model.chunks import separate_chunk
 from stileloft.model.jobs import active_record
@@ -17,14 +18,15 @@
     ConflictError,
     StateClient,
     ThrottledError,
-    TokenBucket,
     TooLargeError,
     UnavailableError,
     UnknownOutcomeError,
 )
 from stileloft.settings import Team
 from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.record_format import RecordFormat
 from stileloft.transport.clock import Clock
+from stileloft.transport.rate_limit import TokenBucket
 
 log = logging.getLogger(__name__)
 
@@ -40,14 +42,6 @@
 LOST_RETRY_S = 2.0
 
 
-class Catalog(Protocol):
-    """Where the machine types are to be had, and in which format records are written."""
-
-    types: dict[str, MachineType]
-    format: int
-    chunk_size: int
-
-
 class RetryLaterError(Exception):
     """The request cannot be taken now; the user is to come back."""
 
@@ -94,7 +88,8 @@
         clock: Clock,
         state: StateClient,
         teams: dict[str, Team],
-        catalog: Catalog,
+        catalog: MachineCatalog,
+        record_format: RecordFormat,
         read_budget: TokenBucket,
         write_budget: TokenBucket,
         wall_clock: Any,
@@ -106,6 +101,7 @@
         self._state = state
         self._teams = teams
         self._catalog = catalog
+        self._format = record_format
         self._read_budget = read_budget
         self._write_budget = write_budget
         self._wall_clock = wall_clock
@@ -137,9 +133,8 @@
             raise InfeasibleJobError(reason)
         self._spend(self._write_budget, 1.0)
         active, final = records.active_key(spec.id), records.final_key(spec.id)
-        value = active_record(
-            spec, self._wall_clock(), self._catalog.chunk_size if self._catalog.format >= records.SIZED_FORMAT else None
-        )
+        chunk_size = self._format.chunk_size if self._format.has_chunk_sizes else None
+        value = active_record(spec, self._wall_clock(), chunk_size)
         try:
             revision = await self._state.commit({active: 0, final: 0, **self._integrity.guards()}, {active: value}, [])
         except ConflictError as conflict:
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -5,18 +5,21 @@
 
 import logging
 import math
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
-from stileloft.model.jobs import Job
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.registry import MachineRegistry
+from stileloft.model.cluster import ClusterState
+from stileloft.model.jobs import EndPhase, Job
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import EXITED
 from stileloft.scheduling import gangs
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.scheduling.workload import Workload
+from stileloft.settings import Workers
+from stileloft.store.flush_timer import FlushTimer
+from stileloft.transport.clock import Clock
+from stileloft.workers.forget_scheduler import ForgetScheduler
 
 log = logging.getLogger(__name__)
 
@@ -33,13 +36,33 @@
 class TaskLifecycle:
     """Ends, stops and failures of placed tasks."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
-        self._cluster = term.cluster
+    def __init__(
+        self,
+        cluster: ClusterState,
+        machines: MachineRegistry,
+        lease: LeaderLease,
+        forgets: ForgetScheduler,
+        flush_timer: FlushTimer,
+        workload: Workload,
+        clock: Clock,
+        timings: Workers,
+        request_scheduling: Callable[[], None],
+        send_commands: Callable[[Machine], None],
+    ) -> None:
+        self._cluster = cluster
+        self._machines = machines
+        self._lease = lease
+        self._forgets = forgets
+        self._flush_timer = flush_timer
+        self._workload = workload
+        self._clock = clock
+        self._timings = timings
+        self._request_scheduling = request_scheduling
+        self._send_commands = send_commands
 
     def attach(self, placement: Placement) -> None:
         if placement.state != PlacementState.ENDED:
-            machine = self._term.machine(placement.machine)
+            machine = self._machines.get_or_create(placement.machine)
             machine.placements[placement.key] = placement
             machine.idle_since = machine.scheduling_view = None
 
@@ -61,14 +84,14 @@
             urgent = job.urgent
             self._cluster.mark_dirty(job)
             if placement.done:
-                self._term.commit_queue.gather(job, urgent)
+                job.coalesce_write(self._clock.seconds(), urgent)
             if job.spec.is_gang:
-                self._term.clock.callLater(0, self._reconcile_gang_later, job)
-        self._term.commit_queue.flush_within(0.0)
+                self._clock.callLater(0, self._reconcile_gang_later, job)
+        self._flush_timer.within(0.0)
 
     def _reconcile_gang_later(self, job: Job) -> None:
-        with self._term.lock:
-            if self._term.alive and self._cluster.jobs.get(job.id) is job:
+        with self._cluster.lock:
+            if self._lease.active and self._cluster.jobs.get(job.id) is job:
                 self.reconcile_gang(job)
 
     def reconcile_gang(self, job: Job) -> None:
@@ -92,9 +115,9 @@
         if machine.placements.get(placement.key) is placement:
             del machine.placements[placement.key]
         if placement.reported_state == EXITED:
-            self._term.planner.forget_later(machine, placement.task, placement.attempt, placement.done)
+            self._forgets.schedule(machine, placement.task, placement.attempt, placement.done)
         if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
-            machine.idle_since = self._term.clock.seconds()
+            machine.idle_since = self._clock.seconds()
 
     def completed(self, machine: Machine, placement: Placement, now: float) -> None:
         placement.done = True
@@ -109,7 +132,7 @@
             # the machines of its job's later tasks look slow: a new leader gave many of them back.
             if fresh and placement.placed_by_this_leader:
                 if not job.durations:  # one sample a job, however many tasks it has
-                    self._term.workload.record_run_time(job.spec, took)
+                    self._workload.record_run_time(job.spec, took)
                 self._compare_speed(machine, job, took)
         self.end(placement, "done")
 
@@ -131,7 +154,7 @@
         machine.failure_count += 1
         if job is not None:
             job.failed_machines.add(machine.id)
-            self.avoid(placement, machine.id, self._term.settings.workers.lease_s * 4)
+            self.avoid(placement, machine.id, self._timings.lease_s * 4)
             if len(job.failed_machines) > 1:
                 self._back_off(job)
         known = [self._cluster.jobs[job_id] for job_id in machine.failed_jobs if job_id in self._cluster.jobs]
@@ -144,18 +167,18 @@
 
     def _back_off(self, job: Job) -> None:
         """Has the job wait for longer with each further attempt; tasks that fail together are one."""
-        if self._term.clock.seconds() >= job.backoff_until:
+        if self._clock.seconds() >= job.backoff_until:
             job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_S, 2.0 * job.backoff_s))
         self.delay(job.id, job.backoff_s)
 
     def avoid(self, placement: Placement, machine_id: str, seconds: float) -> None:
-        self._cluster.placement_backoff[(placement.job, machine_id)] = self._term.clock.seconds() + seconds
+        self._cluster.placement_backoff[(placement.job, machine_id)] = self._clock.seconds() + seconds
 
     def delay(self, job_id: str, seconds: float) -> None:
         job = self._cluster.jobs.get(job_id)
         if job is not None:
-            job.backoff_until = max(job.backoff_until, self._term.clock.seconds() + seconds)
-            self._term.clock.callLater(seconds, self._term.request_scheduling)
+            job.backoff_until = max(job.backoff_until, self._clock.seconds() + seconds)
+            self._clock.callLater(seconds, self._request_scheduling)
 
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
         """Has a task stopped, with time to save if it can; one of a gang with all the others, side by side."""
@@ -173,13 +196,13 @@
         job = self._cluster.jobs.get(placement.job)
         save_s = (job.spec.save_s or 0.0) if job is not None and (job.spec.checkpoint_s or 0.0) > 0 else 0.0
         if job is not None and job.spec.is_gang and save_s:
-            save_s += self._term.settings.workers.gang_peer_s  # one that has saved waits for the others
+            save_s += self._timings.gang_peer_s  # one that has saved waits for the others
         placement.stop_grace_s = save_s * 1.2 + 0.5 if grace_s is None else grace_s
         placement.stop_sent_at = 0.0
         machine = self._cluster.machines.get(placement.machine)
         if machine is not None:
             machine.scheduling_view = None
-            self._term.clock.callLater(0, self._term.dispatcher.send, machine)
+            self._clock.callLater(0, self._send_commands, machine)
 
     def evict_gracefully(self, machine: Machine, now: float) -> None:
         """Empties a machine that the cloud takes away, so that as little as possible is lost."""
@@ -199,15 +222,16 @@
     def remaining(self, job: Job, placement: Placement, now: float) -> float:
         if job.spec.is_service:
             return math.inf
-        estimate = self._term.workload.estimate(job.spec)
+        estimate = self._workload.estimate(job.spec)
         if placement.running_since is None:
             return estimate
         return max(0.1 * estimate, estimate - (now - placement.running_since))
 
-    def end_job(self, job: Job, phase: str) -> None:
-        if job.end_phase is None or job.end_phase == "over":
+    def end_job(self, job: Job, phase: EndPhase) -> None:
+        """The job has ended: what still runs of it is stopped, and what is stored of it goes."""
+        if job.end_phase in (None, EndPhase.UNSETTLED):
             job.end_phase = phase
-            log.info("job %s is %s", job.id, phase)
+            log.info("job ended job=%s phase=%s", job.id, phase)
         self.stop_all_tasks(job)
         if not job.placed:
             self.mark_all_dirty(job)
@@ -226,4 +250,4 @@
         for chunk in job.chunks.values():
             chunk.dirty = True
         self._cluster.mark_dirty(job)
-        self._term.commit_queue.flush_within(0.0)
+        self._flush_timer.within(0.0)
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -5,18 +5,17 @@
 """
 
 from enum import StrEnum
-from typing import TYPE_CHECKING
 
+from stileloft.jobs.job_watch import JobWatch
+from stileloft.jobs.registry import JobRegistry
+from stileloft.leadership.fencing_tokens import FencingTokens
+from stileloft.leadership.lease import LeaderLease
 from stileloft.model import records
+from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.scheduling import gangs
 
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
-
 
 class Refusal(StrEnum):
     """Why something is not allowed now."""
@@ -41,18 +40,24 @@
 class Authority:
     """The leader's rights at this moment. Methods return why something is refused, or None if it is allowed."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
+    def __init__(
+        self, lease: LeaderLease, tokens: FencingTokens, cluster: ClusterState, jobs: JobRegistry, watch: JobWatch
+    ) -> None:
+        self._lease = lease
+        self._tokens = tokens
+        self._cluster = cluster
+        self._jobs = jobs
+        self._watch = watch
 
     # -- what concerns the whole term ------------------------------------------------
 
     def check_leadership(self) -> Refusal | None:
         """Anything that another leader could be doing as well: needs a lease that is known to be held."""
-        return None if self._term.holds_lease() else Refusal.LEASE_NOT_CONFIRMED
+        return None if self._lease.is_held() else Refusal.LEASE_NOT_CONFIRMED
 
     def check_commands(self) -> Refusal | None:
         """Direct commands: before the store was read, all tasks would look as if they were not to be there."""
-        return self.check_leadership() or (None if self._term.store_loaded else Refusal.STORE_NOT_READ)
+        return self.check_leadership() or (None if self._cluster.loaded else Refusal.STORE_NOT_READ)
 
     def check_renewal(self) -> Refusal | None:
         """An answer that renews a worker's lease: the bound that `blind_grace` derives.
@@ -62,12 +67,11 @@
         cancellations known, and a token that bars their starts, so one after the other several leaders keep a cancelled
         task no longer than one.
         """
-        term = self._term
-        if not term.store_loaded:
+        if not self._cluster.loaded:
             return Refusal.STORE_NOT_READ
-        if term.node.election.seconds_since_renewal() > term.renewal_grace_s:
+        if self._lease.seconds_since_renewal() > self._lease.renewal_grace_s:
             return Refusal.LEASE_NOT_CONFIRMED
-        return Refusal.CANCELLATIONS_UNKNOWN if term.watch.staleness_s() > term.renewal_grace_s else None
+        return Refusal.CANCELLATIONS_UNKNOWN if self._watch.staleness_s() > self._lease.renewal_grace_s else None
 
     def check_scale_out(self) -> Refusal | None:
         """A request for machines: another leader would rent them too."""
@@ -83,14 +87,14 @@
         """Any start on a machine."""
         if refusal := self.check_leadership():
             return refusal
-        if not self._term.watch.is_fresh():
+        if not self._watch.is_fresh():
             return Refusal.CANCELLATIONS_UNKNOWN
         if not machine.has_current_token:
             return Refusal.MACHINE_NOT_CLAIMED
         if machine.releasing:
             return Refusal.MACHINE_RELEASING
         # What is sent must be possible to bar without asking the store: it may be out when that is needed.
-        return None if self._term.tokens.has_above(machine.token) else Refusal.NO_SPARE_TOKEN
+        return None if self._tokens.has_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
         """The start of a task, or its repetition, on a machine that may be given starts.
@@ -98,16 +102,15 @@
         A start without an answer may be executed at any later time. One that is to be stopped by now is repeated too:
         only a task that was seen can be told to exit, and so be let go.
         """
-        term = self._term
         if placement.state != PlacementState.BOUND:
             return Refusal.NOT_STORED
         if placement.reported_state is not None:
             return Refusal.ALREADY_REPORTED
-        if term.cluster.is_blocked(placement.job):
+        if self._cluster.is_blocked(placement.job):
             return Refusal.JOB_ENDED
         if placement.stop_grace_s is not None:
             return None if placement.sent_epoch == machine.epoch else Refusal.STOPPING
-        return None if gangs.may_start(term.jobs[placement.job]) else Refusal.GANG_NOT_WHOLE
+        return None if gangs.may_start(self._cluster.jobs[placement.job]) else Refusal.GANG_NOT_WHOLE
 
     def check_transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
         """A message that was made a moment ago, as its connection is there at last and its bytes go out.
@@ -115,14 +118,14 @@
         Without starts it goes out as long as the term lasts: stops are wanted all the more when we know less.
         """
         if not starts:
-            return None if self._term.alive else Refusal.LEADERSHIP_ENDED
+            return None if self._lease.active else Refusal.LEADERSHIP_ENDED
         if refusal := self.check_commands() or self.check_starts(machine):
             return refusal
         return next((refusal for each in starts if (refusal := self.check_start(each, machine))), None)
 
     def check_stop(self, job_id: str) -> Refusal | None:
         """A stop does no harm under an old token; only what no store knows of is left to operators."""
-        return Refusal.AWAITS_OPERATOR if self._term.awaits_operator(job_id) else None
+        return Refusal.AWAITS_OPERATOR if self._jobs.awaits_operator(job_id) else None
 
     def check_stop_task(self, task: str) -> Refusal | None:
         """The same of a task that the store does not place where it is."""
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -18,13 +18,10 @@
     UnknownOutcomeError,
 )
 from stileloft.store.integrity import StoreIntegrity
-from stileloft.transport.clock import Clock
+from stileloft.transport.clock import MAX_CLOCK_DRIFT, Clock
 
 log = logging.getLogger(__name__)
 
-# Steady clocks drift apart by up to this part.
-DRIFT = 0.0005
-
 
 class Election:
     """Seeks the leadership, keeps it, and knows for how long it is confirmed."""
@@ -136,7 +133,7 @@
 
     def _confirm(self, sent: float) -> None:
         self.last_renewed_at = sent
-        self._confirmed_until = sent + self.lease_s * (1 - 2 * DRIFT)
+        self._confirmed_until = sent + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
 
     async def _campaign(self) -> None:
         found = await self._state.get(records.LEADER)
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -1,77 +1,145 @@
-"""A new leader reads from the store what is unfinished."""
+"""Failover: a new leader reads from the store what is unfinished, and goes on with it."""
 
-from typing import TYPE_CHECKING, Any
+import logging
+from typing import Any, Protocol
 
+from stileloft.jobs.job_watch import JobWatch
+from stileloft.jobs.registry import JobRegistry
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.image_locations import ImageLocations
+from stileloft.machines.provision_records import ProvisionRecords
 from stileloft.model import records
-from stileloft.model.jobs import Job, job_from_record, orphan_spec
-from stileloft.protocol.state import Item
-from stileloft.rebuild import operator_decisions as decisions
+from stileloft.model.cluster import ClusterState
+from stileloft.model.jobs import EndPhase, Job, job_from_record, orphan_spec
+from stileloft.protocol.state import Item, UnavailableError, UnknownOutcomeError
+from stileloft.store.access import LeaderStore
+from stileloft.store.format_upgrade import FormatUpgrade
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
 
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
+log = logging.getLogger(__name__)
 
-    pass
-
-NOTHING_KNOWN: dict[str, Any] = {"r": ["-", 0.0, 0.0, 0.0]}
+RETRY_S = 0.3
+"""Pause after the store refused to be read, in seconds."""
+DEFECT_RETRY_S = 1.0
+"""Pause after any other error, in seconds."""
+UNKNOWN_CHUNK: dict[str, Any] = {"r": ["-", 0.0, 0.0, 0.0]}
 """In place of a chunk's own record, when only further ones are left of it."""
 
 
-async def recover(term: "Leader") -> None:
-    """Fills the term's picture; raises the state service's errors, and may then be called again."""
-    # The watch continues from the first read, so that nothing is missed in between.
-    asked_at = term.clock.seconds()
-    active, revision = await term.state.scan(records.ACTIVE)
-    chunks, _ = await term.state.scan(records.TASKS)
-    rented, _ = await term.state.scan(records.PROVISIONED)
-    images, _ = await term.state.scan(records.IMAGES)
-    undecided = await decisions.read(term)
-    # A chunk that was read after its job's record may be newer: its version guards it.
-    with term.lock:
-        term.jobs.clear()
-        _load_jobs(term, active, chunks)
-        for job in term.jobs.values():
-            _resume(term, job)
-        decisions.hold(term, undecided)
-        for key, value, _ in rented:
-            term.fleet.load_provision_record(key, value)
-        for key, value, _ in images:
-            term.fleet.images.load(key[len(records.IMAGES) :], value)
-        term.watch.revision = revision
-        term.watch.up_to_date_at = asked_at
-
-
-def _load_jobs(term: "Leader", active: list[Item], chunks: list[Item]) -> None:
-    """Unfinished jobs with their chunks, and what is left of those that are over."""
-    for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
-        term.adopt_job(job_from_record(value, version, term.node.first_chunk_size))
-    by_job: dict[str, list[Item]] = {}
-    for item in chunks:
-        by_job.setdefault(records.split_chunk_key(item[0])[0], []).append(item)
-    for job_id, items in by_job.items():
-        found = term.jobs.get(job_id)
-        if found is None:
-            found = term.jobs[job_id] = _orphan(term, job_id, items)
-        found.load_chunks(items)
-
-
-def _orphan(term: "Leader", job_id: str, items: list[Item]) -> Job:
-    """A job of which only chunks are left, as it was cancelled."""
-    whole = next((value for _, value, _ in items if "r" in value), NOTHING_KNOWN)
-    job = Job(orphan_spec(job_id, whole["r"]), 0.0, whole.get("n", term.node.first_chunk_size))
-    job.end_phase = "cancelled"
-    return job
+class UnresolvedTasks(Protocol):
+    """Tasks of which it is not known whether they completed, as the feature `rebuild` records them."""
+
+    async def read(self) -> Any:
+        """All of them, as `apply` takes them."""
+
+    def apply(self, stored: Any) -> None:
+        """Holds them back from being started."""
+
+
+class Failover:
+    """Takes over the jobs, machines and records of the former leader."""
 
+    def __init__(
+        self,
+        store: LeaderStore,
+        cluster: ClusterState,
+        lease: LeaderLease,
+        jobs: JobRegistry,
+        lifecycle: TaskLifecycle,
+        watch: JobWatch,
+        upgrade: FormatUpgrade,
+        provision_records: ProvisionRecords,
+        images: ImageLocations,
+        unresolved: UnresolvedTasks,
+        clock: Clock,
+    ) -> None:
+        self._store = store
+        self._cluster = cluster
+        self._lease = lease
+        self._jobs = jobs
+        self._lifecycle = lifecycle
+        self._watch = watch
+        self._upgrade = upgrade
+        self._provision_records = provision_records
+        self._images = images
+        self._unresolved = unresolved
+        self._clock = clock
 
-def _resume(term: "Leader", job: Job) -> None:
-    """Goes on with a job where the former leader left it."""
-    job.recount()
-    for placement in job.placements():
-        term.tasks.attach(placement)
-    if term.node.format >= records.SIZED_FORMAT:
-        term.upgrade.split_large_records(job)
-    if job.end_phase:
-        term.tasks.stop_all_tasks(job)
-        if not job.placed:
-            term.tasks.mark_all_dirty(job)
-    elif job.spec.is_gang:
-        term.tasks.reconcile_gang(job)
+    async def run(self) -> bool:
+        """Reads the store until it succeeds; returns whether it did before the leadership was over."""
+        while self._lease.active:
+            try:
+                await self._recover()
+                break
+            except (UnavailableError, UnknownOutcomeError) as error:
+                log.info("failover delayed, store not readable: %s", error)
+                await sleep(self._clock, RETRY_S)
+            except Exception:
+                log.exception("failover failed")
+                await sleep(self._clock, DEFECT_RETRY_S)
+        if not self._lease.active:
+            return False
+        self._cluster.loaded = True
+        return True
+
+    async def _recover(self) -> None:
+        """Fills the cluster's state; raises the state service's errors, and may then be called again."""
+        # The watch continues from the first read, so that nothing is missed in between.
+        asked_at = self._clock.seconds()
+        client = self._store.client
+        active, revision = await client.scan(records.ACTIVE)
+        chunks, _ = await client.scan(records.TASKS)
+        provisioned, _ = await client.scan(records.PROVISIONED)
+        images, _ = await client.scan(records.IMAGES)
+        unresolved = await self._unresolved.read()
+        # A chunk that was read after its job's record may be newer: its version guards it.
+        with self._cluster.lock:
+            self._cluster.jobs.clear()
+            self._load_jobs(active, chunks)
+            for job in self._cluster.jobs.values():
+                self._resume(job)
+            self._unresolved.apply(unresolved)
+            for key, value, _ in provisioned:
+                self._provision_records.load(key, value)
+            for key, value, _ in images:
+                self._images.load(key[len(records.IMAGES) :], value)
+            self._watch.revision = revision
+            self._watch.up_to_date_at = asked_at
+
+    def _load_jobs(self, active: list[Item], chunks: list[Item]) -> None:
+        """Unfinished jobs with their chunks, and what is left of those that have ended."""
+        first_chunk_size = self._store.format.first_chunk_size
+        for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
+            self._jobs.adopt(job_from_record(value, version, first_chunk_size))
+        by_job: dict[str, list[Item]] = {}
+        for item in chunks:
+            by_job.setdefault(records.split_chunk_key(item[0])[0], []).append(item)
+        for job_id, items in by_job.items():
+            found = self._cluster.jobs.get(job_id)
+            if found is None:
+                found = self._cluster.jobs[job_id] = _orphaned_job(job_id, items, first_chunk_size)
+            found.load_chunks(items)
+
+    def _resume(self, job: Job) -> None:
+        """Goes on with a job where the former leader left it."""
+        job.recount()
+        for placement in job.placements():
+            self._lifecycle.attach(placement)
+        if self._store.format.has_chunk_sizes:
+            self._upgrade.split_large_records(job)
+        if job.end_phase:
+            self._lifecycle.stop_all_tasks(job)
+            if not job.placed:
+                self._lifecycle.mark_all_dirty(job)
+        elif job.spec.is_gang:
+            self._lifecycle.reconcile_gang(job)
+
+
+def _orphaned_job(job_id: str, items: list[Item], first_chunk_size: int) -> Job:
+    """A job of which only chunks are left, as it was cancelled."""
+    whole = next((value for _, value, _ in items if "r" in value), UNKNOWN_CHUNK)
+    job = Job(orphan_spec(job_id, whole["r"]), 0.0, whole.get("n", first_chunk_size))
+    job.end_phase = EndPhase.CANCELLED
+    return job
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -1,287 +1,498 @@
-"""A leader's term: what one leadership knows, and the parts that act on it."""
+"""The leader: composes the parts that act while this controller leads."""
 
 import logging
-import threading
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 from twisted.internet import defer
 
 from stileloft.jobs.job_watch import JobWatch
+from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
 from stileloft.leadership.authority import Authority
-from stileloft.leadership.failover import recover
+from stileloft.leadership.failover import Failover
 from stileloft.leadership.fencing_tokens import FencingTokens
-from stileloft.machines.fleet import Fleet
-from stileloft.model import records
+from stileloft.leadership.invariants import InvariantMonitor
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.boot_monitor import BootMonitor
+from stileloft.machines.catalog import MachineCatalog
+from stileloft.machines.image_locations import ImageLocations
+from stileloft.machines.inventory import MachineInventory
+from stileloft.machines.partition_detector import PartitionDetector
+from stileloft.machines.provision_records import ProvisionRecords
+from stileloft.machines.registry import MachineRegistry
+from stileloft.machines.scale_in import MachineReleaser
+from stileloft.machines.scale_out import MachineProvisioner
+from stileloft.machines.supervisor import MachineSupervisor
+from stileloft.machines.timeouts import FailureTimeouts
+from stileloft.machines.worker_leases import WorkerLeases
 from stileloft.model.cluster import ClusterState
-from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
-from stileloft.protocol.messages import Heartbeat, JobSpec, MachineType, command_message
-from stileloft.protocol.state import UnavailableError, UnknownOutcomeError
-from stileloft.rebuild import operator_decisions as decisions
-from stileloft.scheduling.scheduling_loop import SchedulingLoop
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.protocol.cloud import CloudClient
+from stileloft.protocol.messages import Heartbeat, command_message
+from stileloft.protocol.peers import PeerClient
+from stileloft.protocol.state import StateClient
+from stileloft.protocol.workers import WorkerClient
+from stileloft.rebuild.operator_decisions import UnresolvedTaskKeeper
+from stileloft.scheduling.decision_applier import DecisionApplier
+from stileloft.scheduling.scheduling_loop import InThread, SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
+from stileloft.settings import Settings
+from stileloft.store.access import LeaderStore
+from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.commit_queue import CommitQueue
+from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.format_upgrade import FormatUpgrade
-from stileloft.store.job_transaction import JobTransaction, StoreLimits
+from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.job_reloader import JobReloader
+from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.limits import StoreLimits
+from stileloft.store.record_format import RecordFormat
+from stileloft.transport.clock import Clock, WallClock
+from stileloft.transport.rate_limit import TokenBucket
 from stileloft.workers.command_planner import CommandPlanner
 from stileloft.workers.dispatcher import CommandDispatcher
+from stileloft.workers.fencing import MachineFencing
+from stileloft.workers.forget_scheduler import ForgetScheduler
 from stileloft.workers.heartbeats import HeartbeatProcessor
 
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-
 log = logging.getLogger(__name__)
 
-CHECK_S = 0.5
-# Pauses between attempts to read the store when a term begins: after a refusal, and after a defect.
-RECOVERY_RETRY_S = 0.3
-RECOVERY_DEFECT_S = 1.0
-# Reports that come close together share one commit.
+CHECK_INTERVAL_S = 0.5
+"""How often all machines are checked, in seconds."""
 HEARTBEAT_FLUSH_S = 0.02
+"""Heartbeats that come so close together share one commit, in seconds."""
+NO_AGE_S = 1e9
+"""Shown in place of an age that has no bound."""
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderEnvironment:
+    """What a controller hands to its leader."""
+
+    settings: Settings
+    clock: Clock
+    wall_clock: WallClock
+    state: StateClient
+    cloud: CloudClient
+    workers: WorkerClient
+    peers: PeerClient
+    write_budget: TokenBucket
+    catalog: MachineCatalog
+    record_format: RecordFormat
+    integrity: StoreIntegrity
+    invariants: InvariantMonitor
+    operator_settings: Callable[[], OperatorSettings]
+    """The operators' settings in force."""
+    run_in_thread: InThread
+    nonce: str
+    """Of this process; it keeps the names of requests to the cloud apart."""
 
 
 class Leader:
-    """All that one leadership knows; nothing outlives it."""
-
-    def __init__(self, node: "Controller", token: int, key_version: int) -> None:
-        self.node = node
-        self.tokens = FencingTokens(token, key_version)
-        self._key_version = key_version
-        self.nonce = node.nonce
-        self.clock = node.reactor
-        self.wall_clock = node.wall_clock
-        self.settings = node.settings.deployment
-        self.state = node.state
-        self.cloud = node.cloud
-        self.workers = node.workers
-        self.write_budget = node.leader_write_budget
-        self.teams = node.teams
-        self.renewal_grace_s = node.renewal_grace_s
-        self.sleep = node.sleep
-        self.alive = True
-        self.store_loaded = False
-        self.started_at = self.clock.seconds()
-        self.lock = threading.Lock()
+    """All that one leadership knows and does; nothing of it outlives the leadership.
+
+    The parts know each other only as far as their constructors say; what would go round in a circle is a callback.
+    """
+
+    def __init__(self, environment: LeaderEnvironment, lease: LeaderLease, tokens: FencingTokens) -> None:
+        self._environment = environment
+        self._clock = environment.clock
+        self._deployment = environment.settings.deployment
+        self._timings = self._deployment.workers
+        self.timeouts = FailureTimeouts.of(self._timings)
+        self._teams = {team.name: team for team in self._deployment.teams}
+        self.lease = lease
+        self.tokens = tokens
         self.cluster = ClusterState()
-        self.jobs = self.cluster.jobs
-        self.machines = self.cluster.machines
-        self.undescribed_jobs: frozenset[str] = frozenset()
-        """Jobs of which only workers' reports tell: what runs of them goes on until an operator decides."""
-        self.limits = StoreLimits(self.settings.state)
-        self.workload = Workload(self.settings.objectives, self.wall_clock, lambda: self.types)
-        self.invariants = node.invariants
-        self.authority = Authority(self)
-        self.commit_queue = CommitQueue(self)
-        self.planner = CommandPlanner(self)
-        self.heartbeats = HeartbeatProcessor(self)
-        self.dispatcher = CommandDispatcher(self)
-        self.fleet = Fleet(self)
-        self.tasks = TaskLifecycle(self)
-        self.watch = JobWatch(self)
-        self.upgrade = FormatUpgrade(self)
-        self.snapshots = SnapshotBuilder(self)
-        self.scheduling = SchedulingLoop(self)
-
-    @property
-    def types(self) -> dict[str, MachineType]:
-        """The cloud's machine types, with the prices of the moment."""
-        return self.node.types
-
-    @property
-    def token(self) -> int:
-        """What workers are told unless one of them has to see a higher one."""
-        return self.tokens.first
-
-    # -- life -------------------------------------------------------------------
+        self.flush_timer = FlushTimer(self._clock)
+        self._build_jobs()
+        self._build_store()
+        self._build_workers()
+        self._build_machines()
+        self._build_dispatcher()
+        self._build_scheduling()
+        self._build_failover()
+
+    # -- composition ------------------------------------------------------------------
+
+    def _build_jobs(self) -> None:
+        """The registries of jobs and machines, and the life of tasks."""
+        env, clock = self._environment, self._clock
+        self.store = LeaderStore(
+            env.state, env.write_budget, StoreLimits(self._deployment.state), env.record_format, self.lease
+        )
+        self.workload = Workload(self._deployment.objectives, env.wall_clock, lambda: env.catalog.types)
+        self.images = ImageLocations(self.store, self.cluster, self.lease, clock)
+        self.machine_registry = MachineRegistry(self.cluster, self.tokens, self.images, clock)
+        self.job_registry = JobRegistry(
+            self.cluster, self.workload, env.record_format, self.store.limits, clock, env.wall_clock
+        )
+        self.forgets = ForgetScheduler(clock, self._timings.lease_s)
+        self.lifecycle = TaskLifecycle(
+            self.cluster,
+            self.machine_registry,
+            self.lease,
+            self.forgets,
+            self.flush_timer,
+            self.workload,
+            clock,
+            self._timings,
+            self.request_scheduling,
+            self._send_commands,
+        )
 
-    def begin(self) -> None:
-        """Starts the term's work."""
-        defer.ensureDeferred(self._take_over())
+    def _build_store(self) -> None:
+        """What is written to the store, and read again."""
+        env, clock = self._environment, self._clock
+        self.reloader = JobReloader(
+            self.store,
+            self.cluster,
+            self.job_registry,
+            self.lifecycle,
+            clock,
+            self._flush,
+            self.request_scheduling,
+        )
+        self.commit_queue = CommitQueue(
+            self.store,
+            self.cluster,
+            self.lease,
+            self.tokens,
+            env.integrity,
+            CommitApplier(self.job_registry, self.lifecycle, clock),
+            self.flush_timer,
+            clock,
+            self.reloader.reload,
+            self._after_commit,
+        )
+        self.upgrade = FormatUpgrade(
+            self.store, self.cluster, self.lease, env.peers, env.settings, clock, self.request_scheduling
+        )
+        self.watch = JobWatch(
+            self.lease,
+            env.state,
+            self.cluster,
+            self.job_registry,
+            self.lifecycle,
+            env.integrity,
+            clock,
+            env.record_format.first_chunk_size,
+            self.reloader.reload,
+            self.request_scheduling,
+        )
 
-    def finish(self) -> None:
-        """Ends the term: nothing is decided, sent or stored any more."""
-        self.alive = False
-        self.scheduling.stop()
+    def _build_workers(self) -> None:
+        """What may be sent to workers, and under which token."""
+        env = self._environment
+        self.authority = Authority(self.lease, self.tokens, self.cluster, self.job_registry, self.watch)
+        self.fencing = MachineFencing(
+            self.cluster, self.tokens, env.invariants, env.integrity, self.flush_timer, self._timings
+        )
+        self.planner = CommandPlanner(
+            self.cluster, self.authority, self.fencing, self._clock, self._timings.heartbeat_s
+        )
+
+    def _build_machines(self) -> None:
+        """Membership: failure detection, scaling out and in."""
+        env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
+        lag_s, failure_s = self._deployment.cloud.list_lag_s, self.timeouts.failure_s
+        self.boots = BootMonitor(self.lease, env.catalog, clock, failure_s, lease_s, lag_s)
+        self.worker_leases = WorkerLeases(self.lease, self.lifecycle, lease_s)
+        self.releaser = MachineReleaser(
+            self.cluster,
+            self.lease,
+            self.authority,
+            self.lifecycle,
+            self.worker_leases,
+            self.images,
+            env.cloud,
+            clock,
+            lease_s,
+            self.request_scheduling,
+        )
+        self.provision_records = ProvisionRecords(self.store, self.machine_registry, clock, env.wall_clock, lag_s)
+        self.provisioner = MachineProvisioner(
+            self.cluster,
+            self.machine_registry,
+            self.lease,
+            self.authority,
+            self.boots,
+            self.provision_records,
+            env.cloud,
+            clock,
+            f"r-{env.nonce}-{self.tokens.first}",
+            self.request_scheduling,
+        )
+        self.inventory = MachineInventory(
+            self.cluster,
+            self.machine_registry,
+            self.releaser,
+            self.lease,
+            env.cloud,
+            clock,
+            lag_s,
+            self.request_scheduling,
+        )
+        self.supervisor = MachineSupervisor(
+            self.cluster,
+            self.lease,
+            PartitionDetector(self.lease, env.peers, clock, self.timeouts, lease_s),
+            self.boots,
+            self.worker_leases,
+            self.releaser,
+            self.lifecycle,
+            clock,
+            failure_s,
+        )
 
-    def holds_lease(self) -> bool:
-        """Whether the leader's lease is known to be held at this moment."""
-        return self.alive and self.node.election.holds_lease()
+    def _build_dispatcher(self) -> None:
+        """Heartbeats, and commands to workers."""
+        env = self._environment
+        self.heartbeats = HeartbeatProcessor(
+            self.cluster,
+            self.machine_registry,
+            self.lifecycle,
+            self.fencing,
+            self.forgets,
+            self.authority,
+            self.tokens,
+            self.boots,
+            self.images,
+            self.flush_timer,
+            self._clock,
+            env.wall_clock,
+            self._timings,
+            self.request_scheduling,
+        )
+        self.dispatcher = CommandDispatcher(
+            self.cluster,
+            self.machine_registry,
+            self.authority,
+            self.planner,
+            self.fencing,
+            self.heartbeats,
+            self.tokens,
+            self.lease,
+            env.integrity,
+            env.workers,
+            self._clock,
+            self._timings.heartbeat_s,
+            self.timeouts.reachability_s,
+            self._deployment.quota.max_sockets,
+            self._after_heartbeat,
+        )
 
-    def leader_guard(self) -> dict[str, int]:
-        """The condition of our transactions that no other leader has been elected since."""
-        return {records.LEADER: self._key_version}
+    def _build_scheduling(self) -> None:
+        """The scheduling loop, and what applies its decisions."""
+        env, clock = self._environment, self._clock
+        self.snapshots = SnapshotBuilder(
+            self.cluster,
+            self.lease,
+            self.workload,
+            env.catalog,
+            self.lifecycle,
+            self.provisioner,
+            self._teams,
+            env.operator_settings,
+            clock,
+            env.wall_clock,
+            self._timings.heartbeat_s,
+            self.timeouts.heartbeat_overdue_s,
+            self.dispatcher.is_reachable,
+        )
+        applier = DecisionApplier(
+            self.cluster,
+            self.lifecycle,
+            self.provisioner,
+            self.releaser,
+            env.catalog,
+            self._teams,
+            clock,
+            env.wall_clock,
+            self._timings.heartbeat_s,
+        )
+        self.scheduling = SchedulingLoop(
+            self.cluster,
+            self.lease,
+            self.snapshots,
+            applier,
+            self.workload,
+            self.provisioner,
+            self.boots,
+            env.catalog,
+            env.operator_settings,
+            clock,
+            env.run_in_thread,
+            self._deployment.state.txn_ops,
+            self._flush,
+        )
 
-    def may_renew(self) -> bool:
-        """Whether an answer of ours may renew a worker's lease."""
-        return self.authority.check_renewal() is None
+    def _build_failover(self) -> None:
+        """What takes over from the former leader."""
+        self.unresolved = UnresolvedTaskKeeper(
+            self.store,
+            self.cluster,
+            self.job_registry,
+            self._environment.integrity,
+            self.flush_timer,
+            self._clock,
+            self.request_scheduling,
+        )
+        self.failover = Failover(
+            self.store,
+            self.cluster,
+            self.lease,
+            self.job_registry,
+            self.lifecycle,
+            self.watch,
+            self.upgrade,
+            self.provision_records,
+            self.images,
+            self.unresolved,
+            self._clock,
+        )
+
+    # -- life -------------------------------------------------------------------------
+
+    def begin(self) -> None:
+        """Starts the leader's work."""
+        defer.ensureDeferred(self._take_over())
 
-    def depose(self, reason: str) -> None:
-        """Gives up the leadership."""
-        if self.alive:
-            self.node.election.step_down(reason)
+    def end(self) -> None:
+        """Ends the leadership: nothing is decided, sent or stored any more."""
+        self.lease.end()
+        self.scheduling.stop()
 
     async def _take_over(self) -> None:
-        """Reads what is unfinished, then claims the machines that are known."""
-        defer.ensureDeferred(self.fleet.list_loop())
-        while self.alive:
-            try:
-                await recover(self)
-                break
-            except (UnavailableError, UnknownOutcomeError) as error:
-                log.info("taking over: %s", error)
-                await self.sleep(RECOVERY_RETRY_S)
-            except Exception:
-                log.exception("taking over")
-                await self.sleep(RECOVERY_DEFECT_S)
-        if not self.alive:
+        """Reads what is unfinished, claims the machines that are known, and begins the regular work."""
+        defer.ensureDeferred(self.inventory.run())
+        if not await self.failover.run():
             return
-        self.store_loaded = True
-        with self.lock:
+        with self.cluster.lock:
             # Where tasks are comes first: their ends and what is to be stopped wait for it.
-            for machine in sorted(self.machines.values(), key=lambda machine: not machine.placements):
+            for machine in sorted(self.cluster.machines.values(), key=lambda machine: not machine.placements):
                 self.dispatcher.send(machine)
         log.info(
-            "took over %d jobs and %d machines at revision %d in %.2f s",
-            len(self.jobs),
-            len(self.machines),
+            "failover finished token=%d jobs=%d machines=%d revision=%d seconds=%.2f",
+            self.tokens.first,
+            len(self.cluster.jobs),
+            len(self.cluster.machines),
             self.watch.revision,
-            self.clock.seconds() - self.started_at,
+            self._clock.seconds() - self.lease.began_at,
         )
         defer.ensureDeferred(self.watch.run())
-        defer.ensureDeferred(self.fleet.images.run())
+        defer.ensureDeferred(self.images.run())
         defer.ensureDeferred(self.upgrade.run())
-        if self.node.integrity.can_be_lost:
-            defer.ensureDeferred(decisions.carry_out(self))
+        if self._environment.integrity.can_be_lost:
+            defer.ensureDeferred(self.unresolved.run())
         self._check()
         self.request_scheduling()
 
-    # -- the picture: called with the lock held ------------------------------------
-
-    def adopt_job(self, job: Job) -> None:
-        """Takes in an accepted job."""
-        self.jobs[job.id] = job
-        job.accepted_at = self.clock.seconds() - max(0.0, self.wall_clock() - job.submitted)
-        self.workload.observe(job.spec, job.submitted)
-        most = records.tasks_in(self.limits.value_bytes)
-        if self.node.format >= records.SIZED_FORMAT:
-            if not job.chunk_size_stored:
-                self.cluster.dirty[job.id] = None
-        elif most < job.chunk_size:
-            # Its chunks must have one record each, within the limit to come.
-            job.max_placed_per_chunk = most
-
-    def awaits_operator(self, job_id: str) -> bool:
-        """Whether a job's tasks run on though the store places none of them: only workers' reports tell of it."""
-        return job_id in self.undescribed_jobs and job_id not in self.jobs
-
-    def remove_job(self, job: Job) -> None:
-        """Lets go of a job of which nothing is left."""
-        self.cluster.remove_job(job.id)
-        self.watch.job_removed(job.id)
-
-    def machine(self, machine_id: str) -> Machine:
-        """The machine of this name, new or known."""
-        machine = self.machines.get(machine_id)
-        if machine is None:
-            machine = Machine(machine_id, first_seen=self.clock.seconds(), token=self.tokens.first)
-            machine.images = dict.fromkeys(self.fleet.images.of_former_leader(machine_id))
-            self.machines[machine_id] = machine
-        return machine
-
-    def headroom(self, gang: bool) -> list[tuple[JobSpec, int]]:
-        """Tasks that are to find room at once if they come now."""
-        # What has not been seen in the first moments of a term may only not have been read yet.
-        settled = self.clock.seconds() - self.started_at > self.settings.workers.heartbeat_s
-        return self.workload.headroom(gang, self.node.operator_settings, unseen=gang and settled)
-
-    # -- events -------------------------------------------------------------------
+    def _check(self) -> None:
+        """Looks after all machines, again and again."""
+        if not self.lease.active:
+            return
+        self._clock.callLater(CHECK_INTERVAL_S, self._check)
+        try:
+            with self.cluster.lock:
+                self.supervisor.check()
+                if not self.lease.active:
+                    return
+                for machine in self.cluster.machines.values():
+                    self.dispatcher.send(machine)
+                self.cluster.expire_nominations(self._clock.seconds())
+        except Exception:
+            log.exception("check of the machines failed")
+        if self.cluster.dirty:
+            self.commit_queue.flush()
+        self.request_scheduling()
+
+    # -- events -----------------------------------------------------------------------
+
+    def may_renew(self) -> bool:
+        """Whether an answer of ours may renew a worker's lease."""
+        return self.authority.check_renewal() is None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
-        """Takes in a worker's report, and answers it."""
-        if heartbeat.machine in self.fleet.released_machines:
+        """Takes in a worker's heartbeat, and answers it."""
+        if heartbeat.machine in self.releaser.released:
             # Held back on its way: the cloud has told us that the machine is gone. Believing
             # it would bring the machine back to life here, and place tasks on nothing.
             return command_message(self.tokens.first, [])
-        with self.lock:
+        with self.cluster.lock:
             answer = self.dispatcher.on_heartbeat(heartbeat)
-        self.after_heartbeat()
+        self._after_heartbeat()
         return answer
 
     def on_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes in a report whose worker must not count on us: before the store is read, or once we know too little."""
-        if heartbeat.machine not in self.fleet.released_machines:
-            with self.lock:
+        """Takes in a heartbeat whose worker must not count on us, as we know too little to answer it."""
+        if heartbeat.machine not in self.releaser.released:
+            with self.cluster.lock:
                 self.heartbeats.process(heartbeat)
 
-    def after_heartbeat(self) -> None:
-        """Has written what a report has changed."""
-        if self.cluster.dirty and self.store_loaded:
-            self.commit_queue.flush_within(HEARTBEAT_FLUSH_S)
+    def request_scheduling(self) -> None:
+        """Asks for a scheduling cycle."""
+        self.scheduling.request()
+
+    def _after_heartbeat(self) -> None:
+        """Has written what a heartbeat has changed."""
+        if self.cluster.dirty and self.cluster.loaded:
+            self.flush_timer.within(HEARTBEAT_FLUSH_S)
 
-    def after_commit(self, batch: list[JobTransaction]) -> None:
+    def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
-        machines = dict.fromkeys(p.machine for entry in batch for p in entry.bound)
-        machines |= dict.fromkeys(self.dispatcher.fencing.take_waiting_machines())
-        with self.lock:
-            for machine_id in machines:
-                machine = self.machines.get(machine_id)
+        machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.bound)
+        machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
+        with self.cluster.lock:
+            for machine_id in machine_ids:
+                machine = self.cluster.machines.get(machine_id)
                 if machine is not None:
                     self.dispatcher.send(machine)
-        if any(entry.ended for entry in batch):
+        if any(part.ended for part in parts):
             self.request_scheduling()
 
-    def request_scheduling(self) -> None:
-        """Asks for a round of decisions."""
-        self.scheduling.request()
+    def _send_commands(self, machine: Machine) -> None:
+        self.dispatcher.send(machine)
 
-    def _check(self) -> None:
-        if not self.alive:
-            return
-        self.clock.callLater(CHECK_S, self._check)
-        try:
-            with self.lock:
-                self.fleet.check()
-                if not self.alive:
-                    return
-                for machine in self.machines.values():
-                    self.dispatcher.send(machine)
-                self.cluster.expire_nominations(self.clock.seconds())
-        except Exception:
-            log.exception("check")
-        if self.cluster.dirty:
-            self.commit_queue.flush()
-        self.request_scheduling()
+    def _flush(self) -> None:
+        self.commit_queue.flush()
+
+    # -- administration ---------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows of the term."""
-        with self.lock:
+        """What the administration API shows of the leadership."""
+        with self.cluster.lock:
+            jobs = self.cluster.jobs.values()
             return {
                 "jobs": {
-                    "unfinished": len(self.jobs),
-                    "waiting_tasks": sum(j.waiting for j in self.jobs.values()),
-                    "placed_tasks": sum(j.placed for j in self.jobs.values()),
+                    "unfinished": len(jobs),
+                    "waiting_tasks": sum(job.waiting for job in jobs),
+                    "placed_tasks": sum(job.placed for job in jobs),
                 },
-                "machines": [
-                    {
-                        "id": m.id,
-                        "type": m.type,
-                        "zone": m.zone,
-                        "spot": m.spot,
-                        "up": m.up_since is not None,
-                        "tasks": len(m.placements),
-                        "draining": m.drain_reason,
-                    }
-                    for m in self.machines.values()
-                ],
+                "machines": [_machine_status(machine) for machine in self.cluster.machines.values()],
                 "commits": self.commit_queue.commits,
                 "commands": self.dispatcher.status(),
                 "knowledge": {
-                    "store_read": self.store_loaded,
+                    "store_read": self.cluster.loaded,
                     "watch_revision": self.watch.revision,
-                    "cancellations_known_s_ago": round(min(1e9, self.watch.staleness_s()), 3),
-                    "lease_renewed_s_ago": round(self.node.election.seconds_since_renewal(), 3),
+                    "cancellations_known_s_ago": round(min(NO_AGE_S, self.watch.staleness_s()), 3),
+                    "lease_renewed_s_ago": round(self.lease.seconds_since_renewal(), 3),
                 },
                 "last_decision": self.scheduling.last_decision,
             }
+
+
+def _machine_status(machine: Machine) -> dict[str, Any]:
+    return {
+        "id": machine.id,
+        "type": machine.type,
+        "zone": machine.zone,
+        "spot": machine.spot,
+        "up": machine.up_since is not None,
+        "tasks": len(machine.placements),
+        "draining": machine.drain_reason,
+    }
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -1,16 +1,15 @@
 """Where images are: learned from the tasks that run, and recorded as a hint for the next leader."""
 
 import logging
-from typing import TYPE_CHECKING
 
+from stileloft.leadership.lease import LeaderLease
 from stileloft.model import records
+from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.store.access import LeaderStore
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
 
 log = logging.getLogger(__name__)
 
@@ -22,17 +21,20 @@
 IMAGES_KNOWN = 40
 
 
-class ImageRecords:
+class ImageLocations:
     """The images that machines are likely to have, as far as seen."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
+    def __init__(self, store: LeaderStore, cluster: ClusterState, lease: LeaderLease, clock: Clock) -> None:
+        self._store = store
+        self._cluster = cluster
+        self._lease = lease
+        self._clock = clock
         self._loaded: dict[str, list[str]] = {}
         """What a former leader recorded of machines that are not known yet."""
         self._dropped: set[str] = set()
         """Machines that are gone, and whose records have to go."""
 
-    def machine_gone(self, machine: Machine) -> None:
+    def machine_released(self, machine: Machine) -> None:
         """Has the record of a machine removed."""
         if machine.images:
             self._dropped.add(machine.id)
@@ -48,7 +50,7 @@
             del machine.images[next(iter(machine.images))]
 
     def load(self, machine_id: str, images: list[str]) -> None:
-        machine = self._term.machines.get(machine_id)
+        machine = self._cluster.machines.get(machine_id)
         if machine is None:
             self._loaded[machine_id] = images
         else:
@@ -60,26 +62,29 @@
 
     async def run(self) -> None:
         """Records where images are, for a successor; what is left of the write budget will do."""
-        term = self._term
         pause_s = IMAGES_S
-        while term.alive:
-            await term.sleep(pause_s)
-            if not term.holds_lease():
+        while self._lease.active:
+            await sleep(self._clock, pause_s)
+            if not self._lease.is_held():
                 continue
-            half = max(1, term.limits.ops // 2)
-            unrecorded = [m for m in term.machines.values() if not m.images_recorded]
+            half = max(1, self._store.limits.ops // 2)
+            unrecorded = [m for m in self._cluster.machines.values() if not m.images_recorded]
             rounds = len(unrecorded) / half
             pause_s = max(IMAGES_LEAST_S, IMAGES_S * min(1.0, IMAGES_ROUNDS / max(rounds, 1.0)))
             changed = unrecorded[:half]
             dropped = sorted(self._dropped)[:half]
             count = len(changed) + len(dropped)
-            if not count or term.write_budget.level() < 2 * count or not term.write_budget.try_take(count):
+            if (
+                not count
+                or self._store.write_budget.level() < 2 * count
+                or not self._store.write_budget.try_take(count)
+            ):
                 continue
             puts = {records.IMAGES + m.id: self._recorded_images(m) for m in changed}
             try:
-                await term.state.commit(term.leader_guard(), puts, [records.IMAGES + m for m in dropped])
+                await self._store.client.commit(self._lease.guard(), puts, [records.IMAGES + m for m in dropped])
             except TooLargeError:
-                term.limits.refused(puts.values(), count)
+                self._store.limits.reduce_after_refusal(puts.values(), count)
                 continue
             except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
                 log.debug("recording images: %s", error)
@@ -91,6 +96,6 @@
     def _recorded_images(self, machine: Machine) -> list[str]:
         """The images that a machine has, the ones used last, as far as a value holds them."""
         images = list(machine.images)
-        while records.size_of(images) > self._term.limits.value_bytes:
+        while records.size_of(images) > self._store.limits.value_bytes:
             images = images[1 + len(images) // 8 :]
         return images
--- /dev/null
+++ b/stileloft/machines/scale_in.py
@@ -0,0 +1,112 @@
+"""Scale-in: machines are released to the cloud, and with them all that runs on them."""
+
+import logging
+from collections.abc import Callable
+
+from twisted.internet import defer
+
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.authority import Authority
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.image_locations import ImageLocations
+from stileloft.machines.worker_leases import WorkerLeases
+from stileloft.model.cluster import ClusterState
+from stileloft.model.machines import Machine
+from stileloft.protocol.cloud import RELEASE_LIMIT, CloudClient, CloudError
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
+
+log = logging.getLogger(__name__)
+
+BATCH_S = 0.05
+"""Machines to be released are gathered for so long into one request, in seconds."""
+REFUSED_RETRY_S = 0.5
+"""Pause while releases are not allowed, in seconds."""
+FAILED_RETRY_S = 1.0
+"""Pause after a request that failed, in seconds."""
+REMEMBERED_LEASES = 40.0
+"""Released machines are remembered for so many worker leases: packets held back may come minutes late."""
+
+
+class MachineReleaser:
+    """Releases machines; once the cloud has confirmed it, everything on them is gone."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        lease: LeaderLease,
+        authority: Authority,
+        lifecycle: TaskLifecycle,
+        worker_leases: WorkerLeases,
+        images: ImageLocations,
+        cloud: CloudClient,
+        clock: Clock,
+        worker_lease_s: float,
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        self._cluster = cluster
+        self._lease = lease
+        self._authority = authority
+        self._lifecycle = lifecycle
+        self._worker_leases = worker_leases
+        self._images = images
+        self._cloud = cloud
+        self._clock = clock
+        self._worker_lease_s = worker_lease_s
+        self._request_scheduling = request_scheduling
+        self._queue: dict[str, Machine] = {}
+        self.released: dict[str, float] = {}
+        """Machines whose release is confirmed, and when."""
+
+    def release(self, machine: Machine, reason: str) -> None:
+        """Has a machine released."""
+        if machine.releasing:
+            return
+        machine.releasing = True
+        machine.drain_reason = machine.drain_reason or reason
+        log.info("scale-in machine=%s reason=%r", machine.id, reason)
+        self._queue[machine.id] = machine
+        if len(self._queue) == 1:
+            defer.ensureDeferred(self._release_queued())
+
+    async def _release_queued(self) -> None:
+        """Releases machines until the queue is empty; many to a request, as the cloud takes few of them."""
+        while self._lease.active and self._queue:
+            await sleep(self._clock, BATCH_S)
+            if self._authority.check_scale_in() is not None:
+                await sleep(self._clock, REFUSED_RETRY_S)
+                continue
+            batch = list(self._queue.values())[:RELEASE_LIMIT]
+            try:
+                await self._cloud.release(
+                    [machine.id for machine in batch], lambda: not self._authority.check_scale_in()
+                )
+            except CloudError as error:
+                log.debug("scale-in failed machines=%d: %s", len(batch), error)
+                await sleep(self._clock, FAILED_RETRY_S)
+                self._end_expired_tasks()
+                continue
+            if not self._lease.active:
+                return
+            with self._cluster.lock:
+                for machine in batch:
+                    self._confirm(machine)
+            self._request_scheduling()
+
+    def _end_expired_tasks(self) -> None:
+        """Tasks of a machine that can't be released end with its worker's lease."""
+        now = self._clock.seconds()
+        with self._cluster.lock:
+            for machine in self._queue.values():
+                self._worker_leases.end_expired_tasks(machine, now)
+
+    def _confirm(self, machine: Machine) -> None:
+        """The cloud has confirmed that the machine and everything on it is gone."""
+        self._queue.pop(machine.id, None)
+        now = self.released[machine.id] = self._clock.seconds()
+        while now - self.released[oldest := next(iter(self.released))] > REMEMBERED_LEASES * self._worker_lease_s:
+            del self.released[oldest]
+        for placement in list(machine.placements.values()):
+            self._lifecycle.end(placement, "its machine was released")
+        self._cluster.machines.pop(machine.id, None)
+        self._images.machine_released(machine)
--- /dev/null
+++ b/stileloft/machines/scale_out.py
@@ -0,0 +1,119 @@
+"""Scale-out: machines are provisioned from the cloud."""
+
+import logging
+from collections.abc import Callable
+
+from twisted.internet import defer
+
+from stileloft.leadership.authority import Authority
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.boot_monitor import BootMonitor
+from stileloft.machines.provision_records import ProvisionRecords
+from stileloft.machines.registry import MachineRegistry
+from stileloft.model.cluster import ClusterState
+from stileloft.protocol.cloud import PROVISION_LIMIT, CloudClient, CloudError, NoCapacityError
+from stileloft.scheduling.autoscaling import InstanceOffer
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
+
+log = logging.getLogger(__name__)
+
+NO_CAPACITY_BOOTS = 0.5
+"""How long an offer without capacity is left alone, in boot times of its type."""
+ATTEMPTS = 6
+"""How often a request is tried, with a pause that grows by a second each time."""
+FIRST_RETRY_S = 1.0
+
+
+class MachineProvisioner:
+    """Provisions machines; each request has a name, so that a repetition provisions nothing more."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        machines: MachineRegistry,
+        lease: LeaderLease,
+        authority: Authority,
+        boots: BootMonitor,
+        records: ProvisionRecords,
+        cloud: CloudClient,
+        clock: Clock,
+        request_prefix: str,
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        """`request_prefix` keeps the names of requests apart between controllers, restarts and leaderships."""
+        self._cluster = cluster
+        self._machines = machines
+        self._lease = lease
+        self._authority = authority
+        self._boots = boots
+        self._records = records
+        self._cloud = cloud
+        self._clock = clock
+        self._request_prefix = request_prefix
+        self._request_scheduling = request_scheduling
+        self.pending: dict[str, tuple[InstanceOffer, int]] = {}
+        """Requests under way: what each asks for, and how many."""
+        self._no_capacity_until: dict[InstanceOffer, float] = {}
+        self._requests = 0
+
+    def offers_without_capacity(self) -> frozenset[InstanceOffer]:
+        """Offers that the cloud had none of lately."""
+        now = self._clock.seconds()
+        return frozenset(offer for offer, until in self._no_capacity_until.items() if until > now)
+
+    def provision(self, offer: InstanceOffer, wanted: int) -> None:
+        """Begins to provision machines."""
+        # A request for more than the limit would be filled in part, and read as a sign that there are no more of these.
+        for first in range(0, wanted, PROVISION_LIMIT):
+            self._begin_request(offer, min(PROVISION_LIMIT, wanted - first))
+
+    def _begin_request(self, offer: InstanceOffer, count: int) -> None:
+        self._requests += 1
+        request = f"{self._request_prefix}-{self._requests}"
+        self.pending[request] = (offer, count)
+        defer.ensureDeferred(self._provision(request, offer, count))
+
+    async def _provision(self, request: str, offer: InstanceOffer, count: int) -> None:
+        machine_type, zone, spot = offer
+        sent_at = self._clock.seconds()
+        machines = await self._ask_cloud(request, offer, count)
+        if not self._lease.active:
+            return
+        with self._cluster.lock:
+            self.pending.pop(request, None)
+            for machine_id in machines:
+                machine = self._machines.get_or_create(machine_id)
+                if not machine.heartbeat_received:
+                    machine.type, machine.zone, machine.spot = machine_type, zone, spot
+                machine.provisioned_at = sent_at
+        log.info(
+            "scale-out type=%s zone=%s spot=%s provisioned=%d wanted=%d", machine_type, zone, spot, len(machines), count
+        )
+        if machines:
+            await self._records.write(offer, machines)
+        self._request_scheduling()
+
+    async def _ask_cloud(self, request: str, offer: InstanceOffer, count: int) -> list[str]:
+        """The machines that the cloud gives, fewer than wanted if it has no more."""
+        machine_type, zone, spot = offer
+        backoff_s = NO_CAPACITY_BOOTS * self._boots.boot_s(machine_type)
+        for attempt in range(ATTEMPTS):
+            if self._authority.check_scale_out() is not None:
+                return []
+            try:
+                machines = await self._cloud.provision(
+                    request, machine_type, zone, spot, count, lambda: not self._authority.check_scale_out()
+                )
+            except NoCapacityError:
+                self._no_capacity_until[offer] = self._clock.seconds() + backoff_s
+                return []
+            except CloudError as error:
+                # The same name again: if the first was carried out, nothing more is provisioned.
+                log.info("scale-out failed request=%s attempt=%d: %s", request, attempt + 1, error)
+                await sleep(self._clock, FIRST_RETRY_S + attempt)
+                continue
+            if len(machines) < count:
+                self._no_capacity_until[offer] = self._clock.seconds() + backoff_s
+            return machines
+        return []
--- /dev/null
+++ b/stileloft/machines/worker_leases.py
@@ -0,0 +1,40 @@
+"""When the lease of a machine's worker has surely expired, and its tasks with it."""
+
+import logging
+
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.lease import LeaderLease
+from stileloft.model.machines import Machine
+from stileloft.transport.clock import MAX_CLOCK_DRIFT
+
+log = logging.getLogger(__name__)
+
+EXPIRY_MARGIN_LEASES = 0.1
+"""Margin beyond a worker's lease before it counts as expired, in leases."""
+
+
+class WorkerLeases:
+    """Tells of which machines all tasks are certainly killed."""
+
+    def __init__(self, lease: LeaderLease, lifecycle: TaskLifecycle, worker_lease_s: float) -> None:
+        self._lease = lease
+        self._lifecycle = lifecycle
+        self._worker_lease_s = worker_lease_s
+
+    def has_expired(self, machine: Machine, now: float) -> bool:
+        """Whether the machine's tasks are certainly killed, as its worker's lease has expired."""
+        margin_s = self._worker_lease_s * (EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
+        # Until the worker is known to have our token, a former leader may answer it without being confirmed,
+        # for its grace. That we answered a heartbeat shows nothing: it may have been an old one, which came just
+        # as our leadership began, and whose worker hears the former leader still.
+        renewed_at = machine.lease_renewed_at
+        if not machine.claimed:
+            renewed_at = max(renewed_at, self._lease.began_at + self._lease.renewal_grace_s)
+        return now > renewed_at + self._worker_lease_s + margin_s
+
+    def end_expired_tasks(self, machine: Machine, now: float) -> None:
+        """Ends all tasks of a machine whose worker's lease has certainly expired."""
+        if machine.placements and self.has_expired(machine, now):
+            log.info("lease expired machine=%s epoch=%d tasks=%d", machine.id, machine.epoch, len(machine.placements))
+            for placement in list(machine.placements.values()):
+                self._lifecycle.end(placement, "its machine's lease expired")
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -1,6 +1,7 @@
 """The leader's picture of the cluster: jobs, machines, nominations, and what has to be written of them."""
 
 import itertools
+import threading
 from collections.abc import Iterable
 
 from stileloft.model.jobs import Job
@@ -13,6 +14,10 @@
     """Data only, without I/O; all access is under the term's lock."""
 
     def __init__(self) -> None:
+        self.lock = threading.Lock()
+        """Held for every access; never over I/O."""
+        self.loaded = False
+        """Whether the store was read since the leadership began."""
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.dirty: dict[str, None] = {}
--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -2,6 +2,7 @@
 
 import functools
 from collections.abc import Iterator
+from enum import StrEnum
 from typing import Any
 
 from stileloft.model import records
@@ -10,6 +11,15 @@
 from stileloft.protocol.messages import RUNNING, SAVING, JobSpec, job_from_wire, job_to_wire
 
 
+class EndPhase(StrEnum):
+    """How a job ended, as far as the leader knows."""
+
+    DONE = "done"
+    CANCELLED = "cancelled"
+    UNSETTLED = "unsettled"
+    """Its record is gone, and the store was not asked yet which of the two it is."""
+
+
 class Job:
     """An accepted job, or what is left of a cancelled one."""
 
@@ -33,7 +43,7 @@
         self.finished_chunks: set[int] = set()
         self.done = 0
         self.placed = 0
-        self.end_phase: str | None = None
+        self.end_phase: EndPhase | None = None
         """`done` or `cancelled` once the store says so."""
         self.commit_in_flight = False
         """A transaction about this job is under way, or its outcome is unknown."""
@@ -151,6 +161,14 @@
         for chunk in self.chunks.values():
             yield from chunk.placements.values()
 
+    def coalesce_write(self, now: float, urgent: bool) -> None:
+        """A task is done. Many such share a write, unless it is the last one or something else is urgent."""
+        ended = [p for p in self.placements() if p.state == PlacementState.ENDED]
+        left = self.spec.tasks - self.done - sum(1 for p in ended if p.done)
+        self.urgent = urgent or left <= 0
+        if self.coalescing_since is None:
+            self.coalescing_since = now
+
     def running(self) -> int:
         return sum(
             1 for p in self.placements() if p.state == PlacementState.BOUND and p.reported_state in (RUNNING, SAVING)
--- a/stileloft/protocol/cloud.py
+++ b/stileloft/protocol/cloud.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from stileloft.protocol.messages import ListedMachine, MachineType
-from stileloft.protocol.state import TokenBucket
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
+from stileloft.transport.rate_limit import TokenBucket
 
 # Machines in one request or answer, as the protocol limits them.
 PROVISION_LIMIT = 50
--- a/stileloft/protocol/state.py
+++ b/stileloft/protocol/state.py
@@ -53,42 +53,6 @@
     """The watch's revision is too old; the keys have to be read again."""
 
 
-class TokenBucket:
-    """A token bucket; its burst is one second's worth if nothing else is said."""
-
-    def __init__(self, clock: Clock, rate_per_s: float, burst_s: float = 1.0) -> None:
-        self._clock = clock
-        self.rate_per_s = rate_per_s
-        self._most = max(1.0, burst_s * rate_per_s)
-        self._level = self._most
-        self._at = clock.seconds()
-
-    def _fill(self) -> None:
-        now = self._clock.seconds()
-        self._level = min(self._most, self._level + (now - self._at) * self.rate_per_s)
-        self._at = now
-
-    def try_take(self, amount: float = 1.0) -> bool:
-        self._fill()
-        if self._level < amount:
-            return False
-        self._level -= amount
-        return True
-
-    def overdraw(self, amount: float) -> None:
-        """Takes what was needed beyond what was asked for; what comes next waits for it."""
-        self._fill()
-        self._level -= amount
-
-    def refund(self, amount: float) -> None:
-        """What was taken for a request that the service did not execute."""
-        self._level = min(self._most, self._level + amount)
-
-    def level(self) -> float:
-        self._fill()
-        return self._level
-
-
 class StateClient:
     """Requests to the store; each ends in a value or one of this module's errors."""
 
--- a/stileloft/rebuild/change_broadcast.py
+++ b/stileloft/rebuild/change_broadcast.py
@@ -86,5 +86,5 @@
             part = changes[first : first + MOST_CHANGES]
             notes = Notes(protection.identity.deployment, protection.identity.generation, part)
             for peer in self._node.settings.peers:
-                sent = self._node.peers.send_notes(peer.address, msgspec.to_builtins(notes))
+                sent = self._node.clients.peers.send_notes(peer.address, msgspec.to_builtins(notes))
                 defer.ensureDeferred(sent).addErrback(lambda failure: log.error("notes: %s", failure.getTraceback()))
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -54,7 +54,7 @@
     guards = {active: version, final: 0, **protection.guards()}
     value = records.final_record(end.phase, end.tasks)
     try:
-        await node.state.commit(guards, {final: value}, [active] if version else [])
+        await node.clients.state.commit(guards, {final: value}, [active] if version else [])
         log.info("job %s is %s, which the rebuild did not know", job, end.phase)
     except ConflictError as conflict:
         if active in conflict.failed:
@@ -70,7 +70,7 @@
         attempt = inline["a"] + ATTEMPT_MARGIN
         value = value | {records.INLINE_CHUNK: {"a": attempt, "d": inline["d"], "p": {}}}
     try:
-        await node.state.commit({active: 0, final: 0, **protection.guards()}, {active: value}, [])
+        await node.clients.state.commit({active: 0, final: 0, **protection.guards()}, {active: value}, [])
         log.info("job %s was accepted, which the rebuild did not know", job)
     except ConflictError:
         return  # it was submitted again meanwhile
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -1,102 +1,125 @@
 """Tasks that a rebuild left undecided: held back by the leader until an operator has decided."""
 
 import logging
+from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
 import msgspec
 
+from stileloft.jobs.registry import JobRegistry
 from stileloft.model import records
+from stileloft.model.cluster import ClusterState
+from stileloft.model.jobs import Job
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks as undecided
 from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
+from stileloft.store.access import LeaderStore
+from stileloft.store.flush_timer import FlushTimer
+from stileloft.store.integrity import StoreIntegrity
+from stileloft.transport.clock import Clock
+from stileloft.transport.retry import RetryPolicy, repeat
+from stileloft.transport.timers import sleep
 
 if TYPE_CHECKING:
     from stileloft.controller.controller import Controller
-    from stileloft.leadership.leader import Leader
-    from stileloft.model.jobs import Job
 
 log = logging.getLogger(__name__)
 
-# How often the leader looks for decisions, while anything is undecided.
 LOOK_S = 1.0
+"""How often the leader looks for decisions, while anything is unresolved, in seconds."""
+RETRY = RetryPolicy((ConflictError, UnavailableError, UnknownOutcomeError), LOOK_S, LOOK_S)
 
 Stored = dict[str, tuple[Undecided, int]]
-"""By job: its undecided tasks, and the version of their record."""
-
-
-async def read(term: "Leader") -> Stored:
-    """All that is undecided; nothing is asked without the feature."""
-    if not term.node.integrity.can_be_lost:
-        return {}
-    items, _ = await term.state.scan(records.UNDECIDED)
-    return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
-
-
-def hold(term: "Leader", stored: Stored) -> None:
-    """Has no undecided task started; called with the term's lock held."""
-    term.undescribed_jobs = frozenset(job for job, (found, _) in stored.items() if found.unknown)
-    for job_id, (found, _) in stored.items():
-        job = term.jobs.get(job_id)
-        if job is not None:
-            job.tasks_awaiting_operator = frozenset(found.open_tasks())
-
-
-async def carry_out(term: "Leader") -> None:
-    """Does what operators decide, for as long as the term lasts."""
-    while term.alive:
-        await term.sleep(LOOK_S)
-        if not term.holds_lease() or not (
-            term.undescribed_jobs or any(job.tasks_awaiting_operator for job in list(term.jobs.values()))
-        ):
-            continue
-        try:
-            stored = await read(term)
+"""By job: its unresolved tasks, and the version of their record."""
+
+
+class UnresolvedTaskKeeper:
+    """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
+
+    def __init__(
+        self,
+        store: LeaderStore,
+        cluster: ClusterState,
+        jobs: JobRegistry,
+        integrity: StoreIntegrity,
+        flush_timer: FlushTimer,
+        clock: Clock,
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        self._store = store
+        self._cluster = cluster
+        self._jobs = jobs
+        self._integrity = integrity
+        self._flush_timer = flush_timer
+        self._clock = clock
+        self._request_scheduling = request_scheduling
+
+    async def read(self) -> Stored:
+        """All that is unresolved; nothing is asked without the feature."""
+        if not self._integrity.can_be_lost:
+            return {}
+        items, _ = await self._store.client.scan(records.UNDECIDED)
+        return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
+
+    def apply(self, stored: Stored) -> None:
+        """Has no unresolved task started; called with the cluster's lock held."""
+        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.unknown)
+        for job_id, (found, _) in stored.items():
+            job = self._cluster.jobs.get(job_id)
+            if job is not None:
+                job.tasks_awaiting_operator = frozenset(found.open_tasks())
+
+    async def run(self) -> None:
+        """Does what operators decide, for as long as the leadership lasts."""
+        lease = self._store.lease
+        await sleep(self._clock, LOOK_S)
+        await repeat("unresolved tasks", self._carry_out, RETRY, self._clock, lambda: lease.active)
+
+    async def _carry_out(self) -> None:
+        if self._store.lease.is_held() and self._anything_unresolved():
+            stored = await self.read()
             for job_id, (found, version) in stored.items():
-                await _carry_out_one(term, job_id, found, version)
-        except ConflictError:
-            continue  # an operator has decided more meanwhile: it is read again
-        except (UnavailableError, UnknownOutcomeError) as error:
-            log.debug("undecided tasks: %s", error)
-        except Exception:
-            log.exception("undecided tasks")
-
-
-async def _carry_out_one(term: "Leader", job_id: str, found: Undecided, version: int) -> None:
-    job = term.jobs.get(job_id)
-    if job is not None and not found.unknown:
-        with term.lock:
-            if not _apply(term, job, found):
-                return
-    elif found.unknown and Decision.FORGET not in found.decisions.values() and job is None:
-        return
-    # Nothing of it is undecided any more, or the job is over or was submitted once more.
-    await term.state.commit(
-        {**term.leader_guard(), records.UNDECIDED + job_id: version}, {}, [records.UNDECIDED + job_id]
-    )
-    log.info("nothing of job %s is undecided any more", job_id)
-    with term.lock:
-        term.undescribed_jobs -= {job_id}
-    term.request_scheduling()
-
-
-def _apply(term: "Leader", job: "Job", found: Undecided) -> bool:
-    """Brings the picture in line with the decisions; whether all are carried out and stored."""
-    open_tasks = found.open_tasks()
-    for text, decision in found.decisions.items():
-        index = int(text)
-        chunk = job.chunk_of(index)
-        if decision is Decision.DONE and index not in chunk.done and not job.end_phase:
-            log.info("task %s/%d counts as done: an operator has decided so", job.id, index)
-            chunk.done.add(index)
-            job.done += 1
-            chunk.dirty = True
-            term.cluster.mark_dirty(job)
-    job.tasks_awaiting_operator = frozenset(open_tasks)
-    job.recount()
-    term.commit_queue.flush_within(0.0)
-    decided = found.decisions.keys() >= found.evidence.keys()
-    return decided and not job.dirty and not job.commit_in_flight
+                await self._carry_out_one(job_id, found, version)
+        await sleep(self._clock, LOOK_S)
+
+    def _anything_unresolved(self) -> bool:
+        jobs = list(self._cluster.jobs.values())
+        return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
+
+    async def _carry_out_one(self, job_id: str, found: Undecided, version: int) -> None:
+        job = self._cluster.jobs.get(job_id)
+        if job is not None and not found.unknown:
+            with self._cluster.lock:
+                if not self._apply_decisions(job, found):
+                    return
+        elif found.unknown and Decision.FORGET not in found.decisions.values() and job is None:
+            return
+        # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
+        key = records.UNDECIDED + job_id
+        await self._store.commit({}, [key], guards={key: version})
+        log.info("unresolved tasks settled job=%s", job_id)
+        with self._cluster.lock:
+            self._jobs.undescribed -= {job_id}
+        self._request_scheduling()
+
+    def _apply_decisions(self, job: Job, found: Undecided) -> bool:
+        """Brings the job in line with the decisions; returns whether all are carried out and stored."""
+        open_tasks = found.open_tasks()
+        for text, decision in found.decisions.items():
+            index = int(text)
+            chunk = job.chunk_of(index)
+            if decision is Decision.DONE and index not in chunk.done and not job.end_phase:
+                log.info("task counted as done by an operator job=%s task=%s/%d", job.id, job.id, index)
+                chunk.done.add(index)
+                job.done += 1
+                chunk.dirty = True
+                self._cluster.mark_dirty(job)
+        job.tasks_awaiting_operator = frozenset(open_tasks)
+        job.recount()
+        self._flush_timer.within(0.0)
+        decided = found.decisions.keys() >= found.evidence.keys()
+        return decided and not job.dirty and not job.commit_in_flight
 
 
 async def decide(node: "Controller", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
@@ -104,12 +127,12 @@
     key = records.UNDECIDED + job
     try:
         chosen = Decision(decision)
-        found = await node.state.lookup(key)
+        found = await node.clients.state.lookup(key)
         if found is None:
             return None
         value = undecided.to_record(undecided.from_record(found[0]).decide(task, chosen))
         guards = {key: found[1], **node.integrity.guards()}
-        revision = await node.state.commit(guards, {key: value}, [])
+        revision = await node.clients.state.commit(guards, {key: value}, [])
     except (ValueError, InvalidDecisionError) as error:
         raise InvalidSettingsError(f"decision: {error}") from None
     except ConflictError:
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -58,7 +58,7 @@
 
     def __init__(self, node: "Controller") -> None:
         self._node = node
-        self._state = node.state
+        self._state = node.clients.state
         self._feature = node.features.rebuild
         self.phase = Phase.STARTING
         self.identity: Identity | None = None
@@ -82,7 +82,7 @@
         self._began_at = node.reactor.seconds()
         self._suspected = False
         self._revision_at_loss = 0
-        node.state.on_regress = self._gone_back
+        node.clients.state.on_regress = self._gone_back
 
     # -- what the other modules ask -----------------------------------------------
 
@@ -213,7 +213,7 @@
     def _accept(self, present: Identity, version: int) -> None:
         before, known = self.phase, self.identity
         if known is not None and known.generation != present.generation:
-            self._node.forget_versions()
+            self._node.record_format.forget_record_version()
             # What is still under way was asked of the store that was lost.
             self._state.forget_revisions()
         self.identity, self.identity_version = present, version
@@ -280,7 +280,7 @@
     async def _look_first(self) -> None:
         """A first look: a store without an identity is new, not protected yet, or has lost everything."""
         # Peers are asked first, as they may give the store an identity meanwhile.
-        views = await self._node.peers.views()
+        views = await self._node.clients.peers.views()
         found, revision = await self._state.lookup_at(records.IDENTITY)
         known = self.identity
         if found is not None:
@@ -320,7 +320,7 @@
         election = self._node.election
         if self.phase is not Phase.UNPROTECTED or not election.holds_lease():
             return
-        views = await self._node.peers.views()
+        views = await self._node.clients.peers.views()
         others = {peer.member for peer in self._node.settings.peers}
         if not {view.member for view in views if view.protects} >= others:
             return
@@ -336,7 +336,7 @@
 
     async def _begin_rebuild(self, version: int) -> int:
         """Marks the store as being rebuilt, and finds a token above all that were ever given out."""
-        for view in await self._node.peers.views():
+        for view in await self._node.clients.peers.views():
             self.observe_token(view.highest_token)
         found = await self._state.lookup(records.IDENTITY)
         known = self.identity or identities.new_identity()
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from stileloft.leadership.election import DRIFT
-from stileloft.machines.fleet import MARGIN_LEASES
+from stileloft.machines.worker_leases import EXPIRY_MARGIN_LEASES
 from stileloft.model import records
 from stileloft.protocol.messages import Heartbeat, command_message, stop_command
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
@@ -18,8 +17,9 @@
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.replica_merge import Image, merge
 from stileloft.rebuild.snapshot import InvalidSnapshotError, Piece, Snapshot, from_pieces, read_piece
-from stileloft.store.commit_queue import TXN_BYTES
-from stileloft.store.job_transaction import StoreLimits
+from stileloft.store.limits import StoreLimits
+from stileloft.store.transaction_batch import MAX_TRANSACTION_BYTES
+from stileloft.transport.clock import MAX_CLOCK_DRIFT
 from stileloft.transport.server import Answer, retry_later
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         self, node: "Controller", protection: StoreProtection, token: int, when_done: Callable[[], None]
     ) -> None:
         self._node = node
-        self._state = node.state
+        self._state = node.clients.state
         self._protection = protection
         self.token = token
         self._when_done = when_done
@@ -111,7 +111,7 @@
                 present,
                 dict(self._reports),
                 frozenset(self._node.features.rebuild.run_once_classes),
-                self._node.first_chunk_size,
+                self._node.record_format.first_chunk_size,
             )
         )
         await self._write(result, present)
@@ -170,7 +170,7 @@
         pieces: list[Piece] = []
         try:
             while not pieces or len(pieces) < min(pieces[0].pieces, MOST_PIECES):
-                data = await self._node.peers.snapshot_piece(address, len(pieces))
+                data = await self._node.clients.peers.snapshot_piece(address, len(pieces))
                 if data is None:
                     return None
                 pieces.append(read_piece(data, deployment))
@@ -183,7 +183,7 @@
         """From then on no task runs that no report tells of: the last leader's answers can't keep it alive any more."""
         lease_s = self._node.settings.deployment.workers.lease_s
         lost_at = self._protection.lost_at or self._began_at
-        return lost_at + self._node.renewal_grace_s + lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
+        return lost_at + self._node.renewal_grace_s + lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
 
     async def _read_present(self) -> dict[str, Any]:
         """What the store holds of what a rebuild writes."""
@@ -221,7 +221,7 @@
         # Ends come first: until they are there, a job that is over would look as if it had never been.
         for key in sorted(puts, key=lambda key: (not key.startswith(records.ENDED), key)):
             length = records.most_compact_bytes(puts[key]) + len(key)
-            if batch and (len(batch) >= most or size + length > TXN_BYTES):
+            if batch and (len(batch) >= most or size + length > MAX_TRANSACTION_BYTES):
                 yield batch, []
                 batch, size = {}, 0
             batch[key] = puts[key]
@@ -234,7 +234,7 @@
     async def _commit(self, puts: dict[str, Any], deletes: list[str]) -> None:
         """One transaction; it is guarded on each record, so that nothing is overwritten that came meanwhile."""
         changes = len(puts) + len(deletes)
-        while not self._node.leader_write_budget.try_take(min(changes, self._node.leader_write_budget.rate_per_s)):
+        while not self._node.budgets.leader_writes.try_take(min(changes, self._node.budgets.leader_writes.rate_per_s)):
             await self._node.sleep(RETRY_S / 3)
         if not self.alive:
             raise UnavailableError("the leadership is over")
@@ -242,7 +242,7 @@
         try:
             revision = await self._state.commit(guards, puts, deletes)
         except TooLargeError:
-            self._limits.refused(puts.values(), changes)
+            self._limits.reduce_after_refusal(puts.values(), changes)
             raise
         self.transactions += 1
         for key, value in puts.items():
--- a/stileloft/rebuild/replica_follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -36,7 +36,7 @@
 
     def __init__(self, node: "Controller", protection: StoreProtection) -> None:
         self._node = node
-        self._state = node.state
+        self._state = node.clients.state
         self._protection = protection
         self._follow_s = node.features.rebuild.follow_s
         self._saved_at = 0.0
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -5,6 +5,7 @@
 
 from twisted.internet import defer
 
+from stileloft.rebuild import operator_decisions
 from stileloft.rebuild.change_broadcast import InvalidNotesError, parse_notes
 from stileloft.rebuild.protection import StoreProtection
 from stileloft.rebuild.rebuilder import Rebuilder
@@ -40,7 +41,7 @@
 
     def _done(self, token: int) -> None:
         self.rebuilder = None
-        self._node.begin_term(token)
+        self._node.begin_leading(token)
 
     def take_notes(self, body: Any) -> bool:
         """Takes in what another controller has just told its users; whether it could be read."""
@@ -54,6 +55,10 @@
         self.protection.take_notes(notes)
         return True
 
+    async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
+        """Takes an operator's word on unresolved tasks; None if the job has none."""
+        return await operator_decisions.decide(self._node, job, task, decision)
+
     def stop(self) -> None:
         """The leadership is over."""
         if self.rebuilder is not None:
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -1,145 +1,167 @@
-"""Rounds of decisions: when one is made, and how its outcome is applied to the leader's picture.
+"""The scheduling loop: when decisions are made, and in which thread.
 
-The decisions themselves are functions of a snapshot and run in a thread of their own. What they
-decide is checked again, under the lock, when it is applied.
+The decisions themselves are functions of a snapshot and run in a thread of their own. What they decide is checked
+again, under the lock, when it is applied.
 """
 
 import logging
-from typing import TYPE_CHECKING, Any
-
-from stileloft.model.chunks import Chunk
-from stileloft.model.jobs import Job
-from stileloft.model.machines import Machine
-from stileloft.model.placements import Placement, PlacementState, TaskKey
-from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling import gangs, placement
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet import defer
+
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.boot_monitor import BootMonitor
+from stileloft.machines.catalog import MachineCatalog
+from stileloft.machines.scale_out import MachineProvisioner
+from stileloft.model.cluster import ClusterState
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.scheduling import placement
 from stileloft.scheduling.autoscaling import Autoscaler, ScalingDemand, ScalingPlan
+from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.scheduling.placement import Decision
-from stileloft.scheduling.preemption import Preemption
-from stileloft.scheduling.snapshot import EPSILON, Nomination, Usage, within_limit, zone_allowed
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.scheduling.snapshot_builder import SnapshotBuilder
+from stileloft.scheduling.workload import Workload
+from stileloft.transport.clock import Clock, Timer
 
 log = logging.getLogger(__name__)
 
-# Rounds: at least this long apart, and after a change at the earliest this late.
-ROUND_GAP_S = 0.15
-ROUND_DELAY_S = 0.02
-# Pause after a round, as a multiple of the time that it took: with hundreds of jobs waiting, rounds would else take
-# all of the process's share, and reports and submissions would wait.
-PAUSE_ROUNDS = 1.0
-# How often a round also plans rentals.
-PLAN_S = 2.0
-# What one round places, as a multiple of the changes in a transaction.
-PLACED_TXNS = 2
+MIN_CYCLE_INTERVAL_S = 0.15
+"""Shortest time from the start of one cycle to that of the next, in seconds."""
+DEBOUNCE_S = 0.02
+"""Shortest time from a change to the cycle that it causes, in seconds."""
+PAUSE_CYCLES = 1.0
+"""Pause after a cycle, in its own durations, so that heartbeats and submissions get their share of the processor."""
+SCALING_INTERVAL_S = 2.0
+"""How often a cycle also plans scaling, in seconds."""
+PLACED_TRANSACTIONS = 2
+"""What one cycle places, as a multiple of the changes in a transaction; many of them share a change."""
 MAX_PREEMPTIONS = 8
-# A nomination is given up after this many report intervals beyond its victims' time to save.
-NOMINATION_HEARTBEATS = 3.0
+SHOWN_UNMET = 50
+
+InThread = Callable[..., defer.Deferred[Any]]
+"""Calls a function with its arguments in a thread of its own."""
 
 
 class SchedulingLoop:
-    """Runs the leader's rounds, one at a time."""
+    """Runs the leader's scheduling cycles, one at a time."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
-        self._cluster = term.cluster
+    def __init__(
+        self,
+        cluster: ClusterState,
+        lease: LeaderLease,
+        snapshots: SnapshotBuilder,
+        applier: DecisionApplier,
+        workload: Workload,
+        provisioner: MachineProvisioner,
+        boots: BootMonitor,
+        catalog: MachineCatalog,
+        operator_settings: Callable[[], OperatorSettings],
+        clock: Clock,
+        run_in_thread: InThread,
+        transaction_ops: int,
+        flush: Callable[[], None],
+    ) -> None:
+        self._cluster = cluster
+        self._lease = lease
+        self._snapshots = snapshots
+        self._applier = applier
+        self._workload = workload
+        self._provisioner = provisioner
+        self._boots = boots
+        self._catalog = catalog
+        self._operator_settings = operator_settings
+        self._clock = clock
+        self._run_in_thread = run_in_thread
+        self._max_placed = PLACED_TRANSACTIONS * transaction_ops
+        self._flush = flush
         self.last_decision: dict[str, Any] = {}
-        self._round_running = False
-        self._round_due: Any = None
-        self._round_again = False
-        self._round_at = 0.0
+        """What the last cycle decided, for the administration API."""
+        self._running = False
+        self._requested_again = False
+        self._timer: Timer | None = None
+        self._began_at = 0.0
         self._took_s = 0.0
-        self._planned_at = 0.0
+        self._scaled_at = 0.0
 
     def stop(self) -> None:
-        """Cancels a round that is due."""
-        if self._round_due is not None and self._round_due.active():
-            self._round_due.cancel()
+        """Cancels a cycle that is due."""
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
 
     def request(self) -> None:
-        """Asks for a round of decisions."""
-        if not self._term.alive or not self._term.store_loaded:
+        """Asks for a cycle; requests that come together share one."""
+        if not self._lease.active or not self._cluster.loaded:
             return
-        if self._round_running:
-            self._round_again = True
+        if self._running:
+            self._requested_again = True
             return
-        if self._round_due is not None and self._round_due.active():
+        if self._timer is not None and self._timer.active():
             return
-        wait = max(ROUND_DELAY_S, self._next_round_at() - self._term.clock.seconds())
-        self._round_due = self._term.clock.callLater(wait, self._start_round)
+        wait_s = max(DEBOUNCE_S, self._next_cycle_at() - self._clock.seconds())
+        self._timer = self._clock.callLater(wait_s, self._begin_cycle)
 
-    def _next_round_at(self) -> float:
-        """When the next round may begin, after the last one and a pause."""
-        return self._round_at + max(ROUND_GAP_S, (1.0 + PAUSE_ROUNDS) * self._took_s)
+    def _next_cycle_at(self) -> float:
+        """When the next cycle may begin, after the last one and a pause."""
+        return self._began_at + max(MIN_CYCLE_INTERVAL_S, (1.0 + PAUSE_CYCLES) * self._took_s)
 
-    def _start_round(self) -> None:
-        if not self._term.holds_lease() or not self._term.types:
+    def _begin_cycle(self) -> None:
+        if not self._lease.is_held() or not self._catalog.types:
             return
-        self._round_running = True
-        self._round_again = False
-        self._round_at = self._term.clock.seconds()
-        scale = self._round_at - self._planned_at >= PLAN_S
+        self._running = True
+        self._requested_again = False
+        self._began_at = self._clock.seconds()
+        scale = self._began_at - self._scaled_at >= SCALING_INTERVAL_S
         if scale:
-            self._planned_at = self._round_at
-        waiting = self._term.node.in_thread(self._decide, scale)
-        waiting.addCallbacks(self._apply, lambda failure: log.error("round: %s", failure.getTraceback()))
-        waiting.addErrback(lambda failure: log.error("applying a round: %s", failure.getTraceback()))
-        waiting.addBoth(self._round_over)
+            self._scaled_at = self._began_at
+        decided = self._run_in_thread(self._decide, scale)
+        decided.addCallbacks(
+            self._apply, lambda failure: log.error("scheduling cycle failed: %s", failure.getTraceback())
+        )
+        decided.addErrback(lambda failure: log.error("applying a decision failed: %s", failure.getTraceback()))
+        decided.addBoth(self._end_cycle)
 
-    def _round_over(self, _: Any) -> None:
-        self._round_running = False
-        self._took_s = self._term.clock.seconds() - self._round_at
-        if self._round_again:
+    def _end_cycle(self, _: Any) -> None:
+        self._running = False
+        self._took_s = self._clock.seconds() - self._began_at
+        if self._requested_again:
             self.request()
 
     def _decide(self, scale: bool) -> tuple[Decision, ScalingPlan | None]:
         """Runs in its own thread; works on a copy."""
-        term = self._term
-        with term.lock:
-            snapshot = term.snapshots.build()
-            refused = term.fleet.offers_without_capacity()
-            unreliable = term.fleet.unreliable_offers()
-            headroom = term.headroom(gang=False)
-            active = term.workload.any_active()
-        max_placed = PLACED_TXNS * term.settings.state.txn_ops  # many of them share a change
-        decision = placement.decide(snapshot, max_placed, MAX_PREEMPTIONS)
+        with self._cluster.lock:
+            snapshot = self._snapshots.build()
+            no_capacity = self._provisioner.offers_without_capacity()
+            unreliable = self._boots.unreliable_offers()
+            headroom = self._snapshots.headroom(gang=False)
+            active = self._workload.any_active()
+        decision = placement.decide(snapshot, self._max_placed, MAX_PREEMPTIONS)
         plan = None
         if scale:
-            demand = ScalingDemand(decision.unmet, headroom, active, refused, unreliable)
-            plan = Autoscaler(snapshot, demand, term.node.operator_settings).plan()
+            demand = ScalingDemand(decision.unmet, headroom, active, no_capacity, unreliable)
+            plan = Autoscaler(snapshot, demand, self._operator_settings()).plan()
         return decision, plan
 
     def _apply(self, outcome: tuple[Decision, ScalingPlan | None]) -> None:
         """Carries out what was decided, as far as it still holds."""
         decision, plan = outcome
-        term = self._term
-        if not term.holds_lease():
+        if not self._lease.is_held():
             return
-        with term.lock:
-            usage = self._cluster.usage(term.teams)
-            orphaned_task_names = self._cluster.orphaned_task_names()
-            for key, machine_id in decision.placed:
-                self._place(key, machine_id, usage, orphaned_task_names, key[0] in decision.promoted)
-            for job_id in dict.fromkeys(key[0] for key, _ in decision.placed):
-                self._check_gang(job_id)
-            for key, preemption in decision.preemptions:
-                self._evict(key, preemption)
+        with self._cluster.lock:
+            self._applier.apply(decision)
             if plan is not None:
-                term.fleet.apply(plan)
+                self._applier.apply_scaling(plan)
         self._record(decision)
         if plan is not None and log.isEnabledFor(logging.DEBUG):
-            self._log_picture()
+            self._log_cluster()
         if self._cluster.dirty:
-            term.commit_queue.flush()
+            self._flush()
 
     def _record(self, decision: Decision) -> None:
         """Keeps what was decided for the administration API."""
         self.last_decision = {
             "placed": len(decision.placed),
-            "evictions": [
+            "preemptions": [
                 {
                     "for": f"{key[0]}/{key[1]}",
                     "machine": preemption.machine,
@@ -147,131 +169,13 @@
                 }
                 for key, preemption in decision.preemptions
             ],
-            "unmet": {job.spec.id: count for job, count in decision.unmet[:50]},
+            "unmet": {job.spec.id: count for job, count in decision.unmet[:SHOWN_UNMET]},
         }
 
-    def _log_picture(self) -> None:
+    def _log_cluster(self) -> None:
         log.debug(
-            "unmet %s; holding %s; nominated %s",
+            "scheduling state unmet=%s placements=%s nominations=%s",
             self.last_decision["unmet"],
             {m.id: [p.task for p in m.placements.values()] for m in self._cluster.machines.values()},
             {f"{n.key[0]}/{n.key[1]}": n.machine for n in self._cluster.nominations.values()},
         )
-
-    def _has_room(self, machine: Machine, kind: MachineType, spec: JobSpec) -> bool:
-        cpus, gpus, memory_gb = spec.cpus, spec.gpus or 0.0, spec.memory_gb
-        for placed in machine.placements.values():
-            job = self._cluster.jobs.get(placed.job)
-            if job is not None and placed.state != PlacementState.ENDED:
-                cpus += job.spec.cpus
-                gpus += job.spec.gpus or 0.0
-                memory_gb += job.spec.memory_gb
-        for stray in machine.orphaned_tasks.values():
-            cpus += stray.cpus
-            gpus += stray.gpus
-            memory_gb += stray.memory_gb
-        return cpus <= kind.cpus + EPSILON and gpus <= kind.gpus + EPSILON and memory_gb <= kind.memory_gb + EPSILON
-
-    def _place(
-        self,
-        key: TaskKey,
-        machine_id: str,
-        usage: dict[str, Usage],
-        orphaned_task_names: set[str],
-        preemption_exempt: bool,
-    ) -> None:
-        """Plans a task on a machine, if nothing has changed meanwhile that forbids it."""
-        job = self._cluster.jobs.get(key[0])
-        machine = self._cluster.machines.get(machine_id)
-        if job is None or machine is None or not self._is_free(job, key[1], orphaned_task_names):
-            return
-        used = usage.setdefault(job.spec.team, Usage())
-        if not self._may_take(job, machine, used):
-            return
-        used.add(job.spec.cpus, job.spec.gpus or 0.0)
-        self._bind(job, key[1], machine, preemption_exempt)
-
-    @staticmethod
-    def _is_free(job: Job, index: int, orphaned_task_names: set[str]) -> bool:
-        """Whether the task has still to run, and is nowhere now."""
-        if job.end_phase or job.reload_pending or f"{job.id}/{index}" in orphaned_task_names:
-            return False
-        if index // job.chunk_size in job.finished_chunks:
-            return False
-        chunk = job.chunks.get(index // job.chunk_size)
-        return chunk is None or (index not in chunk.done and index not in chunk.placements)
-
-    def _may_take(self, job: Job, machine: Machine, used: Usage) -> bool:
-        """Whether the machine, the job's zones and the team's limit allow one more task."""
-        spec = job.spec
-        kind = self._term.types.get(machine.type)
-        if kind is None or machine.drain_reason or machine.releasing or not machine.has_current_token:
-            return False
-        if not within_limit(spec, self._term.teams.get(spec.team), used):
-            return False
-        if not zone_allowed(spec, {zone: count for zone, count in job.zones.items() if count > 0}, machine.zone):
-            return False
-        return self._has_room(machine, kind, spec)
-
-    def _bind(self, job: Job, index: int, machine: Machine, preemption_exempt: bool) -> None:
-        spec = job.spec
-        chunk = job.chunks.setdefault(index // job.chunk_size, Chunk())
-        chunk.attempt = gangs.next_attempt(job) if spec.is_gang else chunk.attempt + 1
-        chunk.dirty = True
-        planned = Placement(
-            job.id,
-            index,
-            chunk.attempt,
-            machine.id,
-            machine.zone,
-            machine.spot,
-            PlacementState.PLANNED,
-            preemption_exempt=preemption_exempt,
-        )
-        planned.placed_by_this_leader = True
-        job.add(planned)
-        job.last_placed_at = self._term.clock.seconds()
-        machine.placements[planned.key] = planned
-        machine.idle_since = machine.scheduling_view = None
-        self._cluster.nominations.pop(planned.key, None)
-        self._cluster.mark_dirty(job)
-        log.info(
-            "task %s attempt %d goes to %s, %.1f s after acceptance, image %s",
-            planned.task,
-            planned.attempt,
-            machine.id,
-            self._term.wall_clock() - job.submitted,
-            "there" if spec.image in machine.images else "to fetch",
-        )
-
-    def _check_gang(self, job_id: str) -> None:
-        """Takes a gang back if not all of it could be placed."""
-        job = self._cluster.jobs.get(job_id)
-        if job is not None and job.spec.is_gang and gangs.stage(job) is gangs.Stage.BROKEN:
-            for placed in list(job.placements()):
-                if placed.state == PlacementState.PLANNED:
-                    self._term.tasks.end(placed, "its gang is not complete")
-
-    def _evict(self, key: TaskKey, preemption: Preemption) -> None:
-        job = self._cluster.jobs.get(key[0])
-        machine = self._cluster.machines.get(preemption.machine)
-        if job is None or machine is None or job.end_phase or machine.drain_reason:
-            return
-        now = self._term.clock.seconds()
-        longest = 0.0
-        for victim in preemption.victims:
-            placed = machine.placements.get(victim.key)
-            if placed is None or placed.stop_grace_s is not None:
-                continue  # a gang is stopped with the first of its tasks
-            log.info("task %s on %s is stopped to make room for %s/%d", placed.task, machine.id, key[0], key[1])
-            self._term.tasks.stop(placed)
-            stopped = self._cluster.jobs.get(placed.job)
-            if stopped is not None:
-                stopped.preemption_count += victim.group_size
-            longest = max(longest, placed.stop_grace_s or 0.0)
-        for other in [
-            k for k, n in self._cluster.nominations.items() if n.machine == machine.id and n.rank < job.spec.rank
-        ]:
-            del self._cluster.nominations[other]
-        until = now + longest + NOMINATION_HEARTBEATS * self._term.settings.workers.heartbeat_s
-        self._cluster.nominations[key] = Nomination(key, machine.id, job.spec.rank, job.spec, until)
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -1,18 +1,21 @@
 """Builds the snapshot that a round of decisions is a function of."""
 
-from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Iterable
 
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.catalog import MachineCatalog
+from stileloft.machines.scale_out import MachineProvisioner
+from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine, fits_type
 from stileloft.model.placements import PlacementState
-from stileloft.protocol.messages import MachineType
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.scheduling.snapshot import PREEMPTION_EXEMPT_RANK, MachineView, PendingJob, RunningTask, Snapshot
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.scheduling.workload import Workload
+from stileloft.settings import Team
+from stileloft.transport.clock import Clock, WallClock
 
 # A machine's copy for the decisions is kept for so long: its tasks' remaining times may be this old.
 VIEW_S = 1.0
@@ -35,28 +38,59 @@
 class SnapshotBuilder:
     """Copies the leader's picture, under the lock, for the thread that decides."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
-        self._cluster = term.cluster
-        self._workload = term.workload
+    def __init__(
+        self,
+        cluster: ClusterState,
+        lease: LeaderLease,
+        workload: Workload,
+        catalog: MachineCatalog,
+        lifecycle: TaskLifecycle,
+        provisioner: MachineProvisioner,
+        teams: dict[str, Team],
+        operator_settings: Callable[[], OperatorSettings],
+        clock: Clock,
+        wall_clock: WallClock,
+        heartbeat_s: float,
+        heartbeat_overdue_s: float,
+        is_reachable: Callable[[Machine, float], bool],
+    ) -> None:
+        self._cluster = cluster
+        self._lease = lease
+        self._workload = workload
+        self._catalog = catalog
+        self._lifecycle = lifecycle
+        self._provisioner = provisioner
+        self._teams = teams
+        self._operator_settings = operator_settings
+        self._clock = clock
+        self._wall_clock = wall_clock
+        self._heartbeat_s = heartbeat_s
+        self._heartbeat_overdue_s = heartbeat_overdue_s
+        self._is_reachable = is_reachable
 
     def build(self) -> Snapshot:
         """A snapshot of all machines and of the jobs that wait."""
-        term, cluster = self._term, self._cluster
-        now = term.clock.seconds()
-        types = dict(term.types)
+        cluster = self._cluster
+        now = self._clock.seconds()
+        types = dict(self._catalog.types)
         nodes = self._nodes(types, now)
         return Snapshot(
-            now=term.wall_clock(),
+            now=self._wall_clock(),
             nodes=nodes,
             waiting=self._waiting(nodes.values(), now),
-            teams=term.teams,
-            usage=cluster.usage(term.teams),
+            teams=self._teams,
+            usage=cluster.usage(self._teams),
             nominations=dict(cluster.nominations),
             types=types,
-            expected=term.headroom(gang=True),
+            expected=self.headroom(gang=True),
         )
 
+    def headroom(self, gang: bool) -> list[tuple[JobSpec, int]]:
+        """Tasks that are to find room at once if they come now."""
+        # What has not been seen in the first moments of a leadership may only not have been read yet.
+        settled = self._clock.seconds() - self._lease.began_at > self._heartbeat_s
+        return self._workload.headroom(gang, self._operator_settings(), unseen=gang and settled)
+
     def _nodes(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
         """Copies of all machines, those included that are being rented."""
         nodes: dict[str, MachineView] = {}
@@ -64,7 +98,7 @@
             kind = types.get(machine.type)
             if kind is not None:
                 nodes[machine.id] = self._view(machine, kind, now)
-        for request, (offer, count) in self._term.fleet.provisioning.items():
+        for request, (offer, count) in self._provisioner.pending.items():
             for number in range(count):
                 node = MachineView(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
                 node.settle()
@@ -137,9 +171,9 @@
             return not machine.boot_overdue
         return (
             machine.has_current_token
-            and now - machine.last_pushed_heartbeat_at <= self._term.fleet.heartbeat_overdue_s
+            and now - machine.last_pushed_heartbeat_at <= self._heartbeat_overdue_s
             and machine.send_failures < 2
-            and self._term.dispatcher.reaches(machine, now)
+            and self._is_reachable(machine, now)
         )
 
     def _node(self, machine: Machine, kind: MachineType, now: float) -> MachineView:
@@ -172,7 +206,7 @@
                     spec.gpus or 0.0,
                     spec.memory_gb,
                     unsaved,
-                    self._term.tasks.remaining(job, placement, now),
+                    self._lifecycle.remaining(job, placement, now),
                     stopping=placement.stop_grace_s is not None,
                     budget_safe=not spec.is_service and job.preemption_count < spec.tasks,
                     group_size=spec.tasks if spec.is_gang else 1,
@@ -198,7 +232,7 @@
         return copy
 
     def _aged(self, job: Job, after_s: float) -> bool:
-        return self._term.wall_clock() - job.submitted > after_s
+        return self._wall_clock() - job.submitted > after_s
 
     def _aged_after(self, nodes: Iterable[MachineView]) -> float:
         """How long a job waits before its age counts: less while a crowd is to begin on few machines."""
@@ -210,6 +244,6 @@
         for job in self._cluster.jobs.values():
             if not job.started and not job.end_phase and job.waiting:
                 spec = job.spec
-                fitting = sum(cpus for name, cpus in room.items() if fits_type(spec, self._term.types[name]))
+                fitting = sum(cpus for name, cpus in room.items() if fits_type(spec, self._catalog.types[name]))
                 first_s += self._workload.estimate(spec) * spec.cpus / max(fitting, spec.cpus, 1.0)
         return max(AGED_LEAST * BEGIN_S, min(AGED_PART * BEGIN_S, CROWD_PART * BEGIN_S - first_s))
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -1,16 +1,18 @@
 """The change of the store's format, once all controllers read the new one."""
 
 import logging
-from typing import TYPE_CHECKING
+from collections.abc import Callable
 
+from stileloft.leadership.lease import LeaderLease
 from stileloft.model import records
+from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
+from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.settings import Settings
+from stileloft.store.access import LeaderStore
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
 
 log = logging.getLogger(__name__)
 
@@ -21,9 +23,23 @@
 class FormatUpgrade:
     """Has the newest format written for good, and brings older records into it."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
-        self._cluster = term.cluster
+    def __init__(
+        self,
+        store: LeaderStore,
+        cluster: ClusterState,
+        lease: LeaderLease,
+        peers: PeerClient,
+        settings: Settings,
+        clock: Clock,
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        self._store = store
+        self._cluster = cluster
+        self._lease = lease
+        self._peers = peers
+        self._settings = settings
+        self._clock = clock
+        self._request_scheduling = request_scheduling
 
     async def run(self) -> None:
         """Has the newest format written once all controllers have said, now, that they read it.
@@ -31,53 +47,51 @@
         Each says so by itself; none is taken to do so because it is silent. A process that has not been
         replaced yet says nothing of the kind, whatever it was before, so it holds the change back.
         """
-        while self._term.alive and self._term.node.format < records.NEWEST_FORMAT:
-            if await self._all_read_it() and self._term.holds_lease():
-                await self._store()
-            await self._term.sleep(FORMAT_S)
+        while self._lease.active and self._store.format.number < records.NEWEST_FORMAT:
+            if await self._all_read_it() and self._lease.is_held():
+                await self._write_format()
+            await sleep(self._clock, FORMAT_S)
 
     def _others(self) -> set[str]:
-        return {peer.member for peer in self._term.node.settings.peers}
+        return {peer.member for peer in self._settings.peers}
 
     async def _all_read_it(self) -> bool:
         """Whether every controller of the deployment says now that it reads the newest format."""
         others = self._others()
-        views = await self._term.node.peers.views()
+        views = await self._peers.views()
         readers = {view.member for view in views if view.reads >= records.NEWEST_FORMAT}
-        return readers >= others and len(others) + 1 >= self._term.settings.size
+        return readers >= others and len(others) + 1 >= self._settings.deployment.size
 
-    async def _store(self) -> None:
-        term = self._term
-        node = term.node
-        members = sorted({node.settings.member, *self._others()})
+    async def _write_format(self) -> None:
+        members = sorted({self._settings.member, *self._others()})
         # An earlier change of format has left a record, which is written over in the version that we know.
-        guards = {**term.leader_guard(), records.FORMAT: node.format_version}
+        guards = {records.FORMAT: self._store.format.record_version}
         value = {"format": records.NEWEST_FORMAT, "members": members}
         try:
-            version = await term.state.commit(guards, {records.FORMAT: value}, [])
+            version = await self._store.commit({records.FORMAT: value}, guards=guards)
         except ConflictError:
-            pass  # a former leader did it, or another leads: the node reads it
+            pass  # a former leader did it, or another leads: this controller reads it
         except (UnavailableError, UnknownOutcomeError) as error:
-            log.debug("changing the format: %s", error)
+            log.debug("format upgrade failed: %s", error)
         else:
-            node.take_format(records.NEWEST_FORMAT, version)
+            self._store.format.observe(records.NEWEST_FORMAT, version)
 
     def format_changed(self) -> None:
         """Records may be written in the newest format from now on."""
-        with self._term.lock:
+        with self._cluster.lock:
             for job in self._cluster.jobs.values():
                 job.max_placed_per_chunk = None
                 if not job.end_phase and not job.chunk_size_stored:
                     self._cluster.dirty[job.id] = None
                 self.split_large_records(job)
-        self._term.request_scheduling()
+        self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
         """Has records beyond the limit to come written in pieces, before an end or a cancellation needs it."""
         for chunk in job.chunks.values():
             if (
                 not chunk.parts
-                and records.size_of(chunk.record(job.spec, job.chunk_size)) > self._term.limits.value_bytes
+                and records.size_of(chunk.record(job.spec, job.chunk_size)) > self._store.limits.value_bytes
             ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
--- /dev/null
+++ b/stileloft/store/job_reloader.py
@@ -0,0 +1,145 @@
+"""Reads single jobs from the store again, after a conflict or a commit of unknown outcome."""
+
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from twisted.internet import defer
+
+from stileloft.jobs.registry import JobRegistry
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.model import records
+from stileloft.model.cluster import ClusterState
+from stileloft.model.jobs import EndPhase, Job
+from stileloft.model.placements import PlacementState
+from stileloft.protocol.state import ConflictError, Item, UnavailableError, UnknownOutcomeError
+from stileloft.store.access import LeaderStore
+from stileloft.transport.clock import Clock
+from stileloft.transport.timers import sleep
+
+log = logging.getLogger(__name__)
+
+RETRY_S = 0.3
+"""Pause after a refusal by the store, in seconds; doubled each time up to the longest."""
+MAX_RETRY_S = 2.4
+CONFLICT_RETRY_S = RETRY_S / 3
+"""Pause after a conflict: the job was cancelled, or what got no answer is executed by now."""
+
+
+@dataclass(frozen=True, slots=True)
+class StoredJob:
+    """What the store holds of a job."""
+
+    record: tuple[Any, int] | None
+    """Its record under `active/` and the record's version; None if it has ended."""
+    end_phase: EndPhase | None
+    """How it ended."""
+    chunks: list[Item]
+
+
+class JobReloader:
+    """Takes the store's word for jobs; until then nothing about them is written."""
+
+    def __init__(
+        self,
+        store: LeaderStore,
+        cluster: ClusterState,
+        jobs: JobRegistry,
+        lifecycle: TaskLifecycle,
+        clock: Clock,
+        flush: Callable[[], None],
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        self._store = store
+        self._cluster = cluster
+        self._jobs = jobs
+        self._lifecycle = lifecycle
+        self._clock = clock
+        self._flush = flush
+        self._request_scheduling = request_scheduling
+
+    def reload(self, job: Job) -> None:
+        """Has a job read from the store."""
+        job.commit_in_flight = True
+        if not job.reload_pending:
+            job.reload_pending = True
+            defer.ensureDeferred(self._reload(job))
+
+    async def _reload(self, job: Job) -> None:
+        lease = self._store.lease
+        pause_s = RETRY_S
+        while lease.active:
+            try:
+                stored = await self._read(job)
+                break
+            except ConflictError as conflict:
+                if records.LEADER in conflict.failed:
+                    lease.suspect("the leader key has another version")
+                    return
+                await sleep(self._clock, CONFLICT_RETRY_S)
+            except (UnavailableError, UnknownOutcomeError) as error:
+                log.debug("reload failed job=%s: %s", job.id, error)
+                await sleep(self._clock, pause_s)
+                pause_s = min(2 * pause_s, MAX_RETRY_S)
+        if not lease.active:
+            return
+        with self._cluster.lock:
+            self._apply(job, stored)
+        log.debug("job reloaded job=%s phase=%s", job.id, stored.end_phase or "active")
+        self._flush()
+        self._request_scheduling()
+
+    async def _read(self, job: Job) -> StoredJob:
+        client, key = self._store.client, records.active_key(job.id)
+        found = await client.get(key)
+        end_phase = None
+        if found is None:
+            final = await client.get(records.final_key(job.id))
+            end_phase = EndPhase(final[0]["phase"]) if final else EndPhase.CANCELLED
+        record = None if found is None else found[:2]
+        if record is not None and job.has_unresolved_commit:
+            record = await self._fence_unresolved_commit(key, *record)
+        chunks, _ = await client.scan(f"{records.TASKS}{job.id}/")
+        return StoredJob(record, end_phase, chunks)
+
+    async def _fence_unresolved_commit(self, key: str, value: Any, version: int) -> tuple[Any, int]:
+        """Writes a job's record once more, so that what got no answer can't be executed any more.
+
+        It may be executed seconds later, when its placements would come on top of what was given to others meanwhile;
+        but it is guarded on this version of the job's record.
+        """
+        while not self._store.write_budget.try_take(1.0):
+            await sleep(self._clock, RETRY_S)
+        return value, await self._store.commit({key: value}, guards={key: version})
+
+    def _apply(self, job: Job, stored: StoredJob) -> None:
+        """Takes the store's word for a job."""
+        before = list(job.placements())
+        if stored.record is not None:
+            job.load_active(*stored.record)
+        else:
+            job.inline_value = None  # whoever removed the record gave its chunk one of its own
+        job.load_chunks(stored.chunks)
+        job.recount()
+        job.commit_in_flight = job.reload_pending = job.has_unresolved_commit = False
+        self._reconcile_placements(job, before)
+        if any(chunk.dirty for chunk in job.chunks.values()):
+            self._cluster.mark_dirty(job)
+        if stored.end_phase is not None:
+            self._lifecycle.end_job(job, stored.end_phase)
+            if not job.chunks:
+                self._jobs.remove(job)
+        elif job.spec.is_gang:
+            self._lifecycle.reconcile_gang(job)
+
+    def _reconcile_placements(self, job: Job, before: list[Any]) -> None:
+        """Lets go of placements that the store no longer holds, and attaches those that it does."""
+        kept = {id(placement) for placement in job.placements()}
+        for placement in before:
+            if id(placement) not in kept:
+                self._lifecycle.placement_cleared(placement)
+        for placement in job.placements():
+            self._lifecycle.attach(placement)
+            if placement.state == PlacementState.ENDED:
+                job.chunk_of(placement.index).dirty = True
--- a/stileloft/store/job_transaction.py
+++ b/stileloft/store/job_transaction.py
@@ -1,30 +1,22 @@
 """What is to be written about a job: its part of a transaction of the leader."""
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from stileloft.model import records
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.scheduling import gangs
-from stileloft.settings import State
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.store.access import LeaderStore
+from stileloft.transport.clock import Clock
 
 # The state that users see may lag by 3 s.
-COUNTS_S = 1.2
-LATE_S = 2.4
+COUNTS_INTERVAL_S = 1.2
+MAX_COUNTS_DELAY_S = 2.4
 # What nothing waits for is written while so much of the budget is left.
 LEISURE = 0.75
 # Finished chunks are folded into the job's record without measuring it while it has at most so many ranges.
 FEW_RANGES = 8
-# Limits are not believed to be below these: a job's end takes two changes.
-LEAST_OPS = 2
-LEAST_VALUE_BYTES = 512
 # A job's record with its chunk takes at most this part of a value: it is still stored, or moved to a record of the
 # chunk's own in few changes, when the limits become lower.
 INLINE_PART = 0.5
@@ -32,27 +24,6 @@
 JOB_CHANGES = 2
 
 
-class StoreLimits:
-    """What the store takes in a transaction and a value: the least of the limits known, or less if it refused that."""
-
-    def __init__(self, state: State) -> None:
-        least = state.least()
-        self.ops = least.txn_ops
-        self.value_bytes = least.value_bytes
-
-    def refused(self, values: Iterable[Any], changes: int) -> None:
-        """A transaction of these values, and so many changes in all, was too large; which of the two is not said.
-
-        First fewer changes are tried. Smaller values make records of more pieces, and so transactions of more changes:
-        tried first, they could come to be refused for their changes for good.
-        """
-        largest = max((records.size_of(value) for value in values), default=0)
-        if changes > LEAST_OPS and self.ops > LEAST_OPS:
-            self.ops = max(LEAST_OPS, min(self.ops, changes) // 2)
-        elif largest > LEAST_VALUE_BYTES // 2 or changes <= LEAST_OPS:
-            self.value_bytes = max(LEAST_VALUE_BYTES, self.value_bytes // 2)
-
-
 @dataclass(slots=True)
 class JobTransaction:
     """A job's part of a transaction."""
@@ -90,8 +61,9 @@
 class JobTransactionBuilder:
     """Compares the leader's picture of a job with what the store holds of it."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
+    def __init__(self, store: LeaderStore, clock: Clock) -> None:
+        self._store = store
+        self._clock = clock
 
     def build(self, job: Job, room: int) -> JobTransaction | None:
         """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
@@ -117,7 +89,7 @@
 
     def _is_inline(self, job: Job) -> bool:
         """Whether the job's only chunk belongs into the job's own record."""
-        if self._term.node.format < records.INLINE_FORMAT or job.end_phase or job.chunk_count() > 1:
+        if self._store.format.number < records.INLINE_FORMAT or job.end_phase or job.chunk_count() > 1:
             return False
         if any(chunk.stored for chunk in job.chunks.values()):
             return False  # it has a record of its own, from an earlier format, and keeps it
@@ -127,7 +99,7 @@
         return job.inline_record_bytes() <= most or records.size_of(self._job_record(job, inline=True)) <= most
 
     def _limit(self) -> int:
-        return self._term.limits.value_bytes
+        return self._store.limits.value_bytes
 
     def _finish(self, entry: JobTransaction, room: int) -> None:
         """The job is done, which is told in one step, whatever it is stored in.
@@ -152,7 +124,7 @@
             return True
         if self._counts_are_due(entry):
             return True
-        sized = self._term.node.format >= records.SIZED_FORMAT
+        sized = self._store.format.number >= records.SIZED_FORMAT
         return sized and not entry.job.chunk_size_stored and self._at_leisure()
 
     @staticmethod
@@ -168,14 +140,14 @@
         if (entry.counts[1] > 0) != (job.stored_counts[1] > 0):
             return True
         # Each time the counts are told is a change more, so less often while the budget is short.
-        write_budget = self._term.write_budget
-        every_s = COUNTS_S if write_budget.level() > write_budget.rate_per_s / 2 else LATE_S
-        now: float = self._term.clock.seconds()
+        write_budget = self._store.write_budget
+        every_s = COUNTS_INTERVAL_S if write_budget.level() > write_budget.rate_per_s / 2 else MAX_COUNTS_DELAY_S
+        now: float = self._clock.seconds()
         return now - job.counts_stored_at > every_s
 
     def _at_leisure(self) -> bool:
         """Whether there are changes to spare for what nothing waits for."""
-        return self._term.write_budget.level() > LEISURE * self._term.write_budget.rate_per_s
+        return self._store.write_budget.level() > LEISURE * self._store.write_budget.rate_per_s
 
     def _put_job(self, entry: JobTransaction) -> None:
         record = self._job_record(entry.job, entry.inline)
@@ -185,7 +157,7 @@
         entry.active = True
 
     def _job_record(self, job: Job, inline: bool) -> dict[str, Any]:
-        record = job.record(self._term.node.format >= records.SIZED_FORMAT)
+        record = job.record(self._store.format.number >= records.SIZED_FORMAT)
         if inline and 0 in job.chunks:
             # Whoever writes the record writes this too, or placements would be lost.
             record[records.INLINE_CHUNK] = job.chunks[0].inline_record()
@@ -224,7 +196,7 @@
         job, chunk = entry.job, entry.job.chunks[number]
         # A leader that has just begun may not have read the format yet. The length must be told all the same if the
         # job's record has it: what is left of a cancelled job is read by the length that its chunks tell.
-        if self._term.node.format < records.SIZED_FORMAT and not job.chunk_size_stored:
+        if self._store.format.number < records.SIZED_FORMAT and not job.chunk_size_stored:
             entry.puts[records.chunk_key(job.id, number)] = chunk.record(job.spec)
             return
         values = chunk.records(job.spec, job.chunk_size, self._limit())
--- /dev/null
+++ b/stileloft/store/record_format.py
@@ -0,0 +1,66 @@
+"""The format of the store's records that this controller may write."""
+
+import logging
+from collections.abc import Callable
+
+from stileloft.model import records
+from stileloft.protocol.state import CompactedError, StateClient, UnavailableError, UnknownOutcomeError
+from stileloft.settings import State
+from stileloft.transport.clock import Clock
+from stileloft.transport.retry import RetryPolicy, repeat
+
+log = logging.getLogger(__name__)
+
+WATCH_S = 30.0
+"""How long one watch of the format's record waits, in seconds."""
+RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError, CompactedError), WATCH_S / 10, WATCH_S / 10)
+
+
+class RecordFormat:
+    """The format in force, as far as this controller knows; it only ever advances."""
+
+    def __init__(self, limits: State) -> None:
+        self.number = 0
+        self.record_version = 0
+        """The version of the record that says so; 0 before there is one."""
+        self.first_chunk_size = records.chunk_size(limits.value_kb)
+        """Tasks per chunk of the jobs whose records don't say."""
+        self.chunk_size = records.sized_chunk_size(limits.least().value_bytes)
+        """Tasks per chunk of new jobs, once their records may say so."""
+        self.on_advance: Callable[[], None] = lambda: None
+        """Called after the format has advanced."""
+
+    @property
+    def has_chunk_sizes(self) -> bool:
+        """Whether records say how many tasks a chunk has."""
+        return self.number >= records.SIZED_FORMAT
+
+    @property
+    def has_inline_chunks(self) -> bool:
+        """Whether the only chunk of a small job may be stored in the job's own record."""
+        return self.number >= records.INLINE_FORMAT
+
+    def observe(self, number: int, version: int) -> None:
+        """Takes note of the stored format, and of the version of its record."""
+        self.record_version = max(self.record_version, version)
+        if number > self.number:
+            log.info("record format advanced format=%d", number)
+            self.number = number
+            self.on_advance()
+
+    def forget_record_version(self) -> None:
+        """The store was rebuilt: its records have other versions now."""
+        self.record_version = 0
+
+    async def follow(self, state: StateClient, clock: Clock) -> None:
+        """Watches the stored format until it is the newest; it never goes back."""
+
+        async def read_and_watch() -> None:
+            found = await state.get(records.FORMAT)
+            if found is not None:
+                self.observe(found[0]["format"], found[1])
+            if self.number < records.NEWEST_FORMAT:
+                since = state.revision if found is None else found[1]
+                await state.watch(records.FORMAT, since, WATCH_S)
+
+        await repeat("record format watch", read_and_watch, RETRY, clock, lambda: self.number < records.NEWEST_FORMAT)
--- /dev/null
+++ b/stileloft/store/transaction_batch.py
@@ -0,0 +1,47 @@
+"""Jobs' parts of one transaction."""
+
+from stileloft.model import records
+from stileloft.store.job_transaction import JobTransaction
+
+MAX_TRANSACTION_BYTES = 40 * 1024
+"""Of the 64 KiB that a transaction may hold, so many are used; the rest is for its keys and guards."""
+GUARDS_PER_CHANGE = 4
+"""Conditions of a transaction, as a multiple of its changes."""
+JOB_END_CHANGES = 4
+"""Changes that a job may need at its end; a transaction with less room is not made longer."""
+
+
+class TransactionBatch:
+    """Parts that share a transaction, within its limits."""
+
+    def __init__(self, max_changes: int) -> None:
+        self.parts: list[JobTransaction] = []
+        self.max_changes = max_changes
+        self.changes = 0
+        self._bytes = 0
+        self._guards = 1  # the leader key
+
+    @property
+    def room(self) -> int:
+        """Changes that may be added."""
+        return self.max_changes - self.changes
+
+    def is_full(self) -> bool:
+        """Whether no further job is worth looking at."""
+        return self.changes >= max(1, self.max_changes - JOB_END_CHANGES + 1)
+
+    def add(self, part: JobTransaction) -> bool:
+        """Adds a job's part, unless the transaction would become too large; returns whether it did."""
+        size = records.most_compact_bytes([part.puts, part.guards])
+        guards = self._guards + len(part.guards)
+        if self.parts and (
+            self.changes + part.changes > self.max_changes
+            or self._bytes + size > MAX_TRANSACTION_BYTES
+            or guards > GUARDS_PER_CHANGE * self.max_changes
+        ):
+            return False
+        self.parts.append(part)
+        self.changes += part.changes
+        self._bytes += size
+        self._guards = guards
+        return True
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -1,36 +1,37 @@
 """What a machine has to be told: the starts, stops and forgets that are due, as far as they are allowed now."""
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-from stileloft.leadership.authority import Refusal
+from stileloft.leadership.authority import Authority, Refusal
+from stileloft.model.cluster import ClusterState
 from stileloft.model.inflight_starts import AttemptKey
-from stileloft.model.machines import Machine, PendingForget
+from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.transport.clock import Clock
+from stileloft.workers.fencing import MachineFencing
 
 # Commands in one direct message; a body may hold 64 KiB.
 MAX_COMMANDS = 200
 # A stop is repeated after this part of the report interval.
 REPEAT_STOP = 1.0
-# Attempts that were stopped are forgotten after this many leases.
-FORGET_LEASES = 4.0
 
 
 class CommandPlanner:
     """Finds what is due for a machine. All methods are called with the term's lock held."""
 
-    def __init__(self, term: "Leader") -> None:
-        self.term = term
-        self.heartbeat_s = term.settings.workers.heartbeat_s
+    def __init__(
+        self, cluster: ClusterState, authority: Authority, fencing: MachineFencing, clock: Clock, heartbeat_s: float
+    ) -> None:
+        self._cluster = cluster
+        self._authority = authority
+        self._fencing = fencing
+        self._clock = clock
+        self.heartbeat_s = heartbeat_s
 
     def starts(self, machine: Machine) -> list[Placement]:
         """Placements whose task has to be started, or whose start has to be repeated."""
-        authority = self.term.authority
+        authority = self._authority
         unseen = [
             p for p in machine.placements.values() if p.reported_state is None and p.state == PlacementState.BOUND
         ]
@@ -38,7 +39,7 @@
             return []
         refusal = authority.check_starts(machine)
         if refusal is Refusal.NO_SPARE_TOKEN:
-            self.term.dispatcher.fencing.request_spare_token(machine, unseen)
+            self._fencing.request_spare_token(machine, unseen)
         if refusal is not None:
             return []
         return [p for p in unseen if authority.check_start(p, machine) is None]
@@ -48,13 +49,13 @@
 
         `renewing`: for an answer that renews its lease, in which the tasks of all jobs that are over come first.
         """
-        now = self.term.clock.seconds()
+        now = self._clock.seconds()
         required: list[Placement] = []
         others: list[Placement] = []
         for placement in machine.placements.values():
             if placement.stop_grace_s is None or placement.state != PlacementState.BOUND:
                 continue
-            if renewing and self.term.cluster.has_ended(placement.job):
+            if renewing and self._cluster.has_ended(placement.job):
                 required.append(placement)  # whatever became of the stops before
             elif now >= placement.stop_sent_at + REPEAT_STOP * self.heartbeat_s and not self._was_never_sent(placement):
                 others.append(placement)
@@ -66,7 +67,7 @@
         orphaned_tasks = [
             messages.stop_command(task, stray.attempt, 0.0)
             for task, stray in machine.orphaned_tasks.items()
-            if self.term.authority.check_stop_task(task) is None
+            if self._authority.check_stop_task(task) is None
         ]
         return commands + orphaned_tasks[: most - len(commands)]
 
@@ -79,35 +80,23 @@
 
         None of which a start may still be executed: it would run a forgotten attempt again.
         """
-        authority = self.term.authority
+        authority = self._authority
         if not machine.pending_forgets or authority.check_forgets(machine) is not None:
             return []
-        now = self.term.clock.seconds()
+        now = self._clock.seconds()
         due = [(task, entry) for task, entry in machine.pending_forgets.items() if entry.due_at <= now][:most]
         allowed = [(task, e.attempt) for task, e in due if not authority.check_forget(machine, task, e.attempt, e.done)]
         if len(allowed) < len(due):
-            self.term.dispatcher.fencing.fence_for_forgets(machine, now)
+            self._fencing.fence_for_forgets(machine, now)
         for task, attempt in allowed:
             del machine.pending_forgets[task]  # what is reported again is forgotten again
             machine.inflight_starts.drop(task, attempt)
         return [messages.forget_command(task, attempt) for task, attempt in allowed]
 
-    def forget_later(self, machine: Machine, task: str, attempt: int, done: bool) -> None:
-        """Has an exited task forgotten that the store no longer places there.
-
-        A repeat of its start may still come, and would run a forgotten attempt again, perhaps beside a
-        newer one elsewhere. So attempts that were stopped stay known until the fence bars their starts, which is done
-        for many together; a task that is done only says so again.
-        """
-        known = machine.pending_forgets.get(task)
-        if known is None or known.attempt != attempt:
-            wait_s = 0.0 if done else FORGET_LEASES * self.term.settings.workers.lease_s
-            machine.pending_forgets[task] = PendingForget(attempt, self.term.clock.seconds() + wait_s, done)
-
     def required_stops(self, machine: Machine) -> set[AttemptKey]:
         """What an answer that renews the lease has to stop."""
         return {
             (p.task, p.attempt)
             for p in machine.placements.values()
-            if p.state == PlacementState.BOUND and self.term.cluster.has_ended(p.job)
+            if p.state == PlacementState.BOUND and self._cluster.has_ended(p.job)
         }
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -1,27 +1,32 @@
 """The leader's talk with workers: answers to their reports, and direct commands."""
 
 import logging
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 from twisted.internet import defer
 
-from stileloft.machines.fleet import UNANSWERED_S
+from stileloft.leadership.authority import Authority
+from stileloft.leadership.fencing_tokens import FencingTokens
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.registry import MachineRegistry
+from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement
 from stileloft.protocol import messages
 from stileloft.protocol.messages import Heartbeat
-from stileloft.protocol.workers import NotDeliveredError, UncertainDeliveryError
-from stileloft.workers.command_planner import MAX_COMMANDS
+from stileloft.protocol.workers import NotDeliveredError, UncertainDeliveryError, WorkerClient
+from stileloft.store.integrity import StoreIntegrity
+from stileloft.transport.clock import Clock
+from stileloft.workers.command_planner import MAX_COMMANDS, CommandPlanner
 from stileloft.workers.fencing import MachineFencing
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.workers.heartbeats import HeartbeatProcessor
 
 log = logging.getLogger(__name__)
 
+UNANSWERED_S = 4.5
+"""A worker that got no answer sends its next heartbeat to the same controller after this long at the earliest."""
 # Commands in an answer; a body may hold 64 KiB, and a stop takes some 110 bytes at the most.
 MOST_IN_ANSWER = 500
 # The token of an answer that its worker is to drop: it renews no lease.
@@ -51,24 +56,51 @@
 class CommandDispatcher:
     """Answers and direct commands. What may be sent is decided by `authority`, which tokens by `fence`."""
 
-    def __init__(self, term: "Leader") -> None:
-        self.term = term
-        self.fencing = MachineFencing(term)
+    def __init__(
+        self,
+        cluster: ClusterState,
+        machines: MachineRegistry,
+        authority: Authority,
+        planner: CommandPlanner,
+        fencing: MachineFencing,
+        heartbeats: HeartbeatProcessor,
+        tokens: FencingTokens,
+        lease: LeaderLease,
+        integrity: StoreIntegrity,
+        client: WorkerClient,
+        clock: Clock,
+        heartbeat_s: float,
+        reachability_timeout_s: float,
+        max_sockets: int,
+        after_heartbeat: Callable[[], None],
+    ) -> None:
+        self._cluster = cluster
+        self._machines = machines
+        self._authority = authority
+        self._planner = planner
+        self.fencing = fencing
+        self._heartbeats = heartbeats
+        self._tokens = tokens
+        self._lease = lease
+        self._integrity = integrity
+        self._client = client
+        self._clock = clock
+        self._after_heartbeat = after_heartbeat
+        self._reachability_timeout_s = reachability_timeout_s
         self.metrics = Metrics()
-        self.heartbeat_s = term.settings.workers.heartbeat_s
+        self.heartbeat_s = heartbeat_s
         self.claims = 0
         """Claims under way. Those beyond the most at once are made in a later check."""
-        self.most_claims = int(CLAIMS_PART * term.settings.quota.max_sockets)
+        self.most_claims = int(CLAIMS_PART * max_sockets)
 
     # -- reports --------------------------------------------------------------
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
         """Takes in a report that a worker sent, and answers it."""
-        term = self.term
-        now = term.clock.seconds()
-        machine = term.machine(heartbeat.machine)
+        now = self._clock.seconds()
+        machine = self._machines.get_or_create(heartbeat.machine)
         epoch, sequence, before, claimed = machine.epoch, machine.sequence, machine.last_heartbeat_at, machine.claimed
-        machine = term.heartbeats.process(heartbeat)
+        machine = self._heartbeats.process(heartbeat)
         if (machine.epoch, machine.sequence) == (epoch, sequence):
             # A copy that comes late must show no sign of life. If it is the report itself, overtaken by the
             # answer to a command, its worker is to drop this answer: it must renew no lease that we don't count.
@@ -81,7 +113,7 @@
             machine.last_reachable_at = max(machine.last_reachable_at, before)
         machine.last_pushed_heartbeat_at = now
         answer = self._renewal(machine, now)
-        if not machine.has_current_token or (not machine.command_in_flight and term.planner.starts(machine)):
+        if not machine.has_current_token or (not machine.command_in_flight and self._planner.starts(machine)):
             self.send(machine)
         return answer
 
@@ -92,46 +124,44 @@
         the stops of what may run, and a token that bars what may still start. If not all of it fits in, the lease is
         not renewed; direct commands stop the rest, and if they don't come through, the end of the lease does.
         """
-        term = self.term
-        required = term.planner.required_stops(machine)
+        required = self._planner.required_stops(machine)
         if not self.fencing.fence_unwanted_starts(machine, now) or len(required) > MOST_IN_ANSWER:
             self.metrics.withheld_renewals += 1
             log.info("the lease of %s is not renewed: its answer cannot bar and stop all that is cancelled", machine.id)
             self.send(machine)
             return messages.command_message(NO_TOKEN, [])
-        commands = term.planner.stops(machine, MOST_IN_ANSWER, renewing=True)
+        commands = self._planner.stops(machine, MOST_IN_ANSWER, renewing=True)
         told = {(command["piece"], command["try"]) for command in commands} if required else set()
         if not self.fencing.check_renewal(machine, told):
             return messages.command_message(NO_TOKEN, [])
         machine.lease_renewed_at = now
-        commands += term.planner.pending_forgets(machine, MOST_IN_ANSWER - len(commands))
+        commands += self._planner.pending_forgets(machine, MOST_IN_ANSWER - len(commands))
         return messages.command_message(machine.token, commands)
 
     # -- commands ---------------------------------------------------------------
 
-    def reaches(self, machine: Machine, now: float) -> bool:
+    def is_reachable(self, machine: Machine, now: float) -> bool:
         """Whether the machine showed lately that it hears us: one that is only heard is of no use."""
-        return now - machine.last_reachable_at <= self.term.fleet.reachability_timeout_s
+        return now - machine.last_reachable_at <= self._reachability_timeout_s
 
     def send(self, machine: Machine) -> None:
         """Sends what the machine has to do, one message at a time."""
-        term = self.term
-        now = term.clock.seconds()
+        now = self._clock.seconds()
         if machine.command_in_flight or not machine.address or now < machine.retry_at or self._is_settled(machine, now):
             return
-        if term.authority.check_commands() is not None:
+        if self._authority.check_commands() is not None:
             return
         self.fencing.fence_unwanted_starts(machine, now)
-        starts = term.planner.starts(machine)[:MAX_COMMANDS]
-        commands = term.planner.stops(machine, MAX_COMMANDS)
-        known = machine.has_current_token and (self.reaches(machine, now) or not machine.heartbeat_received)
+        starts = self._planner.starts(machine)[:MAX_COMMANDS]
+        commands = self._planner.stops(machine, MAX_COMMANDS)
+        known = machine.has_current_token and (self.is_reachable(machine, now) or not machine.heartbeat_received)
         known = known and not self.fencing.is_acknowledgement_overdue(machine, now)
         if not commands and not starts and (known or not self._worth_claiming(machine)):
             return  # exited tasks can wait for the answer to the next report
         claim = not commands and not starts
         if claim and self.claims >= self.most_claims:
             return
-        commands += term.planner.pending_forgets(machine, MAX_COMMANDS - len(commands))
+        commands += self._planner.pending_forgets(machine, MAX_COMMANDS - len(commands))
         commands += [messages.start_command(p.task, p.attempt) for p in starts]
         machine.command_in_flight = True
         epoch = machine.epoch or 1
@@ -148,7 +178,7 @@
             and not machine.placements
             and not machine.orphaned_tasks
             and not self.fencing.is_acknowledgement_overdue(machine, now)
-            and self.reaches(machine, now)
+            and self.is_reachable(machine, now)
         )
 
     @staticmethod
@@ -158,7 +188,7 @@
 
     def _may_transmit(self, machine: Machine, starts: list[Placement]) -> bool:
         """Whether a message is still right now that its connection is there: what was known may have changed since."""
-        refusal = self.term.authority.check_transmission(starts, machine)
+        refusal = self._authority.check_transmission(starts, machine)
         if refusal is not None:
             log.info("commands to %s are withdrawn before they are sent: %s", machine.id, refusal)
             self.metrics.withdrawn += 1
@@ -171,13 +201,13 @@
     async def _send(
         self, machine: Machine, epoch: int, commands: list[dict[str, Any]], starts: list[Placement], claim: bool
     ) -> None:
-        term, token = self.term, machine.token
+        token = machine.token
         if starts and log.isEnabledFor(logging.DEBUG):
             tasks = [f"{p.task} attempt {p.attempt}" for p in starts]
             log.debug("starts to %s under token %d, session %d: %s", machine.id, token, epoch, tasks)
         try:
             try:
-                executed, heartbeat = await term.workers.command(
+                executed, heartbeat = await self._client.command(
                     machine.address, token, epoch, commands, lambda: self._may_transmit(machine, starts)
                 )
             finally:
@@ -186,35 +216,35 @@
             self._not_answered(machine, starts, error)
             return
         machine.command_in_flight = False
-        if not term.alive:
+        if not self._lease.active:
             return
         machine.send_failures = 0
-        now = term.clock.seconds()
+        now = self._clock.seconds()
         if executed:
             machine.last_reachable_at = now
             self._answered(machine, starts, now)
-        if term.tokens.is_later(heartbeat.token):
-            term.node.integrity.observe_token(heartbeat.token)
-            term.node.election.suspect(f"{machine.id} knows token {heartbeat.token}")
+        if self._tokens.is_later(heartbeat.token):
+            self._integrity.observe_token(heartbeat.token)
+            self._lease.suspect(f"{machine.id} knows token {heartbeat.token}")
             return
-        with term.lock:
-            term.heartbeats.process(heartbeat)
+        with self._cluster.lock:
+            self._heartbeats.process(heartbeat)
         if not executed and (epoch, token) != (machine.epoch, machine.token):
             self.send(machine)
         elif (
-            term.planner.starts(machine)
+            self._planner.starts(machine)
             or machine.has_current_token
             and any(p.stop_grace_s is not None and p.stop_sent_at == 0.0 for p in machine.placements.values())
         ):
-            term.clock.callLater(RETRY * self.heartbeat_s, self.send, machine)
-        term.after_heartbeat()
+            self._clock.callLater(RETRY * self.heartbeat_s, self.send, machine)
+        self._after_heartbeat()
 
     def _not_answered(
         self, machine: Machine, starts: list[Placement], error: NotDeliveredError | UncertainDeliveryError
     ) -> None:
         """A message was not delivered, or it is not known whether it was."""
         machine.command_in_flight = False
-        now = self.term.clock.seconds()
+        now = self._clock.seconds()
         machine.send_failures += 1
         machine.retry_at = now + RETRY * self.heartbeat_s * min(4, machine.send_failures)
         log.info("commands to %s: %s", machine.id, error)
@@ -246,7 +276,7 @@
 
     def status(self) -> dict[str, Any]:
         """What the administration API shows of the commands."""
-        in_doubt = [row for m in self.term.machines.values() for row in m.inflight_starts.describe(m.id)]
+        in_doubt = [row for m in self._cluster.machines.values() for row in m.inflight_starts.describe(m.id)]
         return msgspec.structs.asdict(self.metrics) | {
             "tokens": self.fencing.status(),
             "in_doubt_now": len(in_doubt),
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -7,18 +7,18 @@
 """
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
-from stileloft.leadership.invariants import Invariant
+from stileloft.leadership.fencing_tokens import FencingTokens
+from stileloft.leadership.invariants import Invariant, InvariantMonitor
+from stileloft.model.cluster import ClusterState
 from stileloft.model.inflight_starts import AttemptKey
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import TaskStatus
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.settings import Workers
+from stileloft.store.flush_timer import FlushTimer
+from stileloft.store.integrity import StoreIntegrity
 
 log = logging.getLogger(__name__)
 
@@ -29,8 +29,21 @@
 class MachineFencing:
     """The tokens that machines are addressed with, and what follows from those that their workers know."""
 
-    def __init__(self, term: "Leader") -> None:
-        self._term = term
+    def __init__(
+        self,
+        cluster: ClusterState,
+        tokens: FencingTokens,
+        invariants: InvariantMonitor,
+        integrity: StoreIntegrity,
+        flush_timer: FlushTimer,
+        timings: Workers,
+    ) -> None:
+        self._cluster = cluster
+        self._tokens = tokens
+        self._invariants = invariants
+        self._integrity = integrity
+        self._flush_timer = flush_timer
+        self._timings = timings
         self.waiting: dict[str, None] = {}
         """Machines that get no starts until there is a spare token."""
         self.starts_fenced = 0
@@ -38,7 +51,7 @@
 
     def fence_unwanted_starts(self, machine: Machine, now: float) -> bool:
         """Sees to it that no start of a job that is over can be executed once our next message is; returns whether."""
-        cluster = self._term.cluster
+        cluster = self._cluster
         unwanted = [
             (p.task, p.attempt)
             for p in machine.placements.values()
@@ -53,12 +66,12 @@
 
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
         """Has attempts forgotten soon whose starts may still be executed; for many together, as it takes a report."""
-        raised_lately = now - machine.token_raised_at <= self._term.settings.workers.lease_s
-        if not raised_lately and self._term.tokens.has_above(machine.token):
+        raised_lately = now - machine.token_raised_at <= self._timings.lease_s
+        if not raised_lately and self._tokens.has_above(machine.token):
             self._raise(machine, now, "attempts are to be forgotten")
 
     def _raise(self, machine: Machine, now: float, reason: str) -> bool:
-        tokens, invariants = self._term.tokens, self._term.invariants
+        tokens, invariants = self._tokens, self._invariants
         token = tokens.issue_above(machine.token)
         if token is None:
             return invariants.check(
@@ -76,22 +89,19 @@
             return False
         log.info("machine %s gets token %d after %d: %s", machine.id, token, machine.token, reason)
         machine.token, machine.token_raised_at = token, now
-        self._term.node.integrity.record_raised_token(token)
+        self._integrity.record_raised_token(token)
         return True
 
     def is_acknowledgement_overdue(self, machine: Machine, now: float) -> bool:
         """Whether a machine's worker should have shown by a report that it knows its raised token."""
-        return (
-            machine.acknowledged_token < machine.token
-            and now > machine.token_raised_at + self._term.dispatcher.heartbeat_s
-        )
+        return machine.acknowledged_token < machine.token and now > machine.token_raised_at + self._timings.heartbeat_s
 
     def process_heartbeat(self, machine: Machine, tasks: list[TaskStatus]) -> None:
         """Takes in what a believed report shows: starts under a lower token, or of a former session, are void."""
         machine.inflight_starts.drop_fenced(machine.epoch, machine.acknowledged_token)
         if machine.fenced_starts:
             for task in tasks:
-                self._term.invariants.check(
+                self._invariants.check(
                     machine.fenced_starts.get(task.task) != task.attempt,
                     Invariant.FENCED_STAYS_FENCED,
                     "%s attempt %d is %s on %s",
@@ -110,7 +120,7 @@
 
     def request_spare_token(self, machine: Machine, unseen: list[Placement]) -> None:
         """Has a record written once more, as the revision of that transaction is a token for the fence."""
-        cluster = self._term.cluster
+        cluster = self._cluster
         self.waiting[machine.id] = None
         for placement in unseen:
             job = cluster.jobs.get(placement.job)
@@ -118,7 +128,7 @@
                 if not job.commit_in_flight:
                     job.chunk_of(placement.index).dirty = True
                     cluster.mark_dirty(job)
-                    self._term.commit_queue.flush_within(0.0)
+                    self._flush_timer.within(0.0)
                 return
 
     def take_waiting_machines(self) -> list[str]:
@@ -131,7 +141,7 @@
 
     def check_renewal(self, machine: Machine, stopped: set[AttemptKey]) -> bool:
         """Whether an answer that stops these attempts may renew the lease: the bound on a cancelled task holds."""
-        jobs, check = self._term.jobs, self._term.invariants.check
+        jobs, check = self._cluster.jobs, self._invariants.check
         for placement in machine.placements.values():
             job = jobs.get(placement.job)
             if placement.state != PlacementState.BOUND or (job is not None and job.end_phase is None):
@@ -147,18 +157,18 @@
 
     def check_transmission(self, machine: Machine, starts: list[Placement]) -> bool:
         """Whether starts may go out now: their jobs go on, and the fence could bar them at once."""
-        jobs, check = self._term.jobs, self._term.invariants.check
+        jobs, check = self._cluster.jobs, self._invariants.check
         for placement in starts:
             job = jobs.get(placement.job)
             goes_on = job is not None and job.end_phase is None
             if not check(goes_on, Invariant.NO_START_AFTER_END, "%s to %s", placement.task, machine.id):
                 return False
-        can_fence = not starts or self._term.tokens.has_above(machine.token)
+        can_fence = not starts or self._tokens.has_above(machine.token)
         return check(can_fence, Invariant.NO_START_WITHOUT_SPARE_TOKEN, "%s, token %d", machine.id, machine.token)
 
     def status(self) -> dict[str, Any]:
         """What the administration API shows of the tokens."""
-        tokens = self._term.tokens
+        tokens = self._tokens
         return {
             "first": tokens.first,
             "highest_issued": tokens.highest_issued,
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -1,18 +1,25 @@
 """What workers' reports tell the leader of machines and tasks."""
 
 import logging
-from typing import TYPE_CHECKING
-
+from collections.abc import Callable
+
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.authority import Authority
+from stileloft.leadership.fencing_tokens import FencingTokens
+from stileloft.machines.boot_monitor import BootMonitor
+from stileloft.machines.image_locations import ImageLocations
+from stileloft.machines.registry import MachineRegistry
 from stileloft.model import records
+from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine, OrphanedTask
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import BUSY, EXITED, NO_ROOM, RUNNING, UNKNOWN, WAITING, Heartbeat, TaskStatus
-
-if TYPE_CHECKING:
-    from stileloft.leadership.leader import Leader
-
-    pass
+from stileloft.settings import Workers
+from stileloft.store.flush_timer import FlushTimer
+from stileloft.transport.clock import Clock, WallClock
+from stileloft.workers.fencing import MachineFencing
+from stileloft.workers.forget_scheduler import ForgetScheduler
 
 log = logging.getLogger(__name__)
 
@@ -26,15 +33,42 @@
     All methods are called with the term's lock held.
     """
 
-    def __init__(self, term: "Leader") -> None:
-        self.term = term
-        self.heartbeat_s = term.settings.workers.heartbeat_s
+    def __init__(
+        self,
+        cluster: ClusterState,
+        machines: MachineRegistry,
+        lifecycle: TaskLifecycle,
+        fencing: MachineFencing,
+        forgets: ForgetScheduler,
+        authority: Authority,
+        tokens: FencingTokens,
+        boots: BootMonitor,
+        images: ImageLocations,
+        flush_timer: FlushTimer,
+        clock: Clock,
+        wall_clock: WallClock,
+        timings: Workers,
+        request_scheduling: Callable[[], None],
+    ) -> None:
+        self._cluster = cluster
+        self._machines = machines
+        self._lifecycle = lifecycle
+        self._fencing = fencing
+        self._forgets = forgets
+        self._authority = authority
+        self._tokens = tokens
+        self._boots = boots
+        self._images = images
+        self._flush_timer = flush_timer
+        self._clock = clock
+        self._wall_clock = wall_clock
+        self._timings = timings
+        self._request_scheduling = request_scheduling
 
     def process(self, heartbeat: Heartbeat) -> Machine:
         """Takes in a report, unless a newer one is known."""
-        term = self.term
-        now = term.clock.seconds()
-        machine = term.machine(heartbeat.machine)
+        now = self._clock.seconds()
+        machine = self._machines.get_or_create(heartbeat.machine)
         if machine.heartbeat_received and (heartbeat.epoch, heartbeat.sequence) <= (machine.epoch, machine.sequence):
             return machine
         machine.last_heartbeat_at = now
@@ -56,8 +90,8 @@
             log.info("machine %s will be taken away in %.1f s", machine.id, heartbeat.reclaim_in_s)
             machine.reclaim_at = now + heartbeat.reclaim_in_s
             machine.drain_reason = "taken away"
-            term.request_scheduling()
-        if machine.has_current_token and term.store_loaded:
+            self._request_scheduling()
+        if machine.has_current_token and self._cluster.loaded:
             # Before the store was read, all of its tasks would look as if they were not to be there, and be stopped.
             self._take_tasks(machine, heartbeat.tasks, now)
         machine.idle_since = None if machine.placements or machine.orphaned_tasks else (machine.idle_since or now)
@@ -71,13 +105,13 @@
         machine.send_failures, machine.retry_at = 0, 0.0
         kind = ", spot" if machine.spot else ""
         log.info("machine %s is up: %s in %s%s", machine.id, machine.type, machine.zone, kind)
-        self.term.fleet.record_boot(machine)
-        self.term.request_scheduling()
+        self._boots.record_boot(machine)
+        self._request_scheduling()
 
     def _take_token(self, machine: Machine, token: int, new_epoch: bool, now: float) -> None:
         """Whether its report can be believed: it carries our own token."""
         had_current_token = machine.has_current_token
-        machine.has_current_token = self.term.tokens.is_own(token)
+        machine.has_current_token = self._tokens.is_own(token)
         machine.acknowledged_token = token
         claims = machine.has_current_token and not machine.claimed
         if new_epoch or claims:
@@ -87,12 +121,12 @@
             machine.claimed = True
             machine.last_pushed_heartbeat_at = now  # it reports by itself at once, having learned our token
         if machine.has_current_token and not had_current_token:
-            self.term.request_scheduling()
+            self._request_scheduling()
 
     def _take_tasks(self, machine: Machine, tasks: list[TaskStatus], now: float) -> None:
         unseen = dict(machine.placements)
         orphaned_tasks: dict[str, OrphanedTask] = {}
-        self.term.dispatcher.fencing.process_heartbeat(machine, tasks)
+        self._fencing.process_heartbeat(machine, tasks)
         for task in tasks:
             key = records.split_task(task.task)
             placement = machine.placements.get(key)
@@ -101,7 +135,7 @@
                 if placement.state != PlacementState.ENDED:
                     self._take_state(machine, placement, task, now)
             elif task.state == EXITED:
-                self.term.planner.forget_later(machine, task.task, task.attempt, task.why == "done")
+                self._forgets.schedule(machine, task.task, task.attempt, task.why == "done")
             else:
                 orphaned_tasks[task.task] = self._stray(key[0], task)
         self._take_strays(machine, orphaned_tasks)
@@ -111,11 +145,11 @@
     def _take_strays(self, machine: Machine, orphaned_tasks: dict[str, OrphanedTask]) -> None:
         """Tasks on the machine that the store does not place there."""
         if machine.orphaned_tasks.keys() - orphaned_tasks.keys():
-            self.term.request_scheduling()
+            self._request_scheduling()
         if orphaned_tasks.keys() != machine.orphaned_tasks.keys():
             machine.scheduling_view = None
         for task_id in orphaned_tasks.keys() - machine.orphaned_tasks.keys():
-            if self.term.authority.check_stop_task(task_id) is None:
+            if self._authority.check_stop_task(task_id) is None:
                 log.info("task %s on %s is not ours to run there: stopping it", task_id, machine.id)
         machine.orphaned_tasks = orphaned_tasks
 
@@ -128,16 +162,16 @@
         if placement.sent_epoch is None:
             if unwanted:
                 # The worker knows our token, so no older leader's start can be executed any more.
-                self.term.tasks.end(placement, "it was not started")
+                self._lifecycle.end(placement, "it was not started")
         elif placement.sent_epoch < machine.epoch:
             # Sessions kill their tasks when they end, and starts sent in one fail in the next.
-            self.term.tasks.end(placement, "its session is over")
+            self._lifecycle.end(placement, "its session is over")
         elif unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
-            self.term.dispatcher.fencing.record_fenced(machine, placement)
-            self.term.tasks.end(placement, "its start was barred before it came")
+            self._fencing.record_fenced(machine, placement)
+            self._lifecycle.end(placement, "its start was barred before it came")
 
     def _stray(self, job_id: str, task: TaskStatus) -> OrphanedTask:
-        job = self.term.jobs.get(job_id)
+        job = self._cluster.jobs.get(job_id)
         if job is None:
             return OrphanedTask(task.attempt, 0.0, 0.0, 0.0, "")
         spec = job.spec
@@ -149,10 +183,10 @@
         elif placement.reported_state != task.state:
             placement.reported_state = task.state
             machine.scheduling_view = None
-            job = self.term.jobs.get(placement.job)
+            job = self._cluster.jobs.get(placement.job)
             if job is not None and task.state in (WAITING, RUNNING):
                 # One that waits for the others of its gang has its image too, but has not begun.
-                self.term.fleet.images.record_use(machine, job.spec.image)
+                self._images.record_use(machine, job.spec.image)
             if task.state == RUNNING:
                 self._take_running(placement, job, now)
 
@@ -162,14 +196,14 @@
         if job is None:
             return
         if not job.started:
-            log.info("job %s begins, %.1f s after acceptance", job.id, self.term.wall_clock() - job.submitted)
+            log.info("job %s begins, %.1f s after acceptance", job.id, self._wall_clock() - job.submitted)
         job.started = True
-        self.term.cluster.mark_counts(job)
-        self.term.commit_queue.flush_within(COUNTS_FLUSH_S)
+        self._cluster.mark_counts(job)
+        self._flush_timer.within(COUNTS_FLUSH_S)
 
     def _take_exit(self, machine: Machine, placement: Placement, why: str | None, now: float) -> None:
         """What follows from a task's end; of a gang that lost a task the whole comes again, at once."""
-        tasks = self.term.tasks
+        tasks = self._lifecycle
         placement.reported_state = EXITED
         if why == "done":
             tasks.completed(machine, placement, now)
@@ -178,12 +212,12 @@
             tasks.failed(machine, placement)
         elif why == NO_ROOM:
             log.info("task %s did not fit on %s", placement.task, machine.id)
-            tasks.avoid(placement, machine.id, 2 * self.heartbeat_s)
+            tasks.avoid(placement, machine.id, 2 * self._timings.heartbeat_s)
         elif why == UNKNOWN:
             log.info("task %s is not known to %s", placement.task, machine.id)
-            tasks.delay(placement.job, self.heartbeat_s / 2)
+            tasks.delay(placement.job, self._timings.heartbeat_s / 2)
         elif why == BUSY:
             # The other attempt is listed too, and is stopped as a stray; meanwhile go elsewhere.
             log.info("task %s is on %s with another attempt", placement.task, machine.id)
-            tasks.avoid(placement, machine.id, self.term.settings.workers.lease_s)
+            tasks.avoid(placement, machine.id, self._timings.lease_s)
         tasks.end(placement, why or "exited")
--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -188,10 +188,10 @@
 def give_back(world: World) -> None:
     """The leader returns a third of the machines, which the cloud does not confirm."""
     name = world.leader()
-    term = None if name is None else world.nodes[name].term
+    term = None if name is None else world.nodes[name].leader
     if term is not None:
-        for machine in list(term.machines.values())[::3]:
-            term.fleet.release(machine, "an operator's wish")
+        for machine in list(term.cluster.machines.values())[::3]:
+            term.releaser.release(machine, "an operator's wish")
 
 
 def freeze_leader(world: World) -> None:
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -14,7 +14,7 @@
 from twisted.internet.testing import StringTransport
 
 from stileloft.leadership.leader import Leader
-from stileloft.machines.fleet import Fleet
+from stileloft.machines.inventory import MachineInventory
 from stileloft.protocol import messages
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.server import Answer, Router, make_site
@@ -85,8 +85,10 @@
     while True:
         world.run(0.5)
         name = world.leader()
-        if name is not None and world.nodes[name].term.store_loaded:
-            known = sum(1 for machine in world.nodes[name].term.machines.values() if machine.has_current_token)
+        if name is not None and world.nodes[name].leader.cluster.loaded:
+            known = sum(
+                1 for machine in world.nodes[name].leader.cluster.machines.values() if machine.has_current_token
+            )
             if known >= machines:
                 break
     print(f"  all machines known to the new leader {world.now - killed_at:.1f} s (simulated) after the loss of the old")
@@ -149,10 +151,10 @@
         (SchedulingLoop, "_decide"),
         (SchedulingLoop, "_apply"),
         (Leader, "_check"),
-        (CommandDispatcher, "on_report"),
+        (CommandDispatcher, "on_heartbeat"),
     ):
         costs.watch(owner, method)
-    costs.watch(Fleet, "take_list")
+    costs.watch(MachineInventory, "_reconcile")
     for machines in sizes:
         measure_size(machines, costs)
 
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -66,7 +66,8 @@
                 peer = world.nodes[target]
                 if peer is None or world.now < world.peers_refuse:
                     raise ConnectionFailedError("no process, or a filter")
-                return world.to_node(target, lambda: ask_peer(peer, path, sent))
+                resources = world.versions[target].peer_resources(peer)
+                return world.to_node(target, lambda: ask_peer(resources, path, sent))
             machine = world.every_machine[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -93,7 +93,7 @@
 
     def keeps_report_connection(self, name: str) -> bool:
         """Whether a node leaves a worker's connection open after its answer; the versions before always do."""
-        keep = getattr(self.nodes[name], "keep_request", None)
+        keep = getattr(self.nodes[name], "keep_request_connection", None)
         return keep is None or keep(HEARTBEAT_PATH)
 
     def kill(self, name: str, back_after: float | None = 5.0, version: Version | None = None) -> None:
