--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -10,6 +10,7 @@
 from twisted.internet import defer
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
+from stileloft.controller.controller import Controller
 from stileloft.features import Features, RebuildFeature
 from stileloft.leadership.authority import Authority, Refusal
 from stileloft.leadership.fencing_tokens import MOST_SPARES, FencingTokens
@@ -93,12 +94,18 @@
 # ----------------------------------------------------------------------------------------------------
 
 
-def leading(world: World) -> Leader:
+def leading_controller(world: World) -> Controller:
     name = world.leader()
     assert name is not None
-    node = world.nodes[name]
-    assert node is not None and node.term is not None
-    return node.term
+    controller = world.nodes[name]
+    assert controller is not None
+    return controller
+
+
+def leading(world: World) -> Leader:
+    leader = leading_controller(world).leader
+    assert leader is not None
+    return leader
 
 
 def test_an_attempt_is_forgotten_only_when_its_start_is_barred() -> None:
@@ -108,7 +115,7 @@
     world.run(40)
     term = leading(world)
     (name,) = {machine.name for machine in world.rules.where.values()}
-    machine, worker = term.machines[name], world.every_machine[name]
+    machine, worker = term.cluster.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
     late = messages.command_message(token, [messages.start_command(placement.task, placement.attempt)]) | {
@@ -118,7 +125,7 @@
     assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is None
     machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
     assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
-    term.tasks.stop(placement, 0.0)
+    term.lifecycle.stop(placement, 0.0)
     machine.drain_reason = None
     world.run(4 * world.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
@@ -201,33 +208,33 @@
     """Nothing after the term; stops while it lasts; starts only with everything that starts need."""
     world = busy_world(36)
     term = leading(world)
-    machine = next(m for m in term.machines.values() if m.placements)
+    machine = next(m for m in term.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     assert term.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
     placement.reported_state = None
     assert term.authority.check_transmission([placement], machine) is None
     term.tokens._spares.clear()
     assert term.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
-    term.node.election._confirmed_until = 0.0
+    leading_controller(world).election._confirmed_until = 0.0
     assert term.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
     assert term.authority.check_transmission([], machine) is None
-    term.alive = False
+    term.lease.active = False
     assert term.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
 
 
 def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
     world = busy_world(37)
     term = leading(world)
-    machine = next(iter(term.machines.values()))
+    machine = next(iter(term.cluster.machines.values()))
     before = machine.token
     term.tokens._spares.clear()
-    term.dispatcher.fencing.fence_for_forgets(machine, world.now)
+    term.fencing.fence_for_forgets(machine, world.now)
     assert machine.token == before and no_violations == []
     term.tokens.committed(10**6)
-    term.dispatcher.fencing.fence_for_forgets(machine, world.now)
+    term.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
     term.tokens.committed(10**6 + 1)
-    term.dispatcher.fencing.fence_for_forgets(machine, world.now + 0.1)
+    term.fencing.fence_for_forgets(machine, world.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
@@ -236,20 +243,21 @@
     world = busy_world(38)
     term = leading(world)
     asked: list[str] = []
-    wire = term.cloud._client
+    controller = leading_controller(world)
+    wire = controller.clients.cloud._client
     plain = wire.request
 
     async def connecting(method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Any) -> Any:
         asked.append(path)
-        term.node.election._confirmed_until = 0.0  # its lease ends while the connection is made
+        controller.election._confirmed_until = 0.0  # its lease ends while the connection is made
         return await plain(method, address, path, body, timeout_s, is_wanted)
 
     machines = set(world.cloud.machines)
     wire.request = connecting
-    term.fleet.release(next(iter(term.machines.values())), "a test")
+    term.releaser.release(next(iter(term.cluster.machines.values())), "a test")
     world.run(0.1)
-    term.node.election._confirm(world.now)
-    term.fleet._request_machines(("small", "a", True), 1)
+    controller.election._confirm(world.now)
+    term.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
     assert asked == ["/hosts/release", "/hosts"] and set(world.cloud.machines) == machines
 
@@ -257,9 +265,9 @@
 def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
     world = busy_world(33)
     term = leading(world)
-    job = term.jobs["j-000001"]
+    job = term.cluster.jobs["j-000001"]
     seen: list[str | None] = []
-    node = term.node
+    node = leading_controller(world)
     admission = node.admission
     keep = admission._keep_final
 
@@ -284,7 +292,7 @@
     term.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     world.run(20)
     assert term.commit_queue.commits > commits and "j-000200/0" in world.rules.done
-    assert term.dispatcher.fencing.waiting == {}
+    assert term.fencing.waiting == {}
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
@@ -296,9 +304,11 @@
     assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0 and shown["starts_sent"] > shown["starts_answered"]
     row = shown["in_doubt"][0]
     assert row["first_sent_at"] < row["in_doubt_since"] <= world.now and row["token"] > 0 and row["session"] == 1
-    told = orjson.loads(orjson.dumps(leading(world).node.status()))  # as the administration API tells it
-    assert told["invariants"] == {"violations": {}, "newest": []} and told["term"]["commands"] == shown
-    assert told["term"]["knowledge"]["watch_revision"] > 0
+    told = orjson.loads(
+        orjson.dumps(leading_controller(world).administration.status())
+    )  # as the administration API tells it
+    assert told["invariants"] == {"violations": {}, "newest": []} and told["leadership"]["commands"] == shown
+    assert told["leadership"]["knowledge"]["watch_revision"] > 0
 
 
 # -- versions, and a lost store
@@ -331,7 +341,7 @@
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
     world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
     cancel_held(world)
-    running, protection = set(world.rules.where), leading(world).node.integrity
+    running, protection = set(world.rules.where), leading_controller(world).integrity
     assert protection.led_token == leading(world).tokens.highest_issued == protection.highest_token
     world.state.wipe()
     run_watched(world, 100.0)
@@ -353,7 +363,7 @@
     run_watched(world, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
     assert world.rules.broken == [] and world.sessions_lost > 0
-    assert leading(world).node.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
+    assert leading_controller(world).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
 
 
@@ -390,9 +400,9 @@
 def test_a_barred_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
     world = busy_world(47)
     term = leading(world)
-    machine = next(m for m in term.machines.values() if m.placements)
+    machine = next(m for m in term.cluster.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
-    term.dispatcher.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
+    term.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
     world.run(5)
     assert no_violations and no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
     assert Machine("n").fenced_starts == {}
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -20,8 +20,8 @@
 
 def known_machines(world: World) -> int:
     """Machines that the present leader hears."""
-    term = world.nodes[world.leader()].term
-    return sum(1 for machine in term.machines.values() if machine.has_current_token)
+    term = world.nodes[world.leader()].leader
+    return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
 
 
 def run_until_done(world: World, longest_s: float) -> None:
@@ -93,7 +93,7 @@
     """In one go it would take more requests than the cloud allows, and none of it would be known."""
     world = FleetWorld(4, 6000, booted=False)
     world.run(20)
-    assert len(world.nodes[world.leader()].term.machines) >= 6000
+    assert len(world.nodes[world.leader()].leader.cluster.machines) >= 6000
     assert world.cloud.refused_rates == 0
 
 
@@ -101,13 +101,13 @@
     """In one request the rest would not come, and look as if the cloud had no more of these machines."""
     world = World(seed=5, capacity=1000, loss=0.0)
     world.run(5)
-    fleet = world.nodes[world.leader()].term.fleet
+    leader = world.nodes[world.leader()].leader
     before = len(world.cloud.machines)
     wanted = 2 * PROVISION_LIMIT + 20
-    fleet.apply(ScalingPlan(provision={("small", "a", True): wanted}))
+    leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): wanted}))
     world.run(2)
     assert len(world.cloud.machines) - before >= wanted
-    assert not fleet.offers_without_capacity()
+    assert not leader.provisioner.offers_without_capacity()
 
 
 @pytest.mark.parametrize(("soft", "hard", "expected"), [(1024, 4096, 2064), (1024, 1500, 1500), (4096, 4096, None)])
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -41,7 +41,7 @@
     """A world whose controllers all write the newest format."""
     world = World(seed, loss=0.0, **more)
     world.run(15)
-    assert {node.format for node in world.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
+    assert {node.record_format.number for node in world.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
     return world
 
 
@@ -199,7 +199,7 @@
         world.kill(name, 0.2)
     world.run(6)
     leader = world.leader()
-    assert leader is not None and world.nodes[leader].format == 0
+    assert leader is not None and world.nodes[leader].record_format.number == 0
     world.submit(world.job(2, pieces=2))  # some change of the first job is written too: its counts
     for machine in list({m.name: m for task, m in world.rules.where.items()}.values())[:1]:
         machine.die()
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -162,8 +162,8 @@
     assert 1 <= tries <= 8
     changes = sum(count for kind, count in counted.items() if "active" in kind or "tasks" in kind)
     assert changes <= 6 * tries
-    term = world.nodes[world.leader()].term
-    assert [m.id for m in term.machines.values() if m.drain_reason] == []
+    term = world.nodes[world.leader()].leader
+    assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
     world.cancel("j-000900")
     finish(world, 60)
     assert world.rules.last["j-000900"] == "aborted" and world.rules.broken == []
@@ -193,21 +193,21 @@
     assert name is not None
     node = world.nodes[name]
     assert isinstance(node, Controller)
-    term = node.term
+    term = node.leader
     assert term is not None
     world.freeze(name, 6.0)
     world.submit(world.job(1, pieces=2, guessS=4.0))
     world.run(5.9)
     assert world.leader() not in (None, name)
     sent: list[object] = []
-    command = term.workers.command
+    command = node.clients.workers.command
 
     def commanding(*arguments: object) -> object:
         sent.append(arguments)
         return command(*arguments)
 
-    monkeypatch.setattr(term.workers, "command", commanding)
+    monkeypatch.setattr(node.clients.workers, "command", commanding)
     world.run(2)
-    assert not term.alive and sent == []
+    assert not term.lease.active and sent == []
     finish(world)
     assert world.rules.broken == [] and world.rules.last == {"j-000001": "done"}
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -7,7 +7,7 @@
 from stileloft.leadership.leader import Leader
 from stileloft.model import records
 from stileloft.protocol import messages
-from stileloft.scheduling.scheduling_loop import SchedulingLoop
+from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.transport.client import NoResponseError, Reply
 from tests.simulation.deployment import TYPES
 from tests.simulation.workers import Machine
@@ -618,7 +618,7 @@
     world.submit(world.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # all that its team may have
     while not late and world.now < 60:
         world.run(0.1)
-    job = world.nodes[world.leader()].term.jobs["j-000001"]
+    job = world.nodes[world.leader()].leader.cluster.jobs["j-000001"]
     for settled in (False, True):
         while job.reload_pending != (not settled) and world.now < 70:
             world.clock.advance(0.01)
@@ -643,15 +643,15 @@
     world.kill(world.leader(), None)
     world.run(4)
     leader = world.leader()
-    term = world.nodes[leader].term
+    term = world.nodes[leader].leader
     for body in old:
         assert world.deliver_report(leader, body).status == 200
-    known = term.machines[machine.name]
+    known = term.cluster.machines[machine.name]
     assert known.placements and not known.claimed
-    assert not term.dispatcher.reaches(known, world.now)
-    assert not term.fleet.lease_expired(known, world.now + 1.2 * 12.0)
-    assert not term.fleet.lease_expired(known, term.started_at + term.renewal_grace_s + 12.0)
-    assert term.fleet.lease_expired(known, term.started_at + term.renewal_grace_s + 1.2 * 12.0)
+    assert not term.dispatcher.is_reachable(known, world.now)
+    assert not term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
+    assert not term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 12.0)
+    assert term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 1.2 * 12.0)
 
 
 def test_a_new_session_that_nobody_answered_lasts_for_a_lease() -> None:
@@ -660,15 +660,15 @@
     long_jobs(world)
     world.run(40)
     machine = next(iter(world.rules.where.values()))
-    term = world.nodes[world.leader()].term
-    known = term.machines[machine.name]
+    term = world.nodes[world.leader()].leader
+    known = term.cluster.machines[machine.name]
     for name in world.names:
         world.cut(machine.name, name, 90.0)
     known.lease_renewed_at = world.now - 11.9
     machine.epoch += 1
     term.heartbeats.process(messages.parse_heartbeat(machine.report()))
-    assert not term.fleet.lease_expired(known, world.now + 12.0)
-    assert term.fleet.lease_expired(known, world.now + 1.2 * 12.0)
+    assert not term.worker_leases.has_expired(known, world.now + 12.0)
+    assert term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
 
 
 def test_before_the_store_is_read_no_lease_is_renewed() -> None:
@@ -691,7 +691,7 @@
     world.state.handle = scan  # type: ignore[method-assign]
     world.run(2)
     answer = world.deliver_report(leader, machine.report())
-    assert answer.status == 200 and answer.body["baton"] == world.nodes[leader].term.token
+    assert answer.status == 200 and answer.body["baton"] == world.nodes[leader].leader.token
 
 
 def test_a_worker_with_an_older_token_is_told_what_is_cancelled() -> None:
@@ -705,13 +705,13 @@
     world.kill(world.leader(), None)
     world.run(4)
     leader = world.leader()
-    term = world.nodes[leader].term
-    term.commit_queue.reload(term.jobs[job])
+    term = world.nodes[leader].leader
+    term.commit_queue.reload(term.cluster.jobs[job])
     refuse_leader(world)
     world.cancel(job)
     world.run(0.01)
     term.watch.on_change(job, None, world.state.revision)
-    assert term.jobs[job].reload_pending and not term.machines[machine.name].claimed
+    assert term.cluster.jobs[job].reload_pending and not term.cluster.machines[machine.name].claimed
     told = world.deliver_report(leader, machine.report()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
         name for name, on in world.rules.where.items() if on is machine and name.startswith(job)
@@ -750,9 +750,9 @@
 
 
 def test_the_checker_sees_what_waits_beside_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = SchedulingLoop._place
+    plain = DecisionApplier._place
     monkeypatch.setattr(
-        SchedulingLoop, "_place", lambda rounds, key, *more: key[0] != "j-000001" and plain(rounds, key, *more)
+        DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and plain(applier, key, *more)
     )
     world = World(seed=1, loss=0.0)
     for number in (1, 2):
@@ -829,17 +829,17 @@
     # More machines in the other zone, so that the one that fails would be preferred.
     assert set(rented_zones(0, 5, yard="b", crew="edge")) == {"b"}
     assert rented_zones(10, 6).count("a") >= 3
-    term = world.nodes[world.leader()].term
-    while not term.fleet.unreliable_offers() and world.now < 60:
+    term = world.nodes[world.leader()].leader
+    while not term.boots.unreliable_offers() and world.now < 60:
         world.run(0.05)
-    assert {zone for _, zone, _ in term.fleet.unreliable_offers()} == {"a"}
+    assert {zone for _, zone, _ in term.boots.unreliable_offers()} == {"a"}
     before = set(world.every_machine)
     world.run(8)
     instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
     assert len(instead) >= 2 and set(instead) == {"b"}
     fails[0] = False
     world.run(200)  # all is done, and machines go back
-    assert term.fleet.unreliable_offers() == set()
+    assert term.boots.unreliable_offers() == set()
     assert "a" in rented_zones(40, 8)
     finish(world)
     assert world.rules.broken == []
@@ -875,7 +875,7 @@
     # What was rented is found again, by the cloud's list if not by its record; what nobody wants goes back.
     world.run(100)
     leader = world.nodes[world.leader()]
-    assert set(world.cloud.machines) == set(leader.term.machines) and len(world.cloud.machines) <= 6
+    assert set(world.cloud.machines) == set(leader.leader.cluster.machines) and len(world.cloud.machines) <= 6
 
 
 def test_a_new_leader_takes_no_machine_that_is_up_for_late() -> None:
@@ -889,9 +889,11 @@
         before = set(world.cloud.machines)
         crash_leader(world)
         world.run(6)
-        term = world.nodes[world.leader()].term
-        assert [machine.id for machine in term.machines.values() if machine.boot_overdue and machine.cloud_state] == []
-        assert term.fleet.unreliable_offers() == set()
+        term = world.nodes[world.leader()].leader
+        assert [
+            machine.id for machine in term.cluster.machines.values() if machine.boot_overdue and machine.cloud_state
+        ] == []
+        assert term.boots.unreliable_offers() == set()
         assert before <= set(world.cloud.machines) and len(world.cloud.machines) <= len(before) + 3
     finish(world)
     assert world.rules.broken == []
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -243,7 +243,7 @@
     """What an operator is told by the node that is asked."""
     told: list = []
     node = next(node for node in world.nodes.values() if node is not None)
-    defer.ensureDeferred(node.decide(job, task, decision)).addBoth(told.append)
+    defer.ensureDeferred(node.administration.decide(job, task, decision)).addBoth(told.append)
     world.run(1.0)
     if isinstance(told[0], Failure):
         told[0].raiseException()
@@ -355,7 +355,7 @@
     known = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
     assert all(key.startswith(known) for key in world.state.items)
     assert not any(word in path for path in asked for word in ("identity", "undecided", "ended", "under=&"))
-    view = msgspec.to_builtins(world.nodes["node-0"].view())
+    view = msgspec.to_builtins(world.nodes["node-0"].administration.view())
     assert view.keys() == {"served_ago_s", "machines", "member", "reads"}
 
 
@@ -409,7 +409,7 @@
     world.state.wipe()
     world.run(45.0)
     assert phases(world) == {Phase.SOUND}
-    assert world.nodes[world.leader()].term.token > max(150, tokens)
+    assert world.nodes[world.leader()].leader.token > max(150, tokens)
     assert undecided_jobs(world)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-from stileloft.controller.controller import renewal_grace
+from stileloft.controller.clients import STATE_TIMEOUT_S
 from stileloft.jobs.admission import Admission, RetryLaterError
-from stileloft.machines.fleet import Fleet
-from stileloft.model.jobs import Job
+from stileloft.leadership.renewal_grace import renewal_grace
+from stileloft.machines.worker_leases import WorkerLeases
+from stileloft.model.jobs import EndPhase, Job
 from stileloft.protocol import messages
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.settings import Workers
@@ -427,16 +428,16 @@
     world = World(seed=19, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=90.0))
     world.run(40)
-    term = world.nodes[world.leader()].term
+    term = world.nodes[world.leader()].leader
     name = next(task.name for task in world.cloud.machines.values() if task.up)
-    machine = term.machines[name]
+    machine = term.cluster.machines[name]
     assert term.snapshots.is_ready(machine, world.now)
     # All its reports go to the leader, as often as a worker without answers can send them.
     world.deaf[name] = world.now + 11.0
     for seconds in (5.0, 10.0):
         world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
     world.run(10.5)
-    assert world.now - machine.last_heartbeat_at < term.fleet.heartbeat_overdue_s and not term.snapshots.is_ready(
+    assert world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s and not term.snapshots.is_ready(
         machine, world.now
     )
     world.run(8.0)
@@ -449,11 +450,11 @@
     world.submit(world.job(1, pieces=2, guessS=60.0))
     world.run(40)
     leader = world.leader()
-    term = world.nodes[leader].term
+    term = world.nodes[leader].leader
     name = next(m.name for m in world.cloud.machines.values() if m.up)
     body = world.every_machine[name].report()
     world.deliver_report(leader, body)
-    machine = term.machines[name]
+    machine = term.cluster.machines[name]
     world.cut(name, leader, 20.0)
     world.run(3.0)
     before = (
@@ -474,7 +475,7 @@
     ) == before
     peer = next(n for n in world.names if n != leader)
     world.deliver_report(peer, body)
-    seen = tuple(world.nodes[peer].view().machines[name])
+    seen = tuple(world.nodes[peer].administration.view().machines[name])
     assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
 
@@ -483,14 +484,14 @@
     world.submit(world.job(1, pieces=1, guessS=80.0))
     world.lengths["j-000001/0"] = 200.0
     world.run(40)
-    term = world.nodes[world.leader()].term
+    term = world.nodes[world.leader()].leader
     (name,) = {m.name for m in world.rules.where.values()}
-    placement = next(iter(term.machines[name].placements.values()))
+    placement = next(iter(term.cluster.machines[name].placements.values()))
     start = messages.command_message(term.token, [messages.start_command(placement.task, placement.attempt)]) | {
         "stint": 1
     }
-    term.machines[name].drain_reason = "a test"
-    term.tasks.stop(placement, 0.0)
+    term.cluster.machines[name].drain_reason = "a test"
+    term.lifecycle.stop(placement, 0.0)
     world.run(30)
     assert world.rules.where["j-000001/0"].name != name
     world.every_machine[name].command(start)  # a repeat of what was carried out
@@ -501,14 +502,14 @@
 def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
     for lease_s, heartbeat_s, cancel_s in ((19.0, 3.0, 44.0), (10.0, 1.0, 30.0), (12.0, 2.0, 12.0)):
         workers = Workers(heartbeat_s, lease_s, cancel_s)
-        grace_s = renewal_grace(workers, 0.1 * lease_s)
+        grace_s = renewal_grace(workers, 0.1 * lease_s, STATE_TIMEOUT_S)
         assert 0 <= grace_s <= 3 * lease_s
         assert grace_s == 0 or grace_s + lease_s < cancel_s
 
 
 def test_the_checker_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the wait for a silent machine's lease the checker must object."""
-    monkeypatch.setattr(Fleet, "lease_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
+    monkeypatch.setattr(WorkerLeases, "has_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
     world = World(seed=7)
     load(world)
     world.clock.callLater(35.0, hang(10.0), world)
@@ -522,7 +523,7 @@
     world.submit(world.job(1, guessS=100.0))
     world.run(30)
     name = world.leader()
-    watch = world.nodes[name].term.watch
+    watch = world.nodes[name].leader.watch
     world.state.compacted = world.state.revision + 1
     handle, until = world.state.handle, world.now + 1.0
 
@@ -558,13 +559,13 @@
     """Nothing is to be written of it, so that its end follows at once, while the ledger still holds the lock."""
     world = World(seed=24, loss=0.0)
     world.run(12)
-    term = world.nodes[world.leader()].term
+    term = world.nodes[world.leader()].leader
     term.lock = StrictLock()
     job = Job(messages.parse_job(world.job(7)), world.now, 24)
-    job.end_phase = "cancelled"
+    job.end_phase = EndPhase.CANCELLED
     job.chunk_of(0).dirty = True
-    term.jobs[job.id] = job
+    term.cluster.jobs[job.id] = job
     term.cluster.mark_dirty(job)
     term.commit_queue.flush()
     world.run(1)
-    assert job.id not in term.jobs
+    assert job.id not in term.cluster.jobs
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,11 +15,11 @@
 from stileloft.protocol.admin import OperatorSettings, parse_operator_settings
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError
 from stileloft.protocol.rebuild_admin import RebuildResources
-from stileloft.protocol.state import TokenBucket
 from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
 from stileloft.settings import SettingsError, parse
-from stileloft.store.commit_queue import REFUSED_S
+from stileloft.store.commit_queue import REFUSED_BACKOFF_S
 from stileloft.transport.client import Reply
+from stileloft.transport.rate_limit import TokenBucket
 from stileloft.transport.server import Answer, Router, make_site
 from stileloft.transport.sockets import Sockets
 from tests.simulation.world import World
@@ -160,13 +160,13 @@
         return result[0]
 
     node = world.nodes["node-0"]
-    assert ask(node.read_settings()) == (OperatorSettings(), 0)
-    version = ask(node.change_settings(OperatorSettings(headroom=3.0), 0))
+    assert ask(node.administration.read_settings()) == (OperatorSettings(), 0)
+    version = ask(node.administration.change_settings(OperatorSettings(headroom=3.0), 0))
     assert isinstance(version, int)
-    late = ask(node.change_settings(OperatorSettings(headroom=4.0), 0))
+    late = ask(node.administration.change_settings(OperatorSettings(headroom=4.0), 0))
     assert late.type is StaleVersionError
     world.run(1)
-    assert {n.operator_settings.headroom for n in world.nodes.values()} == {3.0}
+    assert {n.operator_settings.current.headroom for n in world.nodes.values()} == {3.0}
 
 
 # -- HTTP ----------------------------------------------------------------------------
@@ -409,10 +409,10 @@
 
     until = world.now + 10.0
     world.state.handle = counted  # type: ignore[method-assign]
-    term = world.nodes[world.leader()].term
+    term = world.nodes[world.leader()].leader
     world.run(9.9)
-    assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_S
-    assert term.write_budget.level() > term.write_budget.rate_per_s - 1
+    assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_BACKOFF_S
+    assert term.store.write_budget.level() > term.store.write_budget.rate_per_s - 1
     world.run(60)
     assert set(world.rules.last.values()) == {"done"} and world.rules.broken == []
 
@@ -460,10 +460,10 @@
     world = World(14, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=30.0))
     world.run(30)
-    term = world.nodes[world.leader()].term
+    term = world.nodes[world.leader()].leader
     machine = next(m for m in world.cloud.machines.values() if m.up)
     late = messages.parse_heartbeat(machine.report())
     world.cloud.machines.pop(machine.name).die()
     world.run(20)
-    assert machine.name in term.fleet.released_machines
-    assert term.on_heartbeat(late)["orders"] == [] and machine.name not in term.machines
+    assert machine.name in term.releaser.released
+    assert term.on_heartbeat(late)["orders"] == [] and machine.name not in term.cluster.machines
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 from stileloft.protocol.messages import JobSpec, job_from_wire
 from stileloft.protocol.peers import PeerView
 from stileloft.settings import State, parse
-from stileloft.store.job_transaction import StoreLimits
+from stileloft.store.limits import StoreLimits
 from tests.simulation.world import World
 from tests.test_gangs import gang, gang_load
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
@@ -68,7 +68,7 @@
     world = a_day(version)
     world.run(48)
     items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    views = [msgspec.to_builtins(node.view()) for node in world.nodes.values()]
+    views = [msgspec.to_builtins(version.peer_resources(node).view()) for node in world.nodes.values()]
     STORED.write_text(
         json.dumps({"items": items, "contents": contents(version, items, 16.0), "views": views}, indent=1) + "\n"
     )
@@ -100,7 +100,10 @@
     world.lower_limits()
     world.run(60)
     items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    assert all(node is None or node.format == 0 for node in world.nodes.values()) and records.FORMAT not in items
+    assert (
+        all(node is None or node.record_format.number == 0 for node in world.nodes.values())
+        and records.FORMAT not in items
+    )
     expected = shape(json.loads(STORED.read_text())["items"])
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
     assert shape(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
@@ -194,7 +197,7 @@
     world.start("node-1")
     world.run(5)
     assert world.state.items[records.FORMAT][0]["members"] == world.names
-    assert [node.format for node in world.nodes.values()] == [2, 2, 2]
+    assert [node.record_format.number for node in world.nodes.values()] == [2, 2, 2]
     # Jobs say from now on how long their chunks are; another limit in the settings does not change that.
     world.submit(world.job(1, pieces=30, vcpus=0.5))
     world.run(20)
@@ -241,19 +244,19 @@
         200.0,
     )
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
-    limits.refused(["small"] * 8, 10)
+    limits.reduce_after_refusal(["small"] * 8, 10)
     assert (limits.ops, limits.value_bytes) == (5, 4096)
-    limits.refused(["small", "x" * 3000], 2)
+    limits.reduce_after_refusal(["small", "x" * 3000], 2)
     assert (limits.ops, limits.value_bytes) == (5, 2048)
     for _ in range(40):
-        limits.refused(["small"], 1)
+        limits.reduce_after_refusal(["small"], 1)
     assert limits.ops == 5 and limits.value_bytes == 512
     # Of large values too fewer changes are tried first: smaller values would make more of them.
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
-    limits.refused(["x" * 3000] * 6, 6)
+    limits.reduce_after_refusal(["x" * 3000] * 6, 6)
     assert (limits.ops, limits.value_bytes) == (3, 4096)
     for _ in range(3):
-        limits.refused(["x" * 3000] * 3, 3)
+        limits.reduce_after_refusal(["x" * 3000] * 3, 3)
     assert limits.ops == 2 and limits.value_bytes < 4096
 
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -46,6 +46,10 @@
         """An attribute under the name that this version has for it."""
         return getattr(owner, LEGACY_NAMES.get(name, name) if self.is_legacy else name)
 
+    def peer_resources(self, controller: Any) -> Any:
+        """What answers the requests of a controller's peers."""
+        return controller if self.is_legacy else controller.administration
+
     def handle_heartbeat(self, controller: Any, body: Any) -> Any:
         """A controller's answer to a heartbeat, given as it came on the wire."""
         heartbeat = self.part(self.messages, "parse_heartbeat")(body)
