--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -1,4 +1,4 @@
-"""The one place that decides whether a start, stop, forget, rental, return or answer to a worker is allowed now.
+"""The one place that decides whether the leader may start, stop, forget, scale or renew a worker's lease now.
 
 Each question is asked at the moment of the action, of what is known then; no answer may be kept for later. A refusal
 says why.
@@ -20,25 +20,25 @@
 class Refusal(StrEnum):
     """Why something is not allowed now."""
 
-    LEADERSHIP_ENDED = "the term is over"
-    LEASE_NOT_CONFIRMED = "the leadership is not confirmed"
+    LEADERSHIP_ENDED = "the leadership has ended"
+    LEASE_NOT_CONFIRMED = "the leader's lease is not confirmed"
     STORE_NOT_READ = "the store was not read yet"
-    CANCELLATIONS_UNKNOWN = "it is not known well enough what was cancelled"
-    MACHINE_NOT_CLAIMED = "the machine does not know our token"
-    MACHINE_RELEASING = "the machine is being returned"
+    CANCELLATIONS_UNKNOWN = "cancellations are not known well enough"
+    MACHINE_NOT_CLAIMED = "the machine does not know the leader's fencing token"
+    MACHINE_RELEASING = "the machine is being released"
     NOT_STORED = "the store does not place the task there"
     ALREADY_REPORTED = "the machine reports the task"
-    JOB_ENDED = "the job is over, or is being read again"
-    STOPPING = "the task is to be stopped"
+    JOB_ENDED = "the job has ended, or is being reloaded"
+    STOPPING = "the task is being stopped"
     GANG_NOT_WHOLE = "the gang is not placed as a whole"
-    NO_SPARE_TOKEN = "the start could not be fenced"
-    MESSAGE_UNDER_WAY = "a message to the machine is under way"
-    START_IN_FLIGHT = "a start of the attempt may still be executed"
+    NO_SPARE_TOKEN = "no spare fencing token to fence the start"
+    MESSAGE_IN_FLIGHT = "a message to the machine is in flight"
+    START_IN_FLIGHT = "a start of the attempt is in flight"
     AWAITS_OPERATOR = "an operator has to decide about the job"
 
 
 class Authority:
-    """The leader's rights at this moment. Methods return why something is refused, or None if it is allowed."""
+    """The leader's rights at this moment. Each method returns why something is refused, or None if it is allowed."""
 
     def __init__(
         self, lease: LeaderLease, tokens: FencingTokens, cluster: ClusterState, jobs: JobRegistry, watch: JobWatch
@@ -49,7 +49,7 @@
         self._jobs = jobs
         self._watch = watch
 
-    # -- what concerns the whole term ------------------------------------------------
+    # -- the whole cluster -------------------------------------------------------------
 
     def check_leadership(self) -> Refusal | None:
         """Anything that another leader could be doing as well: needs a lease that is known to be held."""
@@ -60,12 +60,12 @@
         return self.check_leadership() or (None if self._cluster.loaded else Refusal.STORE_NOT_READ)
 
     def check_renewal(self) -> Refusal | None:
-        """An answer that renews a worker's lease: the bound that `blind_grace` derives.
+        """An answer that renews a worker's lease: the bound that `renewal_grace` derives.
 
         It asks for both. A leader that others may have replaced, or one that still leads but hears nothing of
         cancellations, must not keep tasks alive for longer. Each answer that renews carries the stops of all
-        cancellations known, and a token that bars their starts, so one after the other several leaders keep a cancelled
-        task no longer than one.
+        cancellations known, and a token that fences their starts, so one after the other several leaders keep a
+        cancelled task no longer than one.
         """
         if not self._cluster.loaded:
             return Refusal.STORE_NOT_READ
@@ -78,10 +78,10 @@
         return self.check_leadership()
 
     def check_scale_in(self) -> Refusal | None:
-        """The return of machines, with all that is on them."""
+        """The release of machines, with all that is on them."""
         return self.check_leadership()
 
-    # -- what concerns a machine -------------------------------------------------------
+    # -- one machine -------------------------------------------------------------------
 
     def check_starts(self, machine: Machine) -> Refusal | None:
         """Any start on a machine."""
@@ -93,14 +93,14 @@
             return Refusal.MACHINE_NOT_CLAIMED
         if machine.releasing:
             return Refusal.MACHINE_RELEASING
-        # What is sent must be possible to bar without asking the store: it may be out when that is needed.
+        # It must be possible to fence what is sent without asking the store, which may be out when that is needed.
         return None if self._tokens.has_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
         """The start of a task, or its repetition, on a machine that may be given starts.
 
         A start without an answer may be executed at any later time. One that is to be stopped by now is repeated too:
-        only a task that was seen can be told to exit, and so be let go.
+        only a task that was reported can be told to exit, and so be let go.
         """
         if placement.state != PlacementState.BOUND:
             return Refusal.NOT_STORED
@@ -115,7 +115,7 @@
     def check_transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
         """A message that was made a moment ago, as its connection is there at last and its bytes go out.
 
-        Without starts it goes out as long as the term lasts: stops are wanted all the more when we know less.
+        Without starts it goes out as long as the leadership lasts: stops are wanted all the more when we know less.
         """
         if not starts:
             return None if self._lease.active else Refusal.LEADERSHIP_ENDED
@@ -134,7 +134,7 @@
     def check_forgets(self, machine: Machine) -> Refusal | None:
         """Any forgetting on a machine."""
         if machine.command_in_flight:
-            return Refusal.MESSAGE_UNDER_WAY
+            return Refusal.MESSAGE_IN_FLIGHT
         if not machine.has_current_token:
             return Refusal.MACHINE_NOT_CLAIMED
         return self.check_leadership()
@@ -142,7 +142,7 @@
     def check_forget(self, machine: Machine, task: str, attempt: int, done: bool) -> Refusal | None:
         """An exited attempt: once forgotten, a start of it that comes late runs it again, beside a newer one elsewhere.
 
-        So its start must be barred before. A task that is done only says so again; but a message of which it is not
+        So its start must be fenced before. A task that is done only says so again; but a message of which it is not
         known whether it was executed may also have been meant for others.
         """
         start = machine.inflight_starts.get(task, attempt)
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -1,4 +1,4 @@
-"""Who leads: the key `leader` on a lease of the state service; its version is the token."""
+"""Leader election: the key `leader` on a lease of the state service; its version is the fencing token."""
 
 import contextlib
 import logging
@@ -19,12 +19,24 @@
 )
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.clock import MAX_CLOCK_DRIFT, Clock
+from stileloft.transport.retry import RetryPolicy, repeat
+from stileloft.transport.timers import sleep
 
 log = logging.getLogger(__name__)
 
 
+RENEWALS_PER_LEASE = 4
+"""How often a lease is renewed while it lasts."""
+CAMPAIGNS_PER_LEASE = 8
+"""How often a vacant leadership is sought while a lease would last."""
+RENEWAL_TIMEOUT_FRACTION = 3
+"""A renewal is given up after one part in so many of the lease."""
+WATCH_LEASES = 4
+"""How long one watch of another's leadership waits, in leases."""
+
+
 class Election:
-    """Seeks the leadership, keeps it, and knows for how long it is confirmed."""
+    """Campaigns for the leadership, renews its lease, and knows for how long it is surely held."""
 
     def __init__(
         self,
@@ -37,6 +49,10 @@
         on_deposed: Callable[[str], None],
         integrity: StoreIntegrity,
     ) -> None:
+        """`nonce` tells this process from others that ran as the same member; `lease_s` is the lease in seconds.
+
+        `on_elected` is called with the fencing token, `on_deposed` with the reason.
+        """
         self._clock = clock
         self._state = state
         self._member = member
@@ -55,10 +71,11 @@
         self._lease: int | None = None
         self._confirmed_until = 0.0
         self.last_renewed_at = 0.0
-        self._abstain_until = 0.0
+        self._stand_aside_until = 0.0
 
     @property
     def leading(self) -> bool:
+        """Whether this controller was elected, and has not stepped down."""
         return self.token is not None
 
     def holds_lease(self) -> bool:
@@ -71,12 +88,12 @@
 
     def stand_aside(self, seconds: float) -> None:
         """Leaves the leadership to others for a while, as long as there are any."""
-        self._abstain_until = self._clock.seconds() + seconds
+        self._stand_aside_until = self._clock.seconds() + seconds
 
     def suspect(self, reason: str) -> None:
         """The leadership seems to be over: nothing is decided any more until it is known why.
 
-        If the store has lost its records, nobody else can lead either, and we go on to answer reports for our grace.
+        If the store has lost its records, nobody else can lead either, and heartbeats are answered for the grace.
         """
         if not self._integrity.can_be_lost:
             self.step_down(reason)
@@ -85,65 +102,64 @@
             self._suspicion = self._suspicion or reason
 
     def step_down(self, reason: str) -> None:
+        """Gives up the leadership, and ends its lease."""
         if self.token is None:
             return
         self.token = self._suspicion = None
         lease, self._lease = self._lease, None
-        log.info("stepping down: %s", reason)
+        log.info("leader stepped down member=%s reason=%r", self._member, reason)
         self._on_deposed(reason)
         if lease is not None:
-            defer.ensureDeferred(self._end(lease))
+            defer.ensureDeferred(self._end_lease(lease))
 
-    async def _end(self, lease: int) -> None:
+    async def _end_lease(self, lease: int) -> None:
         with contextlib.suppress(UnavailableError, UnknownOutcomeError):  # it ends by itself
             await self._state.end_lease(lease)
 
     async def run(self) -> None:
-        """Seeks and keeps the leadership for as long as the process lives."""
-        while True:
-            try:
-                if self.token is None:
-                    await self._campaign()
-                elif self._suspicion is not None:
-                    await self._settle_suspicion(self._suspicion)
-                else:
-                    await self._renew_lease()
-            except (UnavailableError, UnknownOutcomeError, CompactedError) as error:
-                log.debug("election: %s", error)
-                await self._sleep(self.lease_s / 8)
-            except Exception:
-                log.exception("election")
-                await self._sleep(self.lease_s / 4)
+        """Campaigns for the leadership and keeps it, for as long as the process lives."""
+        policy = RetryPolicy(
+            (UnavailableError, UnknownOutcomeError, CompactedError),
+            retry_s=self.lease_s / CAMPAIGNS_PER_LEASE,
+            defect_s=self.lease_s / RENEWALS_PER_LEASE,
+        )
+        await repeat("election", self._step, policy, self._clock)
+
+    async def _step(self) -> None:
+        if self.token is None:
+            await self._campaign()
+        elif self._suspicion is not None:
+            await self._settle_suspicion(self._suspicion)
+        else:
+            await self._renew_lease()
 
     async def _settle_suspicion(self, reason: str) -> None:
+        """Finds out whether the leadership is over, or the store has lost its records."""
         try:
             await self._integrity.verify()
         except StoreLostError:
-            # Whoever gets the leader key next writes the records back; until then our term goes on, unconfirmed. Its
-            # lease is lost with the rest, and another may have the same number by now.
+            # Whoever gets the leader key next writes the records back; until then our leadership goes on, unconfirmed.
+            # Its lease is lost with the rest, and another may have the same number by now.
             self._lease = None
             await self._campaign()
             return
         self.step_down(reason)
 
-    def _sleep(self, seconds: float) -> defer.Deferred[None]:
-        done: defer.Deferred[None] = defer.Deferred()
-        self._clock.callLater(seconds, done.callback, None)
-        return done
-
     def _confirm(self, sent: float) -> None:
+        """The lease was renewed by a request that was sent at this moment."""
         self.last_renewed_at = sent
         self._confirmed_until = sent + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
 
     async def _campaign(self) -> None:
+        """Looks who leads, and acquires the leadership if nobody does."""
         found = await self._state.get(records.LEADER)
         if found is not None:
             await self._observe_leader(*found)
             return
         if self._integrity.is_sound():
             self.leader_member = None
-        if self._clock.seconds() < self._abstain_until or not self._integrity.may_campaign():
-            await self._sleep(self.lease_s / 8)
+        if self._clock.seconds() < self._stand_aside_until or not self._integrity.may_campaign():
+            await sleep(self._clock, self.lease_s / CAMPAIGNS_PER_LEASE)
             return
         await self._acquire_lease()
 
@@ -153,11 +169,11 @@
         if self._suspicion is not None and value["member"] != self._member:
             self.step_down("another controller leads")
         if value["member"] != self._member or lease is None:
-            await self._state.watch(records.LEADER, version, self.lease_s * 4)
+            await self._state.watch(records.LEADER, version, self.lease_s * WATCH_LEASES)
             return
         if value["nonce"] != self._nonce:
             # Only one process runs as this member, so the one that held the key is over.
-            log.info("ending the lease of our former process")
+            log.info("ending lease of former process member=%s lease=%d", self._member, lease)
         # Or else it is our own acquisition, whose answer was lost or whose key was given up: start anew.
         await self._state.end_lease(lease)
 
@@ -174,32 +190,33 @@
         except ConflictError as conflict:
             if records.LEADER not in conflict.failed:
                 self._integrity.suspect()
-            await self._end(lease)
+            await self._end_lease(lease)
             return
         except LeaseExpiredError:
             return
         if self.token is not None:
-            self.step_down("a new term begins")
+            self.step_down("elected anew")
         self._lease = lease
         self.key_version = version
         self._confirm(sent)
         if not self._clock.seconds() < self._confirmed_until:
-            await self._end(lease)
+            await self._end_lease(lease)
             return
         self.leader_member = self._member
         self.token = token
-        log.info("elected, token %d", token)
+        log.info("leader elected member=%s token=%d", self._member, token)
         self._on_elected(token)
 
     async def _renew_lease(self) -> None:
+        """Renews the lease, and waits until the next renewal."""
         if self._lease is None:
             return
         sent = self._clock.seconds()
         try:
-            await self._state.renew(self._lease, self.lease_s / 3)
+            await self._state.renew(self._lease, self.lease_s / RENEWAL_TIMEOUT_FRACTION)
         except LeaseExpiredError:
-            self.suspect("the lease has ended")
+            self.suspect("the lease expired")
             return
         if self.token is not None:
             self._confirm(sent)
-        await self._sleep(self.lease_s / 4)
+        await sleep(self._clock, self.lease_s / RENEWALS_PER_LEASE)
--- a/stileloft/leadership/fencing_tokens.py
+++ b/stileloft/leadership/fencing_tokens.py
@@ -1,24 +1,24 @@
-"""Fencing tokens of a leader's term.
+"""Fencing tokens of one leadership.
 
-A worker executes no command whose token is lower than the highest it has seen. A start that is still on its way,
-however late, is therefore barred for good as soon as its worker has seen any higher token, and nothing that runs
-there is lost. Waiting bars it not: a command may be held up for hours.
+A worker executes no command whose token is lower than the highest that it has seen. A start that is still in flight,
+however late, is therefore fenced for good as soon as its worker has seen any higher token, and nothing that runs there
+is lost. Waiting does not fence it: a command may be held up for hours.
 
-Tokens have to be unique to one leader, and a successor's higher than all of its predecessors'. The first token of a
-term follows from the version of its leader key. The further ones follow from the revisions of its own transactions:
-these are guarded on the leader key, so they were executed while it led, after its key was written and before any
-later leader's was. That holds whatever version of the program the successor runs, and takes no change of the store of
-its own.
+Tokens have to be unique to one leader, and a successor's higher than all of its predecessors'. The first token follows
+from the version of the leader key. The further ones follow from the revisions of the leader's own transactions: these
+are guarded on the leader key, so they were executed while it led, after its key was written and before any later
+leader's was. That holds whatever version of the program the successor runs, and takes no change of the store of its
+own.
 """
 
 import bisect
 
-# Spare tokens that are remembered; each transaction brings one more.
-MOST_SPARES = 256
+MAX_SPARE_TOKENS = 256
+"""Spare tokens that are remembered; each transaction brings one more."""
 
 
 class FencingTokens:
-    """The tokens that this term may use: its first, and spare ones that bar what was sent under lower ones."""
+    """The tokens that one leadership may use: its first, and spare ones that fence what was sent under lower ones."""
 
     def __init__(self, first: int, key_version: int) -> None:
         self.first = first
@@ -35,7 +35,7 @@
         token = revision + self._offset
         if token > self.first and (not self._spares or token > self._spares[-1]):
             self._spares.append(token)
-            del self._spares[:-MOST_SPARES]
+            del self._spares[:-MAX_SPARE_TOKENS]
 
     def has_above(self, token: int) -> bool:
         """Whether a start that is sent under this token could be fenced at once, with the state service out too."""
@@ -52,7 +52,7 @@
         return issued
 
     def is_own(self, token: int) -> bool:
-        """Whether a worker that knows this token was told it by this term."""
+        """Whether a worker that knows this token was told it by this leader."""
         return self.first <= token <= self.highest_issued
 
     def is_later(self, token: int) -> bool:
--- a/stileloft/leadership/invariants.py
+++ b/stileloft/leadership/invariants.py
@@ -12,21 +12,22 @@
 
 log = logging.getLogger(__name__)
 
-# What is kept of the newest violations, and how many of each kind are logged in full.
-EVIDENCE_KEPT = 20
-LOGGED_OF_A_KIND = 100
+MAX_EVIDENCE = 20
+"""Newest violations of which the evidence is kept."""
+MAX_LOGGED_PER_INVARIANT = 100
+"""Violations of each invariant that are logged."""
 
 
 class Invariant(StrEnum):
     """What must hold at each command and answer."""
 
-    NO_START_AFTER_END = "no start is sent of a job that is known to be over"
+    NO_START_AFTER_END = "no start is sent of a job that is known to have ended"
     NO_START_WITHOUT_SPARE_TOKEN = "no start is sent that could not be fenced at once"
-    RENEWAL_FENCES = "an answer that renews a lease bars all starts of jobs known to be over"
-    RENEWAL_STOPS = "an answer that renews a lease stops all tasks of jobs known to be over"
+    RENEWAL_FENCES = "an answer that renews a lease fences all starts of jobs known to have ended"
+    RENEWAL_STOPS = "an answer that renews a lease stops all tasks of jobs known to have ended"
     TOKENS_RISE = "a machine is never addressed with a lower token than before"
-    NO_FORGET_OF_OPEN_START = "no attempt is forgotten whose start may still be executed"
-    FENCED_STAYS_FENCED = "a start that was found to be barred is never executed"
+    NO_FORGET_OF_INFLIGHT_START = "no attempt is forgotten whose start may still be executed"
+    FENCED_STAYS_FENCED = "a start that was found to be fenced is never executed"
 
 
 class InvariantMonitor:
@@ -37,7 +38,7 @@
 
     def __init__(self) -> None:
         self.violations: Counter[Invariant] = Counter()
-        self._evidence: deque[str] = deque(maxlen=EVIDENCE_KEPT)
+        self._evidence: deque[str] = deque(maxlen=MAX_EVIDENCE)
 
     def check(self, holds: bool, invariant: Invariant, evidence: str, *arguments: Any) -> bool:
         """Takes note if an invariant does not hold; returns whether it does.
@@ -51,14 +52,14 @@
     def _violated(self, invariant: Invariant, evidence: str) -> None:
         self.violations[invariant] += 1
         self._evidence.append(f"{invariant.name}: {evidence}")
-        if self.violations[invariant] <= LOGGED_OF_A_KIND:
-            log.error("invariant violated, %s: %s: %s", invariant.name, invariant, evidence)
+        if self.violations[invariant] <= MAX_LOGGED_PER_INVARIANT:
+            log.error("invariant violated name=%s rule=%r evidence=%r", invariant.name, invariant.value, evidence)
         listener = InvariantMonitor.listener
         if listener is not None:
             listener(invariant, evidence)
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows of it."""
+        """What the administration API shows: how often each was violated, and the newest evidence."""
         return {
             "violations": {invariant.name: count for invariant, count in self.violations.items()},
             "newest": list(self._evidence),
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -36,7 +36,7 @@
     "starts_in_doubt": re.compile(r"in doubt: first sent"),
     "renewals_withheld": re.compile(r"is not renewed: its answer"),
     "withdrawn": re.compile(r"withdrawn before they are sent"),
-    "elections": re.compile(r"elected, token"),
+    "elections": re.compile(r"leader elected"),
 }
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -13,8 +13,8 @@
 from stileloft.controller.controller import Controller
 from stileloft.features import Features, RebuildFeature
 from stileloft.leadership.authority import Authority, Refusal
-from stileloft.leadership.fencing_tokens import MOST_SPARES, FencingTokens
-from stileloft.leadership.invariants import EVIDENCE_KEPT, LOGGED_OF_A_KIND, Invariant, InvariantMonitor
+from stileloft.leadership.fencing_tokens import MAX_SPARE_TOKENS, FencingTokens
+from stileloft.leadership.invariants import MAX_EVIDENCE, MAX_LOGGED_PER_INVARIANT, Invariant, InvariantMonitor
 from stileloft.leadership.leader import Leader
 from stileloft.model.inflight_starts import InflightStarts
 from stileloft.model.machines import Machine
@@ -69,12 +69,12 @@
 
 def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
     tokens = FencingTokens(5, 5)
-    for revision in range(6, 6 + 2 * MOST_SPARES):
+    for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
         tokens.committed(revision)
     tokens.committed(7)  # its answer came late
-    first = 6 + MOST_SPARES
+    first = 6 + MAX_SPARE_TOKENS
     assert tokens.issue_above(5) == first and tokens.issue_above(first) == first + 1
-    assert tokens.issue_above(5 + 2 * MOST_SPARES) is None and not tokens.has_above(5 + 2 * MOST_SPARES)
+    assert tokens.issue_above(5 + 2 * MAX_SPARE_TOKENS) is None and not tokens.has_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
 def test_a_start_is_open_until_its_session_or_its_token_is_over() -> None:
@@ -388,12 +388,14 @@
     monitor = InvariantMonitor()
     assert monitor.check(True, Invariant.TOKENS_RISE, "%d", "a text that would not fit")
     with caplog.at_level(logging.ERROR):
-        for number in range(LOGGED_OF_A_KIND + 50):
+        for number in range(MAX_LOGGED_PER_INVARIANT + 50):
             assert not monitor.check(False, Invariant.TOKENS_RISE, "case %d", number)
-    assert len(caplog.records) == LOGGED_OF_A_KIND and "case 0" in caplog.text
+    assert len(caplog.records) == MAX_LOGGED_PER_INVARIANT and "case 0" in caplog.text
     shown = monitor.status()
-    assert shown["violations"] == {"TOKENS_RISE": LOGGED_OF_A_KIND + 50} and len(shown["newest"]) == EVIDENCE_KEPT
-    assert len(no_violations) == LOGGED_OF_A_KIND + 50
+    assert (
+        shown["violations"] == {"TOKENS_RISE": MAX_LOGGED_PER_INVARIANT + 50} and len(shown["newest"]) == MAX_EVIDENCE
+    )
+    assert len(no_violations) == MAX_LOGGED_PER_INVARIANT + 50
     no_violations.clear()
 
 
