--- a/run.py
+++ b/run.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent / "target" / "deps"))
 
-from stileloft.cli import main  # noqa: E402 - the path has to be set first
+from stileloft.cli import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -64,12 +64,17 @@
     try:
         node.start()
     except net_error.CannotListenError as error:
-        logging.getLogger(__name__).error("%s", error)
-        return 1
+        return cannot_start(error)
     reactor.run()
     return 0
 
 
+def cannot_start(error: Exception) -> int:
+    """Logs why the controller cannot run; its text says all that an operator needs, so no trace is printed."""
+    logging.getLogger(__name__).error("%s", error)
+    return 1
+
+
 def refuse(path: str, error: Exception) -> int:
     print(f"stileloft: {path}: {error}", file=sys.stderr)
     return USAGE_ERROR
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -168,7 +168,7 @@
         if placement.state == PlacementState.PLANNED:
             self.end(placement, "not needed there")
             return
-        if placement.state != PlacementState.BOUND or placement.stop_grace_s is not None and grace_s is None:
+        if placement.state != PlacementState.BOUND or (placement.stop_grace_s is not None and grace_s is None):
             return
         job = self._cluster.jobs.get(placement.job)
         save_s = (job.spec.save_s or 0.0) if job is not None and (job.spec.checkpoint_s or 0.0) > 0 else 0.0
--- a/stileloft/scheduling/gangs.py
+++ b/stileloft/scheduling/gangs.py
@@ -244,7 +244,7 @@
     """
     spec = job.spec
     keeps = not job.promoted and not job.starving
-    return [n for n in nominated if n.key[0] != EXPECTED or keeps and (not spec.is_gang or n.rank > spec.rank)]
+    return [n for n in nominated if n.key[0] != EXPECTED or (keeps and (not spec.is_gang or n.rank > spec.rank))]
 
 
 def leave(snapshot: Snapshot, victims: Iterable[RunningTask]) -> list[str]:
--- a/stileloft/transport/client.py
+++ b/stileloft/transport/client.py
@@ -67,7 +67,7 @@
 class Reply:
     """A status, and the decoded body (None when there is none or it cannot be read)."""
 
-    __slots__ = ("status", "body")
+    __slots__ = ("body", "status")
 
     def __init__(self, status: int, body: Any) -> None:
         self.status = status
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -15,7 +15,7 @@
 class Answer:
     """What a handler returns."""
 
-    __slots__ = ("status", "body", "headers")
+    __slots__ = ("body", "headers", "status")
 
     def __init__(self, status: int, body: Any = None, headers: dict[str, str] | None = None) -> None:
         self.status = status
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -201,9 +201,8 @@
             term.heartbeats.process(heartbeat)
         if not executed and (epoch, token) != (machine.epoch, machine.token):
             self.send(machine)
-        elif (
-            term.planner.starts(machine)
-            or machine.has_current_token
+        elif term.planner.starts(machine) or (
+            machine.has_current_token
             and any(p.stop_grace_s is not None and p.stop_sent_at == 0.0 for p in machine.placements.values())
         ):
             term.clock.callLater(RETRY * self.heartbeat_s, self.send, machine)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of stileloft, and the simulated surroundings that they run it in."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -38,8 +38,10 @@
 
 @pytest.fixture(autouse=True)
 def no_violations(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
-    """A violated invariant fails every test in which it appears; a test of the invariants themselves empties the
-    list."""
+    """A violated invariant fails every test in which it appears.
+
+    A test of the invariants themselves empties the list.
+    """
     found: list[str] = []
 
     def listen(invariant: Invariant, evidence: str) -> None:
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -108,7 +108,7 @@
 
     def exit(self, name: str, why: str) -> None:
         """One on a machine that hangs exits when it goes on."""
-        machine, state = self.members[name]
+        machine, _state = self.members[name]
         if machine.hung and not machine.gone:
             self.world.clock.callLater(0.3, self.exit, name, why)
         elif self.present(name):
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -90,8 +90,10 @@
 
 
 def draw(seed: int, troubles_s: float, cancel_s: float) -> Plan:
-    """The plan of a seed: jobs that are cancelled right after they were placed, and two or three troubles that meet
-    it."""
+    """The plan of a seed.
+
+    Jobs are cancelled right after they were placed, and two or three troubles meet that.
+    """
     rng = random.Random(f"soak {seed}")
     found: list[Trouble] = []
     for _ in range(MEETINGS):
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -35,9 +35,9 @@
     offset=st.integers(0, 10**6),
 )
 def test_tokens_belong_to_one_leader_and_rise(terms: list[list[str]], offset: int) -> None:
-    """Over any series of leaders, of this version or of one that never raises a token: a reference of what was given
-    out.
+    """Over any series of leaders, compared with a reference of what was given out.
 
+    A leader is of this version, or of one that never raises a token.
     The store's revision goes up with each change, by whomever; each leader's first token follows from its key's
     version.
     """
@@ -157,8 +157,7 @@
 
 
 def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
-    """Each answer that can't carry them moves no clock of the direct ones; so nobody else's tasks pay with their
-    lease."""
+    """An answer that can't carry them moves no clock of the direct ones: nobody else's tasks pay with their lease."""
     world = World(seed=39, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MOST_IN_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
     world.submit(world.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize(
-    "states, stage",
+    ("states", "stage"),
     [
         ([], gangs.Stage.WAITING),
         ([(1, PlacementState.PLANNED, False)] * 4, gangs.Stage.BINDING),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -15,8 +15,10 @@
     (known,) = known_red.parse(LINE)
     assert known.test == "tests/test_a.py::test_b"
     assert (known.command, known.seen, known.issue) == ("python3 -m tests.a --seed 7", "two tasks ran at once", "29")
-    assert known.covers("tests/test_a.py::test_b") and known.covers("tests/test_a.py::test_b[1-x]")
-    assert not known.covers("tests/test_a.py::test_bc") and not known.covers("tests/test_a.py")
+    assert known.covers("tests/test_a.py::test_b")
+    assert known.covers("tests/test_a.py::test_b[1-x]")
+    assert not known.covers("tests/test_a.py::test_bc")
+    assert not known.covers("tests/test_a.py")
 
 
 def test_a_fourth_line_is_refused() -> None:
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -554,7 +554,7 @@
 ]
 
 
-@pytest.mark.parametrize("name, seed", SEEDS)
+@pytest.mark.parametrize(("name", "seed"), SEEDS)
 def test_overlapping_faults(name: str, seed: int) -> None:
     world = play(name, seed)
     assert world.rules.broken == []
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, field",
+    ("old", "new", "field"),
     [
         ('member = "node-0"', "", "member"),
         ("lease_s = 12.0", 'lease_s = "long"', "lease_s"),
@@ -83,7 +83,9 @@
     assert cli.main(["--features", str(bad), "--config", str(settings)]) == 2
     assert cli.main(["--features", str(tmp_path / "none.toml"), "--config", str(settings)]) == 2
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == 3 and "rebuild.follow_s" in lines[0] and "cannot be read" in lines[2]
+    assert len(lines) == 3
+    assert "rebuild.follow_s" in lines[0]
+    assert "cannot be read" in lines[2]
 
 
 class StubNode:
@@ -249,7 +251,8 @@
 def test_a_defect_is_answered_at_once(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.CRITICAL):
         status, headers, _ = call("GET", "/v2/runs/j-500")
-    assert status == 503 and "retry-after" in headers
+    assert status == 503
+    assert "retry-after" in headers
 
 
 def test_users_give_way_when_sockets_are_few_and_workers_do_not() -> None:
@@ -268,7 +271,8 @@
         clock.advance(1.0)
         assert (sockets.keep_commands(), sockets.keep_users()) == (commands, users)
         status, headers, body = exchange(poll, keep)
-        assert status == 200 and messages.decode(body)["phase"] == "running"
+        assert status == 200
+        assert messages.decode(body)["phase"] == "running"
         assert (headers.get("connection") != "close") == users
         assert "connection" not in exchange(report, keep)[1]
 
@@ -355,9 +359,11 @@
     world.submit(world.job(2, pieces=2))
     world.run(23)
     # The outage is longer than the workers' lease, and no task was lost to it.
-    assert len([t for t in world.rules.where if t.startswith("j-000001/")]) == 2 and world.rules.starts == 2
+    assert len([t for t in world.rules.where if t.startswith("j-000001/")]) == 2
+    assert world.rules.starts == 2
     world.run(240)
-    assert world.rules.last == {"j-000001": "done", "j-000002": "done"} and world.rules.broken == []
+    assert world.rules.last == {"j-000001": "done", "j-000002": "done"}
+    assert world.rules.broken == []
 
 
 def test_repeats_during_an_outage_leave_room_for_those_after_it() -> None:
@@ -376,7 +382,8 @@
     accepted: list = []
     defer.ensureDeferred(admission.submit(messages.parse_job(world.job(1)))).addCallback(accepted.append)
     world.run(0.5)
-    assert accepted and accepted[0][0]
+    assert accepted
+    assert accepted[0][0]
 
 
 def test_a_budget_holds_its_burst_and_no_more() -> None:
@@ -414,7 +421,8 @@
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_S
     assert term.write_budget.level() > term.write_budget.rate_per_s - 1
     world.run(60)
-    assert set(world.rules.last.values()) == {"done"} and world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
 
 
 def test_a_node_that_alone_is_refused_sends_users_away_but_not_in_an_outage_for_all() -> None:
@@ -445,14 +453,16 @@
     while len(world.rules.where) < 8:
         world.run(1)
     before, running = world.leader(), set(world.rules.where)
-    assert before is not None and len(running) == 8
+    assert before is not None
+    assert len(running) == 8
     for machine in world.cloud.machines:
         world.cut(before, machine, 30.0, hold=True)
     world.run(14)
     assert world.leader() not in (None, before)
     lost = len(running - set(world.rules.where))
     world.run(240)  # what was lost begins again, and takes up to 150 s
-    assert world.rules.broken == [] and world.rules.last["j-000001"] == "done"
+    assert world.rules.broken == []
+    assert world.rules.last["j-000001"] == "done"
     return lost
 
 
@@ -466,4 +476,5 @@
     world.cloud.machines.pop(machine.name).die()
     world.run(20)
     assert machine.name in term.fleet.released_machines
-    assert term.on_heartbeat(late)["orders"] == [] and machine.name not in term.machines
+    assert term.on_heartbeat(late)["orders"] == []
+    assert machine.name not in term.machines
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -33,7 +33,8 @@
         assert plans.read(file) == plan
     kinds = {trouble.kind for plan in drawn for trouble in plan.troubles}
     assert kinds == {*plans.MET, "cancel_fresh", "cancel_running", "hold_commands", "copies"}
-    assert any(plan.machines for plan in drawn) and any(plan.rebuild for plan in drawn)
+    assert any(plan.machines for plan in drawn)
+    assert any(plan.rebuild for plan in drawn)
 
 
 def test_each_plan_holds_messages_far_beyond_a_cancellation_and_has_troubles_overlap() -> None:
@@ -46,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, field",
+    ("change", "field"),
     [
         ({"seed": -1}, "seed"),
         ({"machines": 10_000}, "machines"),
@@ -72,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    "options, field",
+    ("options", "field"),
     [
         (["--seeds", "0"], "seeds"),
         (["--seeds", "5", "--processes", "99"], "processes"),
@@ -84,7 +85,9 @@
 )
 def test_an_option_that_makes_no_sense_is_refused_with_its_name(options: list[str], field: str) -> None:
     done = subprocess.run([sys.executable, "-m", "tests.soak", *options], capture_output=True, text=True, cwd=ROOT)
-    assert done.returncode == 2 and field in done.stderr.splitlines()[-1] and done.stdout == ""
+    assert done.returncode == 2
+    assert field in done.stderr.splitlines()[-1]
+    assert done.stdout == ""
 
 
 # -- links -----------------------------------------------------------------------------------------------------------
@@ -141,8 +144,11 @@
     done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=300)
     assert done.stdout, done.stderr
     result = json.loads(done.stdout.splitlines()[-1])
-    assert result["failures"] == [] and done.returncode == 0, done.stderr
-    assert result["cancelled"] > 0 and result["starts"] > 0 and result["logged"]["elections"] > 0
+    assert result["failures"] == [], done.stderr
+    assert done.returncode == 0, done.stderr
+    assert result["cancelled"] > 0
+    assert result["starts"] > 0
+    assert result["logged"]["elections"] > 0
     assert 0.0 <= result["longest_part"] <= 1.0
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize(
-    "placed, done, name", [(0, 0, "n"), (10, 0, "n"), (91, 0, "n"), (120, 60, "n"), (90, 0, "é" * 20)]
+    ("placed", "done", "name"), [(0, 0, "n"), (10, 0, "n"), (91, 0, "n"), (120, 60, "n"), (90, 0, "é" * 20)]
 )
 def test_a_chunk_in_pieces_is_the_same_chunk(placed: int, done: int, name: str) -> None:
     job, chunk = chunk_of(placed, done, name)
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,4 +1,4 @@
-"""This version of the program, and the one in production, which nodes of the fakes can run side by side."""
+"""The present version of the program, and the one in production, which nodes of the fakes can run side by side."""
 
 import contextlib
 import functools
