--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -56,9 +56,9 @@
     from twisted.internet import reactor as installed
 
     from stileloft.controller.controller import Controller
-    from stileloft.transport.sockets import allow_open_files
+    from stileloft.transport.sockets import raise_open_files_limit
 
-    allow_open_files(loaded.deployment.quota.max_sockets)
+    raise_open_files_limit(loaded.deployment.quota.max_sockets)
     reactor: Any = installed
     node = Controller(reactor, loaded, features=enabled)
     try:
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -40,7 +40,7 @@
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.client import Client
 from stileloft.transport.server import Answer, Router, make_site, retry_later
-from stileloft.transport.sockets import KEEP_COMMANDS, Sockets
+from stileloft.transport.sockets import KEEP_COMMANDS_SHARE, SocketUsage
 
 if TYPE_CHECKING:
     from stileloft.rebuild.service import Rebuild
@@ -97,7 +97,7 @@
         deployment = settings.deployment
         self.teams = {team.name: team for team in deployment.teams}
         self.types: dict[str, MachineType] = {}
-        self.sockets = Sockets(reactor, lambda: len(reactor.getReaders()), deployment.quota.max_sockets)
+        self.sockets = SocketUsage(reactor, lambda: len(reactor.getReaders()), deployment.quota.max_sockets)
         wire = connect(
             reactor, messages.encode, messages.decode, b"application/cbor", per_host=8, connect_s=2.0, idle_s=60.0
         )
@@ -276,18 +276,18 @@
     def keep_request(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
         if path != HEARTBEAT_PATH:
-            return self.sockets.keep_users()
+            return self.sockets.keeps_users()
         # Workers leave a node that does not lead by themselves.
-        return self.term is None or self.sockets.keep_reports(len(self.term.machines))
+        return self.term is None or self.sockets.keeps_heartbeats(len(self.term.machines))
 
     def keep_commands(self) -> bool:
         """Whether a connection to a worker is kept once its request is answered."""
         term, deployment = self.term, self.settings.deployment
         if term is not None:
             claiming = self.reactor.seconds() - term.started_at < CLAIMING_LEASES * deployment.workers.lease_s
-            if claiming and 2 * len(term.machines) > KEEP_COMMANDS * deployment.quota.max_sockets:
+            if claiming and 2 * len(term.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
                 return False  # the sockets will be wanted by the workers themselves
-        return self.sockets.keep_commands()
+        return self.sockets.keeps_commands()
 
     # -- leadership -----------------------------------------------------------
 
--- a/stileloft/transport/client.py
+++ b/stileloft/transport/client.py
@@ -1,7 +1,8 @@
-"""A pooled HTTP client whose failures tell whether a request may have been executed."""
+"""A pooled HTTP client whose errors tell whether a request may have been executed."""
 
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, TypeVar
 
 from twisted.internet import defer, error
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -12,22 +13,33 @@
 
 from stileloft.transport.clock import Clock
 
+Result = TypeVar("Result")
 
-class ConnectionFailedError(Exception):
+
+class TransportError(Exception):
+    """A request without a usable reply: `reason` says why, `target` is the address that was asked, if it is known."""
+
+    def __init__(self, reason: str, target: str = "") -> None:
+        super().__init__(reason)
+        self.reason = reason
+        self.target = target
+
+
+class ConnectionFailedError(TransportError):
     """The request was certainly not executed: no connection was made, or its body was not sent."""
 
 
-class NoResponseError(Exception):
-    """No usable answer: the request may have been executed, or may be later."""
+class NoResponseError(TransportError):
+    """No usable reply came: the request may have been executed, or may be later."""
 
 
-class _WithdrawnError(Exception):
+class _RequestWithdrawnError(Exception):
     """The caller does not want the request any more."""
 
 
 @implementer(IBodyProducer)
-class _Body:
-    """A request's body; `is_wanted` is asked when the connection is there, just before the body is sent."""
+class _RequestBody:
+    """A request's body; `is_wanted` is asked once the connection is made, just before the body is sent."""
 
     def __init__(self, data: bytes, is_wanted: Callable[[], bool]) -> None:
         self.data = data
@@ -36,46 +48,52 @@
         self.withdrawn = False
 
     def startProducing(self, consumer: Any) -> defer.Deferred[None]:
+        """Writes the body, or fails the request if it was withdrawn."""
         if not self._is_wanted():
             self.withdrawn = True
-            return defer.fail(_WithdrawnError())
+            return defer.fail(_RequestWithdrawnError())
         consumer.write(self.data)
         return defer.succeed(None)
 
     def pauseProducing(self) -> None:
-        pass
+        """Nothing to do: the body is written at once."""
 
     def resumeProducing(self) -> None:
-        pass
+        """Nothing to do: the body is written at once."""
 
     def stopProducing(self) -> None:
-        pass
+        """Nothing to do: the body is written at once."""
 
 
 @implementer(IAgentEndpointFactory)
-class _Addresses:
-    """Connects by IP number. All hosts are named so, and the usual look-up of names costs half of a request."""
+class _NumericEndpoints:
+    """Connects by IP address: all hosts are named so, and Twisted's name lookup costs half of a request."""
 
     def __init__(self, reactor: Any, connect_s: float) -> None:
         self._reactor = reactor
         self._connect_s = connect_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
+        """The endpoint of a URL whose host is an IP address."""
         return TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, timeout=self._connect_s)
 
 
+@dataclass(slots=True)
 class Reply:
-    """A status, and the decoded body (None when there is none or it cannot be read)."""
-
-    __slots__ = ("body", "status")
+    """What a server answered to a request."""
 
-    def __init__(self, status: int, body: Any) -> None:
-        self.status = status
-        self.body = body
+    status: int
+    body: Any
+    """Decoded; None if there is none."""
 
 
 class Client:
-    """Requests with bodies in one encoding, over persistent connections."""
+    """Requests with bodies in one encoding, over persistent connections.
+
+    `media` is the bodies' content type. At most `per_host` idle connections are kept for each host, for `idle_s`;
+    a connection attempt takes at most `connect_s`. Before each request `keep` tells whether its connection is to be
+    kept at all.
+    """
 
     def __init__(
         self,
@@ -91,16 +109,16 @@
         self._clock: Clock = reactor
         self._encode = encode
         self._decode = decode
-        self._headers = Headers({b"Content-Type": [media]})
-        self._plain = Headers({})
+        self._headers_with_body = Headers({b"Content-Type": [media]})
+        self._headers = Headers({})
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = per_host
         pool.cachedConnectionTimeout = round(idle_s)
-        # A repeat must be the caller's decision: it knows whether one is harmless.
+        # Only the caller knows whether its request is idempotent.
         pool.retryAutomatically = False
         self._pool = pool
         self._keep = keep
-        self._agent = Agent.usingEndpointFactory(reactor, _Addresses(reactor, connect_s), pool=pool)
+        self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor, connect_s), pool=pool)
 
     async def request(
         self,
@@ -111,41 +129,47 @@
         timeout_s: float,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> Reply:
-        """Sends a request and waits for its answer.
+        """Sends a request and waits for its reply; raises `ConnectionFailedError` or `NoResponseError`.
 
-        To connect may take a while, or for as long as the process stands still. `is_wanted` is asked after that, and
-        says whether a body that was right when the request was made is still to be sent.
+        Connecting may take a while, or for as long as the process stands still. `is_wanted` is asked after that, and
+        says whether a body that was right when the request was made is still to be sent. `timeout_s` limits the time
+        until the reply's head, and again the time until the end of its body.
         """
+        response = await self._send(method, address, path, body, timeout_s, is_wanted)
+        try:
+            data = await self._within(timeout_s, readBody(response))
+        except Exception as failure:
+            raise NoResponseError(repr(failure), address) from None
+        if not data:
+            return Reply(response.code, None)
+        try:
+            return Reply(response.code, self._decode(data))
+        except Exception as failure:
+            raise NoResponseError(f"unreadable body: {failure!r}", address) from None
+
+    async def _send(
+        self, method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Callable[[], bool]
+    ) -> Any:
+        """Sends a request and waits for the head of its reply."""
         url = f"http://{address}{path}".encode()
-        producer = _Body(self._encode(body), is_wanted) if body is not None else None
-        headers = self._headers if producer is not None else self._plain
-        # Decided for each request: a connection that is not kept is closed with its answer.
+        producer = _RequestBody(self._encode(body), is_wanted) if body is not None else None
+        headers = self._headers_with_body if producer is not None else self._headers
+        # A connection that is not kept is closed with its reply.
         self._pool.persistent = self._keep()
-        sent = self._agent.request(method.encode(), url, headers, producer)
-        timer = self._clock.callLater(timeout_s, sent.cancel)
         try:
-            response = await sent
+            return await self._within(timeout_s, self._agent.request(method.encode(), url, headers, producer))
         except (error.ConnectError, error.ConnectingCancelledError) as failure:
-            raise ConnectionFailedError(str(failure)) from None
+            raise ConnectionFailedError(str(failure), address) from None
         except Exception as failure:
             if producer is not None and producer.withdrawn:
-                raise ConnectionFailedError("withdrawn before it was sent") from None
-            raise NoResponseError(repr(failure)) from None
-        finally:
-            if timer.active():
-                timer.cancel()
-        reading = readBody(response)
-        timer = self._clock.callLater(timeout_s, reading.cancel)
+                raise ConnectionFailedError("withdrawn before it was sent", address) from None
+            raise NoResponseError(repr(failure), address) from None
+
+    async def _within(self, timeout_s: float, pending: "defer.Deferred[Result]") -> Result:
+        """The result of an operation, which is cancelled after so many seconds."""
+        timer = self._clock.callLater(timeout_s, pending.cancel)
         try:
-            data = await reading
-        except Exception as failure:
-            raise NoResponseError(repr(failure)) from None
+            return await pending
         finally:
             if timer.active():
                 timer.cancel()
-        if not data:
-            return Reply(response.code, None)
-        try:
-            return Reply(response.code, self._decode(data))
-        except Exception as failure:
-            raise NoResponseError(f"unreadable body: {failure!r}") from None
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -1,7 +1,9 @@
-"""The HTTP server: routes, body limit, answers, and one place for errors."""
+"""The HTTP server: routes, the limit on bodies, responses, and one place for unexpected errors."""
 
 import logging
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
 from twisted.internet import defer
@@ -10,24 +12,30 @@
 log = logging.getLogger(__name__)
 
 BODY_LIMIT = 64 * 1024
+"""Bytes of a request's body, as the protocol limits it."""
+METHODS_WITH_BODY = ("POST", "PUT")
+INTERNAL_ERROR_RETRY_S = 1.0
 
 
+@dataclass(slots=True)
 class Answer:
-    """What a handler returns."""
+    """What a handler returns: the response's status, its body before it is encoded, and additional headers."""
 
-    __slots__ = ("body", "headers", "status")
+    status: int
+    body: Any = None
+    headers: dict[str, str] = field(default_factory=dict)
 
-    def __init__(self, status: int, body: Any = None, headers: dict[str, str] | None = None) -> None:
-        self.status = status
-        self.body = body
-        self.headers = headers or {}
 
-
-Handler = Callable[[Any, dict[str, str]], "Awaitable[Answer] | Answer"]
+Arguments = dict[str, str]
+"""The variable parts of a request's path, by name."""
+Handler = Callable[[Any, Arguments], "Awaitable[Answer] | Answer"]
+"""Takes a request's decoded body, None if it has none, and its arguments."""
+Route = tuple[dict[str, Handler], Arguments]
+"""A path's handlers by method, and the arguments that the path holds."""
 
 
 def retry_later(status: int, reason: str, after_s: float) -> Answer:
-    """An answer that tells when to come back, in whole seconds as the header wants them."""
+    """An error that tells when to come back, in whole seconds as the header requires."""
     return Answer(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
@@ -37,11 +45,13 @@
     received = 0
 
     def gotLength(self, length: int | None) -> None:
+        """Refuses a body whose announced length is beyond the limit."""
         super().gotLength(length)
         if length is not None and length > BODY_LIMIT:
             self._refuse()
 
     def handleContentChunk(self, data: bytes) -> None:
+        """Takes in a part of the body, whose length need not have been announced."""
         self.received += len(data)
         if self.received > BODY_LIMIT:
             self._refuse()
@@ -59,13 +69,17 @@
 
 
 class Router(resource.Resource):
-    """Finds the handler for a request; handlers see decoded bodies only."""
+    """Finds the handler for a request; handlers see decoded bodies only.
+
+    `match` finds the route of a path, None if there is no such path. `media` is the content type of all bodies. `keep`
+    tells for a path whether the connection is kept after the response.
+    """
 
     isLeaf = True
 
     def __init__(
         self,
-        match: Callable[[str], tuple[dict[str, Handler], dict[str, str]] | None],
+        match: Callable[[str], Route | None],
         encode: Callable[[Any], bytes],
         decode: Callable[[bytes], Any],
         media: str,
@@ -79,67 +93,74 @@
         self._keep = keep
 
     def render(self, request: server.Request) -> int:
-        found = self._match(request.path.decode("utf-8", "replace"))
+        """Has a request answered, now or later."""
+        route = self._match(_path_of(request))
+        if route is None:
+            self._send(request, Answer(HTTPStatus.NOT_FOUND, {"error": "no such path"}))
+        else:
+            self._dispatch(request, *route)
+        return server.NOT_DONE_YET
+
+    def _dispatch(self, request: server.Request, handlers: dict[str, Handler], arguments: Arguments) -> None:
+        """Calls the handler of the request's method."""
         method = request.method.decode("ascii", "replace")
-        if found is None:
-            self._send(request, Answer(404, {"error": "no such path"}))
-            return server.NOT_DONE_YET
-        handlers, arguments = found
         handler = handlers.get("GET" if method == "HEAD" else method)
         if handler is None:
             allowed = {"Allow": ", ".join(sorted(handlers))}
-            self._send(request, Answer(405, {"error": "method not allowed"}, allowed))
-            return server.NOT_DONE_YET
-        body: Any = None
-        if method in ("POST", "PUT"):
-            content: Any = request.content
-            data = content.read()
-            try:
-                # Some requests have nothing to say but their path.
-                body = self._decode(data) if data else None
-            except Exception:
-                self._send(request, Answer(400, {"error": "the body cannot be decoded"}))
-                return server.NOT_DONE_YET
+            self._send(request, Answer(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method not allowed"}, allowed))
+            return
+        try:
+            body = self._read_body(request) if method in METHODS_WITH_BODY else None
+        except Exception:
+            self._send(request, Answer(HTTPStatus.BAD_REQUEST, {"error": "the body cannot be decoded"}))
+            return
         try:
             result = handler(body, arguments)
         except Exception:
-            self._failed(request)
-            return server.NOT_DONE_YET
+            self._send_internal_error(request)
+            return
         if isinstance(result, Answer):
             self._send(request, result)
         else:
-            self._wait(request, result)
-        return server.NOT_DONE_YET
+            self._send_later(request, result)
+
+    def _read_body(self, request: server.Request) -> Any:
+        """The decoded body; None if it is empty, since some requests have nothing to say but their path."""
+        content: Any = request.content
+        data = content.read()
+        return self._decode(data) if data else None
 
-    def _wait(self, request: server.Request, pending: Any) -> None:
-        gone: list[Any] = []
-        request.notifyFinish().addErrback(lambda failure: gone.append(failure))
+    def _send_later(self, request: server.Request, pending: Awaitable[Answer]) -> None:
+        """Sends the answer once there is one, unless the connection has been closed by then."""
+        disconnected: list[Any] = []
+        request.notifyFinish().addErrback(disconnected.append)
 
-        async def answer() -> None:
+        async def send() -> None:
             try:
-                result = await pending
+                answer = await pending
             except Exception:
-                if not gone:
-                    self._failed(request)
+                if not disconnected:
+                    self._send_internal_error(request)
                 return
-            if not gone:
-                self._send(request, result)
+            if not disconnected:
+                self._send(request, answer)
 
-        defer.ensureDeferred(answer())
+        defer.ensureDeferred(send())
 
-    def _failed(self, request: server.Request) -> None:
-        log.exception("%s %s failed", request.method, request.path)
-        self._send(request, retry_later(503, "internal error", 1))
+    def _send_internal_error(self, request: server.Request) -> None:
+        """Logs the error that is being handled, and has the caller come back."""
+        log.exception("request failed method=%s path=%s", request.method, request.path)
+        self._send(request, retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "internal error", INTERNAL_ERROR_RETRY_S))
 
     def _send(self, request: server.Request, answer: Answer) -> None:
-        request.setResponseCode(answer.status)
+        request.setResponseCode(int(answer.status))
         data = b"" if answer.body is None else self._encode(answer.body)
         request.setHeader(b"content-type", self._media)
         request.setHeader(b"content-length", str(len(data)))
         for name, value in answer.headers.items():
             request.setHeader(name.encode(), value.encode())
         channel: Any = request.channel
-        if channel is not None and not self._keep(request.path.decode("utf-8", "replace")):
+        if channel is not None and not self._keep(_path_of(request)):
             request.setHeader(b"connection", b"close")
             channel.persistent = False
         if data and request.method != b"HEAD":
@@ -147,9 +168,15 @@
         request.finish()
 
 
+def _path_of(request: server.Request) -> str:
+    return request.path.decode("utf-8", "replace")
+
+
 def make_site(router: Router, idle_s: float) -> server.Site:
-    # Bodies are never forms; looking for some would take a third of the time of a worker's report.
+    """The server of a router's paths; connections that are idle for so many seconds are closed."""
+    # Bodies are never forms; looking for one would take a third of the time of a heartbeat.
     site: Any = server.Site(router, requestFactory=LimitedRequest, timeout=idle_s, parsePOSTFormSubmission=False)
-    site.log = lambda _request: None  # every line costs; failures are logged where they happen
+    # An access log would cost time with each request; failures are logged where they happen.
+    site.log = lambda _request: None
     made: server.Site = site
     return made
--- a/stileloft/transport/sockets.py
+++ b/stileloft/transport/sockets.py
@@ -1,4 +1,4 @@
-"""How many of the process's sockets are in use, and who gives way when they become few."""
+"""The limit on the process's open sockets, and which connections give way when few are left."""
 
 import contextlib
 import logging
@@ -9,24 +9,24 @@
 
 log = logging.getLogger(__name__)
 
-# Files that the process needs open beside its sockets.
-OTHER_FILES = 64
-# Looking is cheap, but not free, with thousands of connections.
-LOOK_S = 0.25
-# Beyond these parts of the limit a connection is not kept once its request is answered: first those to
-# workers, which are made anew in a round trip, then those of users. The state service and peers keep theirs, and
-# so do reports, unless the workers by themselves would need more than the last of these parts.
-KEEP_COMMANDS = 0.7
-KEEP_USERS = 0.85
-KEEP_REPORTS = 0.85
+RESERVED_FILES = 64
+"""Open files that the process needs beside its sockets."""
+REFRESH_INTERVAL_S = 0.25
+"""Counting is cheap, but not free, with thousands of connections."""
+# Beyond these shares of the limit a connection is not kept once its request is answered: first those to workers, which
+# are made anew in a round trip, then those of users. The state service and peers keep theirs, and so do heartbeats,
+# unless the workers by themselves would need more than the last of these shares.
+KEEP_COMMANDS_SHARE = 0.7
+KEEP_USERS_SHARE = 0.85
+KEEP_HEARTBEATS_SHARE = 0.85
 
 
-def allow_open_files(sockets: int) -> None:
-    """Raises the process's limit of open files to what so many sockets need, as far as the system lets it.
+def raise_open_files_limit(max_sockets: int) -> None:
+    """Raises the process's limit on open files to what so many sockets need, as far as the system allows it.
 
-    Many systems start processes with a limit of 1,024, far below what a large fleet is given.
+    Many systems start processes with a limit of 1,024, far below what a large fleet needs.
     """
-    wanted = sockets + OTHER_FILES
+    wanted = max_sockets + RESERVED_FILES
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= wanted:
         return
@@ -35,35 +35,38 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
         soft = allowed
     if soft < wanted:
-        log.warning("only %d files may be open at once, but max_sockets is %d", soft, sockets)
+        log.warning("open files limit is too low limit=%d max_sockets=%d", soft, max_sockets)
 
 
-class Sockets:
-    """The part of the limit that is in use; looked up at most a few times a second."""
+class SocketUsage:
+    """The share of the limit that is in use; `count` is asked at most a few times a second."""
 
-    def __init__(self, clock: Clock, count: Callable[[], int], most: int) -> None:
+    def __init__(self, clock: Clock, count: Callable[[], int], max_sockets: int) -> None:
         self._clock = clock
         self._count = count
-        self._most = most
-        self._looked_at = float("-inf")
-        self._part = 0.0
+        self._max_sockets = max_sockets
+        self._refreshed_at = float("-inf")
+        self._share = 0.0
 
-    def part(self) -> float:
+    def share(self) -> float:
+        """Open sockets as a share of the limit."""
         now = self._clock.seconds()
-        if now - self._looked_at >= LOOK_S:
-            self._looked_at, self._part = now, self._count() / self._most
-        return self._part
+        if now - self._refreshed_at >= REFRESH_INTERVAL_S:
+            self._refreshed_at, self._share = now, self._count() / self._max_sockets
+        return self._share
 
-    def keep_commands(self) -> bool:
-        return self.part() < KEEP_COMMANDS
+    def keeps_commands(self) -> bool:
+        """Whether connections to workers are kept for the next commands."""
+        return self.share() < KEEP_COMMANDS_SHARE
 
-    def keep_users(self) -> bool:
-        return self.part() < KEEP_USERS
+    def keeps_users(self) -> bool:
+        """Whether connections of users are kept for their next requests."""
+        return self.share() < KEEP_USERS_SHARE
 
-    def keep_reports(self, workers: int) -> bool:
-        """Whether the connections on which so many workers report are kept.
+    def keeps_heartbeats(self, workers: int) -> bool:
+        """Whether the connections on which so many workers send heartbeats are kept.
 
         All or none: where some were kept until the limit is near, they would hold it, and the other workers would be
-        refused until their leases run out.
+        refused until their leases expire.
         """
-        return workers <= KEEP_REPORTS * self._most
+        return workers <= KEEP_HEARTBEATS_SHARE * self._max_sockets
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -7,7 +7,7 @@
 from stileloft.protocol.cloud import PROVISION_LIMIT
 from stileloft.scheduling.autoscaling import ScalingPlan
 from stileloft.transport import sockets
-from stileloft.transport.sockets import Sockets
+from stileloft.transport.sockets import SocketUsage
 from tests.simulation.fleet import JOBS, FleetWorld
 from tests.simulation.world import World
 
@@ -38,7 +38,7 @@
 def test_no_lease_runs_out_with_far_fewer_sockets_than_machines(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """With `keeps`, workers' connections stay open as in small fleets; others are refused, and lose their leases."""
     if keeps:
-        monkeypatch.setattr(Sockets, "keep_reports", lambda *_: True)
+        monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
     world = FleetWorld(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
         world.run(1.5 * world.LEASE_S)
@@ -117,6 +117,6 @@
     limits: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, hard))
     monkeypatch.setattr(resource, "setrlimit", lambda _, wanted: limits.append(wanted))
-    sockets.allow_open_files(2000)
+    sockets.raise_open_files_limit(2000)
     assert limits == ([] if expected is None else [(expected, hard)])
-    assert ("max_sockets is 2000" in caplog.text) == (expected == 1500)
+    assert ("max_sockets=2000" in caplog.text) == (expected == 1500)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from stileloft.store.commit_queue import REFUSED_S
 from stileloft.transport.client import Reply
 from stileloft.transport.server import Answer, Router, make_site
-from stileloft.transport.sockets import Sockets
+from stileloft.transport.sockets import SocketUsage
 from tests.simulation.world import World
 
 # -- settings and command line ------------------------------------------------------
@@ -259,17 +259,17 @@
     """A request is still answered; it is the connection that is not kept for the next one."""
     open_now = [0]
     clock = Clock()
-    sockets = Sockets(clock, lambda: open_now[0], 1000)
+    sockets = SocketUsage(clock, lambda: open_now[0], 1000)
 
     def keep(path: str) -> bool:
-        return path == HEARTBEAT_PATH or sockets.keep_users()
+        return path == HEARTBEAT_PATH or sockets.keeps_users()
 
     poll = b"GET /v2/runs/j-1 HTTP/1.1\r\nHost: x\r\n\r\n"
     report = b"POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n\xa0"
     for count, commands, users in ((0, True, True), (750, False, True), (900, False, False)):
         open_now[0] = count
         clock.advance(1.0)
-        assert (sockets.keep_commands(), sockets.keep_users()) == (commands, users)
+        assert (sockets.keeps_commands(), sockets.keeps_users()) == (commands, users)
         status, headers, body = exchange(poll, keep)
         assert status == 200
         assert messages.decode(body)["phase"] == "running"
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,7 +7,7 @@
 from stileloft.scheduling.preemption import PreemptionTrials
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
-from stileloft.transport.sockets import KEEP_USERS, Sockets
+from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
 from tests.simulation.deployment import TYPES, with_settings
 from tests.simulation.world import World
 
@@ -113,7 +113,7 @@
     """
     machines = 942
     if keeps:
-        monkeypatch.setattr(Sockets, "keep_commands", lambda _: True)
+        monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
     world = LargeWorld(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
         machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
@@ -159,7 +159,7 @@
     world.rules.check_cancelled()
     assert world.rules.broken == []
     # The workers' reports alone take half; the rest is for commands, users, peers and the state service.
-    assert (most > KEEP_USERS * world.SOCKETS) == keeps
+    assert (most > KEEP_USERS_SHARE * world.SOCKETS) == keeps
     if keeps:
         return
     assert sum(world.rules.last.get(job) == "done" for job in world.jobs) == 40
