--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -56,20 +56,25 @@
     from twisted.internet import reactor as installed
 
     from stileloft.controller.controller import Controller
-    from stileloft.transport.sockets import allow_open_files
+    from stileloft.transport.sockets import raise_open_files_limit
 
-    allow_open_files(loaded.deployment.quota.max_sockets)
+    raise_open_files_limit(loaded.deployment.quota.max_sockets)
     reactor: Any = installed
     node = Controller(reactor, loaded, features=enabled)
     try:
         node.start()
     except net_error.CannotListenError as error:
-        logging.getLogger(__name__).error("%s", error)
-        return 1
+        return cannot_start(error)
     reactor.run()
     return 0
 
 
+def cannot_start(error: Exception) -> int:
+    """Logs why the controller cannot run; its text says all that an operator needs, so no trace is printed."""
+    logging.getLogger(__name__).error("%s", error)
+    return 1
+
+
 def refuse(path: str, error: Exception) -> int:
     print(f"stileloft: {path}: {error}", file=sys.stderr)
     return USAGE_ERROR
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -35,7 +35,7 @@
 from stileloft.transport.client import Client
 from stileloft.transport.clock import WallClock
 from stileloft.transport.server import Answer, Router, make_site, retry_later
-from stileloft.transport.sockets import KEEP_COMMANDS, Sockets
+from stileloft.transport.sockets import KEEP_COMMANDS_SHARE, SocketUsage
 from stileloft.transport.timers import sleep
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
     def _build_clients(self, connect: Callable[..., Any]) -> None:
         """What others are asked with, and how much."""
         deployment = self.settings.deployment
-        self.sockets = Sockets(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
+        self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
         self.budgets = StateBudgets.of(deployment, self.reactor)
         self.catalog = MachineCatalog(self.clients.cloud, self.reactor)
@@ -209,9 +209,9 @@
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
         if path != HEARTBEAT_PATH:
-            return self.sockets.keep_users()
+            return self.sockets.keeps_users()
         # Workers leave a controller that does not lead by themselves.
-        return self.leader is None or self.sockets.keep_reports(len(self.leader.cluster.machines))
+        return self.leader is None or self.sockets.keeps_heartbeats(len(self.leader.cluster.machines))
 
     def keep_worker_connection(self) -> bool:
         """Whether a connection to a worker is kept once its request is answered."""
@@ -219,9 +219,9 @@
         if leader is not None:
             leading_s = self.reactor.seconds() - leader.lease.began_at
             is_claiming = leading_s < CLAIMING_LEASES * deployment.workers.lease_s
-            if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS * deployment.quota.max_sockets:
+            if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
                 return False  # the sockets will be wanted by the workers themselves
-        return self.sockets.keep_commands()
+        return self.sockets.keeps_commands()
 
     # -- leadership ---------------------------------------------------------------------
 
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -231,9 +231,8 @@
             self._heartbeats.process(heartbeat)
         if not executed and (epoch, token) != (machine.epoch, machine.token):
             self.send(machine)
-        elif (
-            self._planner.starts(machine)
-            or machine.has_current_token
+        elif self._planner.starts(machine) or (
+            machine.has_current_token
             and any(p.stop_grace_s is not None and p.stop_sent_at == 0.0 for p in machine.placements.values())
         ):
             self._clock.callLater(RETRY * self.heartbeat_s, self.send, machine)
