--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -691,7 +691,7 @@
     world.state.handle = scan  # type: ignore[method-assign]
     world.run(2)
     answer = world.deliver_report(leader, machine.report())
-    assert answer.status == 200 and answer.body["baton"] == world.nodes[leader].leader.token
+    assert answer.status == 200 and answer.body["baton"] == world.nodes[leader].leader.tokens.first
 
 
 def test_a_worker_with_an_older_token_is_told_what_is_cancelled() -> None:
@@ -706,7 +706,7 @@
     world.run(4)
     leader = world.leader()
     term = world.nodes[leader].leader
-    term.commit_queue.reload(term.cluster.jobs[job])
+    term.reloader.reload(term.cluster.jobs[job])
     refuse_leader(world)
     world.cancel(job)
     world.run(0.01)
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -409,7 +409,7 @@
     world.state.wipe()
     world.run(45.0)
     assert phases(world) == {Phase.SOUND}
-    assert world.nodes[world.leader()].leader.token > max(150, tokens)
+    assert world.nodes[world.leader()].leader.tokens.first > max(150, tokens)
     assert undecided_jobs(world)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -487,7 +487,7 @@
     term = world.nodes[world.leader()].leader
     (name,) = {m.name for m in world.rules.where.values()}
     placement = next(iter(term.cluster.machines[name].placements.values()))
-    start = messages.command_message(term.token, [messages.start_command(placement.task, placement.attempt)]) | {
+    start = messages.command_message(term.tokens.first, [messages.start_command(placement.task, placement.attempt)]) | {
         "stint": 1
     }
     term.cluster.machines[name].drain_reason = "a test"
