--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -78,7 +78,7 @@
 
     def expire_nominations(self, now: float) -> None:
         """Gives up nominations that have lapsed, or whose machine is gone."""
-        for key in [k for k, n in self.nominations.items() if n.until < now or n.machine not in self.machines]:
+        for key in [k for k, n in self.nominations.items() if n.until < now or n.machine_id not in self.machines]:
             del self.nominations[key]
 
     def remove_job(self, job_id: str) -> None:
--- a/stileloft/scheduling/gangs.py
+++ b/stileloft/scheduling/gangs.py
@@ -30,7 +30,7 @@
     zone_allowed,
 )
 
-EXPECTED = "expected"
+EXPECTED_JOB_ID = "expected"
 """In place of a job's id: the nomination of a task that has not been submitted yet."""
 MANY = 1_000_000
 
@@ -86,11 +86,11 @@
 # -- decisions ---------------------------------------------------------------------
 
 
-class Ordered(Protocol):
+class RankedMachines(Protocol):
     """The machines that have room for a job's tasks, the best first."""
 
     def best(self) -> MachineView | None: ...
-    def changed(self, machine: str) -> None: ...
+    def changed(self, machine_id: str) -> None: ...
 
 
 def slots(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
@@ -105,25 +105,25 @@
     )
 
 
-def free_slots(spec: JobSpec, node: MachineView) -> int:
-    return slots(spec, node.cpus, node.gpus, node.memory_gb)
+def free_slots(spec: JobSpec, machine: MachineView) -> int:
+    return slots(spec, machine.free_cpus, machine.free_gpus, machine.free_memory_gb)
 
 
-def by_zone(spec: JobSpec, nodes: Iterable[MachineView]) -> dict[str, list[MachineView]]:
+def machines_by_zone(spec: JobSpec, machines: Iterable[MachineView]) -> dict[str, list[MachineView]]:
     """Machines that the job may use, by the zones of which one is to take all of it, or under one name."""
     found: dict[str, list[MachineView]] = {}
-    for node in nodes:
-        if allowed(spec, node):
-            found.setdefault(node.zone if spec.one_zone else "", []).append(node)
+    for machine in machines:
+        if allowed(spec, machine):
+            found.setdefault(machine.zone if spec.one_zone else "", []).append(machine)
     return found
 
 
 def find_place(
     job: PendingJob,
     snapshot: Snapshot,
-    nodes: Iterable[MachineView],
-    ordered: Callable[[list[MachineView]], Ordered],
-    fetch_time: Callable[[JobSpec, MachineView], float],
+    machines: Iterable[MachineView],
+    rank_machines: Callable[[list[MachineView]], RankedMachines],
+    image_fetch_s: Callable[[JobSpec, MachineView], float],
 ) -> list[tuple[int, MachineView]] | None:
     """A machine for each task of a gang, in the zone where its last image is there first; None if there is none.
 
@@ -136,36 +136,36 @@
     if not whole_within_limit(spec, snapshot.teams.get(spec.team), used, job.count):
         return None
     best: tuple[tuple[float, str], list[tuple[int, MachineView]]] | None = None
-    for zone, there in sorted(by_zone(spec, nodes).items()):
-        if sum(free_slots(spec, node) for node in there) < job.count:
+    for zone, there in sorted(machines_by_zone(spec, machines).items()):
+        if sum(free_slots(spec, machine) for machine in there) < job.count:
             continue
-        taken, images_s = _fill(job, snapshot, ordered(there), fetch_time)
+        taken, images_s = _fill(job, snapshot, rank_machines(there), image_fetch_s)
         if len(taken) == job.count and (best is None or (images_s, zone) < best[0]):
             best = (images_s, zone), taken
     return best[1] if best else None
 
 
 def _fill(
-    job: PendingJob, snapshot: Snapshot, machines: Ordered, fetch_time: Callable[[JobSpec, MachineView], float]
+    job: PendingJob, snapshot: Snapshot, ranked: RankedMachines, image_fetch_s: Callable[[JobSpec, MachineView], float]
 ) -> tuple[list[tuple[int, MachineView]], float]:
     spec = job.spec
     taken: list[tuple[int, MachineView, RunningTask]] = []
     images_s = 0.0
     for index in job.tasks:
-        target = machines.best()
+        target = ranked.best()
         if target is None:
             break
-        images_s = max(images_s, fetch_time(spec, target))
-        node = snapshot.own(target.id)
+        images_s = max(images_s, image_fetch_s(spec, target))
+        machine = snapshot.writable(target.id)
         task = RunningTask((spec.id, index), spec, spec.team, spec.rank, spec.cpus, spec.gpus or 0.0, spec.memory_gb)
-        node.take(task)
-        job.zones[node.zone] = job.zones.get(node.zone, 0) + 1
-        taken.append((index, node, task))
-        machines.changed(node.id)
-    for _, node, task in taken:
-        node.give(task)
-        job.zones[node.zone] -= 1
-    return [(index, node) for index, node, _ in taken], images_s
+        machine.add_task(task)
+        job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
+        taken.append((index, machine, task))
+        ranked.changed(machine.id)
+    for _, machine, task in taken:
+        machine.remove_task(task)
+        job.zones[machine.zone] -= 1
+    return [(index, machine) for index, machine, _ in taken], images_s
 
 
 def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
@@ -173,37 +173,37 @@
     spec = job.spec
     best: tuple[float, str, list[tuple[float, MachineView]]] | None = None
     up = [
-        node
-        for node in snapshot.nodes.values()
-        if node.up and node.ready and node.id not in snapshot.reservations and node.id not in job.avoid
+        machine
+        for machine in snapshot.machines.values()
+        if machine.up and machine.ready and machine.id not in snapshot.reservations and machine.id not in job.avoid
     ]
-    for zone, there in by_zone(spec, up).items():
+    for zone, there in machines_by_zone(spec, up).items():
         coming: list[tuple[float, str, MachineView]] = []
-        for node in there:
-            cpus, gpus, memory_gb = node.cpus, node.gpus, node.memory_gb
-            had = free_slots(spec, node)
-            coming += [(0.0, node.id, node)] * min(had, job.count)
-            for task in node.by_end():
+        for machine in there:
+            cpus, gpus, memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
+            had = free_slots(spec, machine)
+            coming += [(0.0, machine.id, machine)] * min(had, job.count)
+            for task in machine.tasks_by_end():
                 cpus, gpus, memory_gb = cpus + task.cpus, gpus + task.gpus, memory_gb + task.memory_gb
                 has = slots(spec, cpus, gpus, memory_gb)
-                coming += [(task.remaining_s, node.id, node)] * min(has - had, job.count)
+                coming += [(task.remaining_s, machine.id, machine)] * min(has - had, job.count)
                 had = max(had, has)
         coming.sort(key=lambda item: item[:2])
         if len(coming) < job.count:
             continue
-        chosen = [(at, node) for at, _, node in coming[: job.count]]
+        chosen = [(at, machine) for at, _, machine in coming[: job.count]]
         if best is None or (chosen[-1][0], zone) < best[:2]:
             best = chosen[-1][0], zone, chosen
     if best is None:
         return
     until_s, _, chosen = best
-    for node in {node.id: node for _, node in chosen}.values():
-        mine = [at for at, other in chosen if other is node]
-        cpus, gpus, memory_gb = node.cpus, node.gpus, node.memory_gb
-        for task in node.by_end():
+    for machine in {machine.id: machine for _, machine in chosen}.values():
+        mine = [at for at, other in chosen if other is machine]
+        cpus, gpus, memory_gb = machine.free_cpus, machine.free_gpus, machine.free_memory_gb
+        for task in machine.tasks_by_end():
             if task.remaining_s <= max(mine):
                 cpus, gpus, memory_gb = cpus + task.cpus, gpus + task.gpus, memory_gb + task.memory_gb
-        snapshot.reservations[node.id] = Reservation(
+        snapshot.reservations[machine.id] = Reservation(
             until_s,
             cpus - len(mine) * spec.cpus,
             gpus - len(mine) * (spec.gpus or 0.0),
@@ -212,7 +212,7 @@
         )
 
 
-def expect(snapshot: Snapshot) -> list[Nomination]:
+def expected_gang_nominations(snapshot: Snapshot) -> list[Nomination]:
     """Room for gangs that are about to come: nominations that only more pressing work passes over.
 
     A waiting gang stops nobody, so it begins at once only where room is free.
@@ -220,9 +220,14 @@
     found: list[Nomination] = []
     taken: dict[str, int] = {}
     for spec, count in snapshot.expected:
-        zones = by_zone(spec, (node for node in snapshot.nodes.values() if node.up and node.ready))
+        zones = machines_by_zone(
+            spec, (machine for machine in snapshot.machines.values() if machine.up and machine.ready)
+        )
         rooms = {
-            zone: [(free_slots(spec, node) - taken.get(node.id, 0), len(node.images), node.id) for node in there]
+            zone: [
+                (free_slots(spec, machine) - taken.get(machine.id, 0), len(machine.images), machine.id)
+                for machine in there
+            ]
             for zone, there in zones.items()
         }
         if not rooms:
@@ -231,34 +236,34 @@
         # First where images are likely to be, then where much of it is in one place.
         for room, _, name in sorted(rooms[zone], key=lambda item: (-item[1], -item[0], item[2])):
             for _ in range(min(room, count)):
-                found.append(Nomination((EXPECTED, len(found)), name, spec.rank, spec, 0.0))
+                found.append(Nomination((EXPECTED_JOB_ID, len(found)), name, spec.rank, spec, 0.0))
                 taken[name] = taken.get(name, 0) + 1
                 count -= 1
     return found
 
 
-def beside(job: PendingJob, nominated: Iterable[Nomination]) -> list[Nomination]:
+def nominations_to_respect(job: PendingJob, nominated: Iterable[Nomination]) -> list[Nomination]:
     """The nominations that a job has to leave room for: not all of those of gangs that are only expected.
 
     Gangs like these may take their room, and so may jobs that have grown old or were not served for long.
     """
     spec = job.spec
     keeps = not job.promoted and not job.starving
-    return [n for n in nominated if n.key[0] != EXPECTED or keeps and (not spec.is_gang or n.rank > spec.rank)]
+    return [n for n in nominated if n.key[0] != EXPECTED_JOB_ID or keeps and (not spec.is_gang or n.rank > spec.rank)]
 
 
-def leave(snapshot: Snapshot, victims: Iterable[RunningTask]) -> list[str]:
+def mark_gangs_stopping(snapshot: Snapshot, victims: Iterable[RunningTask]) -> list[str]:
     """Marks all tasks of the victims' gangs as being stopped, on their other machines too; returns these."""
     jobs = {task.key[0] for task in victims if task.group_size > 1}
     changed = []
-    for name in [n.id for n in snapshot.nodes.values() if jobs and any(task.key[0] in jobs for task in n.tasks)]:
-        node = snapshot.own(name)
-        node.leave([task for task in node.tasks if task.key[0] in jobs])
+    for name in [n.id for n in snapshot.machines.values() if jobs and any(task.key[0] in jobs for task in n.tasks)]:
+        machine = snapshot.writable(name)
+        machine.mark_stopping([task for task in machine.tasks if task.key[0] in jobs])
         changed.append(name)
     return changed
 
 
-def units(tasks: Iterable[RunningTask]) -> list[list[RunningTask]]:
+def preemption_units(tasks: Iterable[RunningTask]) -> list[list[RunningTask]]:
     """Tasks of one machine in the groups that go together: a gang is one victim."""
     found: dict[Any, list[RunningTask]] = {}
     for task in tasks:
@@ -266,11 +271,13 @@
     return list(found.values())
 
 
-def shortage(spec: JobSpec, count: int, nodes: Iterable[MachineView], zones: Iterable[str]) -> list[tuple[int, str]]:
+def shortage_by_zone(
+    spec: JobSpec, count: int, machines: Iterable[MachineView], zones: Iterable[str]
+) -> list[tuple[int, str]]:
     """How many tasks of a gang would find no room, by zone, the least first."""
-    there = by_zone(spec, nodes)
+    there = machines_by_zone(spec, machines)
     lacks = {
-        zone: count - sum(free_slots(spec, node) for node in there.get(zone if spec.one_zone else "", ()))
+        zone: count - sum(free_slots(spec, machine) for machine in there.get(zone if spec.one_zone else "", ()))
         for zone in zones
         if zone_allowed(spec, {}, zone) and spec.zone in (None, zone)
     }
--- a/stileloft/scheduling/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Preemption:
-    machine: str
+    machine_id: str
     victims: list[RunningTask]
 
 
@@ -40,7 +40,7 @@
 """What goes together on one machine: a task, or a gang's tasks there."""
 
 
-def candidates(spec: JobSpec, node: MachineView, teams: dict[str, Team], usage: dict[str, Usage]) -> list[Victim]:
+def candidates(spec: JobSpec, machine: MachineView, teams: dict[str, Team], usage: dict[str, Usage]) -> list[Victim]:
     """What may be stopped for this task: lowest priority, budget-safe and least loss first.
 
     A gang is one victim: it counts with all its tasks, those on other machines included.
@@ -48,7 +48,7 @@
     team = teams.get(spec.team)
     owed = within_guarantee(spec, team, usage.get(spec.team, Usage()))
     found = []
-    for task in node.tasks:
+    for task in machine.tasks:
         if task.stopping or task.spec is None:
             continue
         lower = task.rank < spec.rank
@@ -73,10 +73,10 @@
             task.key,
         )
 
-    return sorted(gangs.units(found), key=order)
+    return sorted(gangs.preemption_units(found), key=order)
 
 
-def beside(spec: JobSpec, nominated: Iterable[Nomination]) -> Room:
+def room_needed(spec: JobSpec, nominated: Iterable[Nomination]) -> Room:
     """What a task needs together with what is nominated to the machine at its rank or above."""
     cpus, gpus, memory_gb = spec.cpus, spec.gpus or 0.0, spec.memory_gb
     for nomination in nominated:
@@ -87,31 +87,35 @@
     return cpus, gpus, memory_gb
 
 
-def room_beside(spec: JobSpec, node: MachineView, nominated: Iterable[Nomination]) -> bool:
+def fits_beside_nominations(spec: JobSpec, machine: MachineView, nominated: Iterable[Nomination]) -> bool:
     """The verification function: does it fit with, and without, what is nominated here?"""
-    return node.has_room(*beside(spec, nominated))
+    return machine.has_room(*room_needed(spec, nominated))
 
 
 def trial(
-    spec: JobSpec, node: MachineView, nominated: Iterable[Nomination], teams: dict[str, Team], usage: dict[str, Usage]
+    spec: JobSpec,
+    machine: MachineView,
+    nominated: Iterable[Nomination],
+    teams: dict[str, Team],
+    usage: dict[str, Usage],
 ) -> list[RunningTask] | None:
     """The victims on this machine, or None if no removal helps.
 
     An empty list means that the tasks which are leaving already make enough room.
     """
-    needed = beside(spec, nominated)
+    needed = room_needed(spec, nominated)
     # Work that is borrowed may go at the task's own rank too.
     owed = within_guarantee(spec, teams.get(spec.team), usage.get(spec.team, Usage()))
-    if not _covers(node.spare(spec.rank + 1 if owed else spec.rank), needed):
+    if not _covers(machine.reclaimable(spec.rank + 1 if owed else spec.rank), needed):
         return None
-    room = _TrialRoom(node, needed)
-    fits = room_beside(spec, node, nominated)
-    for task in node.tasks:
+    room = _TrialRoom(machine, needed)
+    fits = fits_beside_nominations(spec, machine, nominated)
+    for task in machine.tasks:
         if task.stopping:
             fits = room.remove([task])
     removed: list[Victim] = []
     if not fits:
-        for victim in candidates(spec, node, teams, usage):
+        for victim in candidates(spec, machine, teams, usage):
             removed.append(victim)
             fits = room.remove(victim)
             if fits:
@@ -129,8 +133,8 @@
 class _TrialRoom:
     """What is free on a machine's copy while tasks are removed from it and returned."""
 
-    def __init__(self, node: MachineView, needed: Room) -> None:
-        self._room: Room = (node.cpus, node.gpus, node.memory_gb)
+    def __init__(self, machine: MachineView, needed: Room) -> None:
+        self._room: Room = (machine.free_cpus, machine.free_gpus, machine.free_memory_gb)
         self._needed = needed
 
     def remove(self, victim: Victim) -> bool:
@@ -157,7 +161,7 @@
 def loss(victims: list[RunningTask]) -> tuple[float, int, float, int]:
     """What a machine's victims cost: highest priority first, then starts undone, unsaved work, and their number."""
     # Of a gang all tasks go, wherever they are.
-    going = [(victim[0], victim[0].group_size) for victim in gangs.units(victims)]
+    going = [(victim[0], victim[0].group_size) for victim in gangs.preemption_units(victims)]
     return (
         max((task.rank for task in victims), default=-1),
         sum(together for task, together in going if task.recently_started),
@@ -169,7 +173,7 @@
 Order = tuple[float, int, float, int, int, str]
 
 
-class ReclaimableRoom:
+class ReclaimableRoomIndex:
     """Machines by what their trials can free at the most, shared by all jobs of a round.
 
     With hundreds of machines and dozens of waiting jobs, nearly all trials would end at once for want of
@@ -177,22 +181,26 @@
     machines where something was stopped are looked at by all later jobs.
     """
 
-    def __init__(self, nodes: Mapping[str, MachineView]) -> None:
-        self._nodes = nodes
+    def __init__(self, machines: Mapping[str, MachineView]) -> None:
+        self._machines = machines
         self._by_rank: dict[int, tuple[list[float], list[str]]] = {}
         self._stopped: dict[str, None] = {}
 
-    def stopped(self, machine: str) -> None:
-        self._stopped[machine] = None
+    def stopped(self, machine_id: str) -> None:
+        self._stopped[machine_id] = None
 
-    def likely(self, cpus: float, below: int) -> list[MachineView]:
+    def with_reclaimable_cpus(self, cpus: float, below: int) -> list[MachineView]:
         """Machines that may have so many processors once all tasks below a rank are gone, and all others left out."""
         found = self._by_rank.get(below)
         if found is None:
-            most = sorted((node.spare(below)[0], node.id) for node in self._nodes.values() if node.up and node.ready)
+            most = sorted(
+                (machine.reclaimable(below)[0], machine.id)
+                for machine in self._machines.values()
+                if machine.up and machine.ready
+            )
             found = self._by_rank[below] = [room for room, _ in most], [name for _, name in most]
         names = found[1][bisect.bisect_left(found[0], cpus - EPSILON) :]
-        return [self._nodes[name] for name in dict.fromkeys([*names, *self._stopped])]
+        return [self._machines[name] for name in dict.fromkeys([*names, *self._stopped])]
 
 
 class PreemptionTrials:
@@ -203,24 +211,24 @@
         spec: JobSpec,
         zones: dict[str, int],
         avoid: frozenset[str],
-        nodes: Mapping[str, MachineView],
+        machines: Mapping[str, MachineView],
         reserved: Mapping[str, list[Nomination]],
         teams: dict[str, Team],
         usage: dict[str, Usage],
-        spares: ReclaimableRoom,
+        spares: ReclaimableRoomIndex,
     ) -> None:
         self.spec = spec
         self.zones = zones
         self.avoid = avoid
-        self.nodes = nodes
+        self.machines = machines
         self.reserved = reserved
         self.teams = teams
         self.usage = usage
         self.spares = spares
         self._heap: list[tuple[Order, str, list[RunningTask]]] = []
-        self._facts: tuple[bool, list[bool]] | None = None
+        self._last_fair_share: tuple[bool, list[bool]] | None = None
 
-    def _usage_facts(self) -> tuple[bool, list[bool]]:
+    def _fair_share(self) -> tuple[bool, list[bool]]:
         """What the candidates depend on beside the machine: who is owed, and who uses more than it is owed."""
         spec = self.spec
         return (
@@ -228,46 +236,46 @@
             [beyond_guarantee(team, self.usage.get(name, Usage())) for name, team in self.teams.items()],
         )
 
-    def _try(self, node: MachineView) -> None:
-        victims = trial(self.spec, node, self.reserved.get(node.id, ()), self.teams, self.usage)
+    def _try(self, machine: MachineView) -> None:
+        victims = trial(self.spec, machine, self.reserved.get(machine.id, ()), self.teams, self.usage)
         if victims is not None:
-            order = (*loss(victims), 0 if self.spec.image in node.images else 1, node.id)
-            heapq.heappush(self._heap, (order, node.id, victims))
+            order = (*loss(victims), 0 if self.spec.image in machine.images else 1, machine.id)
+            heapq.heappush(self._heap, (order, machine.id, victims))
 
     def best(self) -> Preemption | None:
         """The best machine and its victims, or None if no trial succeeds."""
         spec = self.spec
         if not within_limit(spec, self.teams.get(spec.team), self.usage.get(spec.team, Usage())):
             return None
-        facts = self._usage_facts()
-        if facts != self._facts:
-            self._facts = facts
+        fair_share = self._fair_share()
+        if fair_share != self._last_fair_share:
+            self._last_fair_share = fair_share
             self._heap = []
-            for node in self.spares.likely(spec.cpus, spec.rank + 1 if facts[0] else spec.rank):
-                if node.up and node.ready and node.id not in self.avoid and allowed(spec, node):
-                    self._try(node)
+            for machine in self.spares.with_reclaimable_cpus(spec.cpus, spec.rank + 1 if fair_share[0] else spec.rank):
+                if machine.up and machine.ready and machine.id not in self.avoid and allowed(spec, machine):
+                    self._try(machine)
         while self._heap:
-            _, machine, victims = self._heap[0]
-            if zone_allowed(spec, self.zones, self.nodes[machine].zone):
-                return Preemption(machine, victims)
+            _, machine_id, victims = self._heap[0]
+            if zone_allowed(spec, self.zones, self.machines[machine_id].zone):
+                return Preemption(machine_id, victims)
             heapq.heappop(self._heap)  # a zone that is full for the job stays so in this round
         return None
 
     def forget(self) -> None:
         """More than one machine has changed."""
-        self._facts = None
+        self._last_fair_share = None
 
-    def changed(self, machine: str) -> None:
+    def changed(self, machine_id: str) -> None:
         """The best machine has got the nomination, or has changed otherwise."""
-        self._heap = [entry for entry in self._heap if entry[1] != machine]
+        self._heap = [entry for entry in self._heap if entry[1] != machine_id]
         heapq.heapify(self._heap)
-        self._try(self.nodes[machine])
+        self._try(self.machines[machine_id])
 
 
 def preempt(
     spec: JobSpec,
     zones: dict[str, int],
-    nodes: Iterable[MachineView],
+    machines: Iterable[MachineView],
     nominations: Iterable[Nomination],
     teams: dict[str, Team],
     usage: dict[str, Usage],
@@ -276,6 +284,6 @@
     """The best machine and its victims for one task, or None if no trial succeeds."""
     reserved: dict[str, list[Nomination]] = {}
     for nomination in nominations:
-        reserved.setdefault(nomination.machine, []).append(nomination)
-    by_name = {node.id: node for node in nodes}
-    return PreemptionTrials(spec, zones, avoid, by_name, reserved, teams, usage, ReclaimableRoom(by_name)).best()
+        reserved.setdefault(nomination.machine_id, []).append(nomination)
+    by_id = {machine.id: machine for machine in machines}
+    return PreemptionTrials(spec, zones, avoid, by_id, reserved, teams, usage, ReclaimableRoomIndex(by_id)).best()
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -142,7 +142,7 @@
             "evictions": [
                 {
                     "for": f"{key[0]}/{key[1]}",
-                    "machine": preemption.machine,
+                    "machine": preemption.machine_id,
                     "victims": [f"{victim.key[0]}/{victim.key[1]}" for victim in preemption.victims],
                 }
                 for key, preemption in decision.preemptions
@@ -155,7 +155,7 @@
             "unmet %s; holding %s; nominated %s",
             self.last_decision["unmet"],
             {m.id: [p.task for p in m.placements.values()] for m in self._cluster.machines.values()},
-            {f"{n.key[0]}/{n.key[1]}": n.machine for n in self._cluster.nominations.values()},
+            {f"{n.key[0]}/{n.key[1]}": n.machine_id for n in self._cluster.nominations.values()},
         )
 
     def _has_room(self, machine: Machine, kind: MachineType, spec: JobSpec) -> bool:
@@ -254,7 +254,7 @@
 
     def _evict(self, key: TaskKey, preemption: Preemption) -> None:
         job = self._cluster.jobs.get(key[0])
-        machine = self._cluster.machines.get(preemption.machine)
+        machine = self._cluster.machines.get(preemption.machine_id)
         if job is None or machine is None or job.end_phase or machine.drain_reason:
             return
         now = self._term.clock.seconds()
@@ -270,7 +270,7 @@
                 stopped.preemption_count += victim.group_size
             longest = max(longest, placed.stop_grace_s or 0.0)
         for other in [
-            k for k, n in self._cluster.nominations.items() if n.machine == machine.id and n.rank < job.spec.rank
+            k for k, n in self._cluster.nominations.items() if n.machine_id == machine.id and n.rank < job.spec.rank
         ]:
             del self._cluster.nominations[other]
         until = now + longest + NOMINATION_HEARTBEATS * self._term.settings.workers.heartbeat_s
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -56,23 +56,23 @@
     images: frozenset[str] = frozenset()
     fetching: frozenset[str] = frozenset()
     """Images that tasks on it wait for."""
-    cpus: float = 0.0
-    gpus: float = 0.0
-    memory_gb: float = 0.0
+    free_cpus: float = 0.0
+    free_gpus: float = 0.0
+    free_memory_gb: float = 0.0
     idle_s: float = 0.0
-    _spare: dict[int, Room] = field(default_factory=dict)
-    _by_end: list[RunningTask] | None = None
+    _reclaimable: dict[int, Room] = field(default_factory=dict)
+    _tasks_by_end: list[RunningTask] | None = None
 
-    def settle(self) -> None:
+    def recompute_free(self) -> None:
         """Computes what is free from the machine's size and its tasks."""
-        self.cpus = self.type.cpus - sum(task.cpus for task in self.tasks)
-        self.gpus = self.type.gpus - sum(task.gpus for task in self.tasks)
-        self.memory_gb = self.type.memory_gb - sum(task.memory_gb for task in self.tasks)
-        self._forget()
+        self.free_cpus = self.type.cpus - sum(task.cpus for task in self.tasks)
+        self.free_gpus = self.type.gpus - sum(task.gpus for task in self.tasks)
+        self.free_memory_gb = self.type.memory_gb - sum(task.memory_gb for task in self.tasks)
+        self._invalidate()
 
-    def _forget(self) -> None:
-        self._spare = {}
-        self._by_end = None
+    def _invalidate(self) -> None:
+        self._reclaimable = {}
+        self._tasks_by_end = None
 
     def copy(self) -> "MachineView":
         return MachineView(
@@ -85,53 +85,57 @@
             list(self.tasks),
             self.images,
             self.fetching,
-            self.cpus,
-            self.gpus,
-            self.memory_gb,
+            self.free_cpus,
+            self.free_gpus,
+            self.free_memory_gb,
             self.idle_s,
         )
 
-    def take(self, task: RunningTask) -> None:
+    def add_task(self, task: RunningTask) -> None:
         self.tasks.append(task)
-        self.cpus -= task.cpus
-        self.gpus -= task.gpus
-        self.memory_gb -= task.memory_gb
-        self._forget()
+        self.free_cpus -= task.cpus
+        self.free_gpus -= task.gpus
+        self.free_memory_gb -= task.memory_gb
+        self._invalidate()
 
-    def give(self, task: RunningTask) -> None:
+    def remove_task(self, task: RunningTask) -> None:
         self.tasks.remove(task)
-        self.cpus += task.cpus
-        self.gpus += task.gpus
-        self.memory_gb += task.memory_gb
-        self._forget()
+        self.free_cpus += task.cpus
+        self.free_gpus += task.gpus
+        self.free_memory_gb += task.memory_gb
+        self._invalidate()
 
-    def leave(self, victims: Iterable[RunningTask]) -> None:
+    def mark_stopping(self, victims: Iterable[RunningTask]) -> None:
         """Marks tasks as being stopped; their room is still taken."""
         gone = {id(task) for task in victims}
         self.tasks = [replace(task, stopping=True) if id(task) in gone else task for task in self.tasks]
-        self._forget()
+        self._invalidate()
 
     def has_room(self, cpus: float, gpus: float, memory_gb: float) -> bool:
-        return cpus <= self.cpus + EPSILON and gpus <= self.gpus + EPSILON and memory_gb <= self.memory_gb + EPSILON
+        return (
+            cpus <= self.free_cpus + EPSILON
+            and gpus <= self.free_gpus + EPSILON
+            and memory_gb <= self.free_memory_gb + EPSILON
+        )
 
-    def spare(self, rank: int) -> Room:
+    def reclaimable(self, rank: int) -> Room:
         """What is free once all that leaves, and all tasks of a lower rank, are gone: no trial makes more."""
-        found = self._spare.get(rank)
+        found = self._reclaimable.get(rank)
         if found is None:
             going = [task for task in self.tasks if task.stopping or task.rank < rank]
             found = (
-                self.cpus + sum(task.cpus for task in going),
-                self.gpus + sum(task.gpus for task in going),
-                self.memory_gb + sum(task.memory_gb for task in going),
+                self.free_cpus + sum(task.cpus for task in going),
+                self.free_gpus + sum(task.gpus for task in going),
+                self.free_memory_gb + sum(task.memory_gb for task in going),
             )
-            self._spare[rank] = found
+            self._reclaimable[rank] = found
         return found
 
-    def by_end(self) -> list[RunningTask]:
+    def tasks_by_end(self) -> list[RunningTask]:
         """Its tasks, those that end first first."""
-        if self._by_end is None:
-            self._by_end = sorted(self.tasks, key=lambda task: task.remaining_s)
-        return self._by_end
+        if self._tasks_by_end is None:
+            self._tasks_by_end = sorted(self.tasks, key=lambda task: task.remaining_s)
+        return self._tasks_by_end
 
 
 @dataclass(slots=True)
@@ -147,7 +151,7 @@
     owner: str = ""
     """The job that the room is kept for, if it is old: no trial gives the room to others."""
 
-    def lets(self, spec: JobSpec, estimate_s: float, overdue: bool = False) -> bool:
+    def admits(self, spec: JobSpec, estimate_s: float, overdue: bool = False) -> bool:
         """Whether a job may use the room meanwhile; `overdue`: nothing of it was placed for long."""
         if overdue and not self.owner:
             return True  # nothing is to wait beside room that stays empty for long
@@ -213,7 +217,7 @@
     """Room that is being made on a machine for a task."""
 
     key: TaskKey
-    machine: str
+    machine_id: str
     rank: int
     spec: JobSpec
     until: float
@@ -223,7 +227,7 @@
 class Snapshot:
     now: float
     """Time of day, for deadlines."""
-    nodes: dict[str, MachineView]
+    machines: dict[str, MachineView]
     waiting: list[PendingJob]
     teams: dict[str, Team]
     usage: dict[str, Usage]
@@ -233,31 +237,31 @@
     """Tasks of gangs for which room is to be kept before they come."""
     reservations: dict[str, Reservation] = field(default_factory=dict)
     """Room held in this round, by machine."""
-    owned: set[str] = field(default_factory=set)
+    copied: set[str] = field(default_factory=set)
     """Machines that this round has a copy of."""
-    _cpus: float | None = None
+    _total_cpus: float | None = None
 
-    def cpus(self) -> float:
+    def total_cpus(self) -> float:
         """Processors of all machines."""
-        if self._cpus is None:
-            self._cpus = sum(node.type.cpus for node in self.nodes.values())
-        return self._cpus
+        if self._total_cpus is None:
+            self._total_cpus = sum(machine.type.cpus for machine in self.machines.values())
+        return self._total_cpus
 
-    def own(self, machine: str) -> MachineView:
+    def writable(self, machine_id: str) -> MachineView:
         """The machine's copy that may be changed."""
-        node = self.nodes[machine]
-        if machine not in self.owned:
-            node = self.nodes[machine] = node.copy()
-            self.owned.add(machine)
-        return node
+        machine = self.machines[machine_id]
+        if machine_id not in self.copied:
+            machine = self.machines[machine_id] = machine.copy()
+            self.copied.add(machine_id)
+        return machine
 
 
-def allowed(spec: JobSpec, node: MachineView) -> bool:
+def allowed(spec: JobSpec, machine: MachineView) -> bool:
     """Type, zone and kind of machine, which no wait will change."""
     return (
-        (spec.types is None or node.type.name in spec.types)
-        and (spec.zone is None or spec.zone == node.zone)
-        and (not node.spot or bool(spec.spot))
+        (spec.types is None or machine.type.name in spec.types)
+        and (spec.zone is None or spec.zone == machine.zone)
+        and (not machine.spot or bool(spec.spot))
     )
 
 
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -48,7 +48,7 @@
         nodes = self._nodes(types, now)
         return Snapshot(
             now=term.wall_clock(),
-            nodes=nodes,
+            machines=nodes,
             waiting=self._waiting(nodes.values(), now),
             teams=term.teams,
             usage=cluster.usage(term.teams),
@@ -67,7 +67,7 @@
         for request, (offer, count) in self._term.fleet.provisioning.items():
             for number in range(count):
                 node = MachineView(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
-                node.settle()
+                node.recompute_free()
                 nodes[node.id] = node
         return nodes
 
@@ -194,7 +194,7 @@
             )
         copy.idle_s = now - machine.idle_since if machine.idle_since is not None else 0.0
         copy.fetching = frozenset(fetching)
-        copy.settle()
+        copy.recompute_free()
         return copy
 
     def _aged(self, job: Job, after_s: float) -> bool:
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -18,7 +18,7 @@
 QUIET_ARRIVALS = 4.0
 # The room that operators set is for classes of which so many jobs come in a boot.
 BURST_ARRIVALS = 2.0
-# Bounds of the ratio of a run time to its estimate, so that one odd job does not mislead.
+# CycleLimits of the ratio of a run time to its estimate, so that one odd job does not mislead.
 LEAST_RATIO, MOST_RATIO = 0.1, 4.0
 LEAST_ESTIMATE_S = 0.5
 
@@ -54,8 +54,8 @@
         self._types = types
         self._ratios: dict[str, float] = {}
         self.classes: dict[str, ClassLoad] = {}
-        self.start_objectives = self._goals(objectives, "wait")
-        self.completion_objectives = self._goals(objectives, "finished")
+        self.start_objectives = self._objective_times(objectives, "wait")
+        self.completion_objectives = self._objective_times(objectives, "finished")
 
     def any_active(self) -> bool:
         """Whether jobs of some class are still coming."""
@@ -68,14 +68,14 @@
         self._ratios[spec.job_class] = known + CLASS_MEMORY * (ratio - known)
 
     @staticmethod
-    def _goals(objectives: Iterable[Objective], kind: str) -> dict[str, float]:
+    def _objective_times(objectives: Iterable[Objective], kind: str) -> dict[str, float]:
         """The tightest time of each class that has an objective of this kind."""
-        goals: dict[str, float] = {}
+        times: dict[str, float] = {}
         for objective in objectives:
             if objective.kind == kind and objective.job_class and objective.within_s is not None:
-                known = goals.get(objective.job_class, objective.within_s)
-                goals[objective.job_class] = min(known, objective.within_s)
-        return goals
+                known = times.get(objective.job_class, objective.within_s)
+                times[objective.job_class] = min(known, objective.within_s)
+        return times
 
     def observe(self, spec: JobSpec, submitted: float) -> None:
         """Keeps what a class's jobs are like and how often they come, for headroom."""
@@ -98,7 +98,7 @@
             if name in self.start_objectives:
                 factor = settings.headroom_wait
             else:
-                factor = settings.headroom if self._allowance(spec) < 0 else 0.0
+                factor = settings.headroom if self._slack_s(spec) < 0 else 0.0
             found.append((spec, math.ceil(factor * self._burst_factor(load) * load.tasks)))
         if unseen:
             found += [(spec, UNSEEN_MACHINES) for spec in self._unseen()]
@@ -116,7 +116,7 @@
             return []
         return [
             JobSpec(
-                id=gangs.EXPECTED,
+                id=gangs.EXPECTED_JOB_ID,
                 job_class=name,
                 team="",
                 kind="gang",
@@ -142,7 +142,7 @@
         """Whether the class has sent nothing for so long that it is taken to have ended."""
         return self._wall_clock() - load.last > QUIET_ARRIVALS * max(load.gap_s, load.spec.estimate_s)
 
-    def _allowance(self, spec: JobSpec) -> float:
+    def _slack_s(self, spec: JobSpec) -> float:
         """How long a new job of this kind may wait for a machine to be rented, at the least."""
         kinds = [kind for kind in self._types().values() if fits_type(spec, kind)]
         if not kinds:
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -5,7 +5,14 @@
 from stileloft.model.placements import TaskKey
 from stileloft.protocol.messages import JobSpec
 from stileloft.scheduling import preemption
-from stileloft.scheduling.placement import MAX_RESERVATIONS, as_running, cost, fetch_time, limit_aged, order_key
+from stileloft.scheduling.placement import (
+    MAX_RESERVATIONS,
+    image_fetch_s,
+    placement_cost,
+    promote_aged_jobs,
+    queue_position,
+    running_task,
+)
 from stileloft.scheduling.preemption import Preemption, loss
 from stileloft.scheduling.snapshot import (
     MachineView,
@@ -23,13 +30,15 @@
 )
 
 
-def trial(job: JobSpec, node: MachineView, nominated: list[Nomination], snapshot: Snapshot) -> list[RunningTask] | None:
+def trial(
+    job: JobSpec, machine: MachineView, nominated: list[Nomination], snapshot: Snapshot
+) -> list[RunningTask] | None:
     """The design's words, with lists and sums only: remove in order, then return in the opposite order."""
     teams, usage = snapshot.teams, snapshot.usage
     owed = within_guarantee(job, teams.get(job.team), usage.get(job.team, Usage()))
     single = [
         t
-        for t in node.tasks
+        for t in machine.tasks
         if not t.stopping
         and t.spec is not None
         and (
@@ -56,11 +65,11 @@
     )
 
     def fits(gone: list[list[RunningTask]], leave: bool = True) -> bool:
-        stay = [t for t in node.tasks if not any(t in victim for victim in gone) and not (leave and t.stopping)]
+        stay = [t for t in machine.tasks if not any(t in victim for victim in gone) and not (leave and t.stopping)]
         wanted = [n.spec for n in nominated if n.rank >= job.rank] + [job]
         return (
-            sum(t.cpus for t in stay) + sum(w.cpus for w in wanted) <= node.type.cpus + 1e-6
-            and sum(t.memory_gb for t in stay) + sum(w.memory_gb for w in wanted) <= node.type.memory_gb + 1e-6
+            sum(t.cpus for t in stay) + sum(w.cpus for w in wanted) <= machine.type.cpus + 1e-6
+            and sum(t.memory_gb for t in stay) + sum(w.memory_gb for w in wanted) <= machine.type.memory_gb + 1e-6
         )
 
     if fits([], leave=False):
@@ -82,25 +91,25 @@
     if not within_limit(spec, snapshot.teams.get(spec.team), snapshot.usage.get(spec.team, Usage())):
         return None
     found = []
-    for node in snapshot.nodes.values():
-        hold = snapshot.reservations.get(node.id)
-        if not may_use(job, node) or (hold and hold.owner not in ("", spec.id)):
+    for machine in snapshot.machines.values():
+        hold = snapshot.reservations.get(machine.id)
+        if not may_use(job, machine) or (hold and hold.owner not in ("", spec.id)):
             continue
-        victims = trial(spec, node, [n for n in nominations if n.machine == node.id], snapshot)
+        victims = trial(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
         if victims is not None:
-            image = 0 if spec.image in node.images else 1
-            found.append(((*loss(victims), image, node.id), Preemption(node.id, victims)))
+            image = 0 if spec.image in machine.images else 1
+            found.append(((*loss(victims), image, machine.id), Preemption(machine.id, victims)))
     return min(found, key=lambda item: item[0])[1] if found else None
 
 
-def may_use(job: PendingJob, node: MachineView) -> bool:
+def may_use(job: PendingJob, machine: MachineView) -> bool:
     """Whether the machine is one for the job's tasks, whatever room it has."""
     return (
-        node.up
-        and node.ready
-        and node.id not in job.avoid
-        and allowed(job.spec, node)
-        and zone_allowed(job.spec, job.zones, node.zone)
+        machine.up
+        and machine.ready
+        and machine.id not in job.avoid
+        and allowed(job.spec, machine)
+        and zone_allowed(job.spec, job.zones, machine.zone)
     )
 
 
@@ -109,33 +118,35 @@
     spec = job.spec
     kinds = [kind.cpus for kind in snapshot.types.values()]
     found = []
-    for node in snapshot.nodes.values():
-        if not may_use(job, node):
+    for machine in snapshot.machines.values():
+        if not may_use(job, machine):
             continue
-        hold = snapshot.reservations.get(node.id)
-        if hold is not None and not hold.lets(spec, job.estimate_s, job.starving):
+        hold = snapshot.reservations.get(machine.id)
+        if hold is not None and not hold.admits(spec, job.estimate_s, job.starving):
             continue
-        if preemption.room_beside(spec, node, [n for n in nominations if n.machine == node.id]):
-            found.append((cost(spec, node, min(kinds), max(kinds), scarce, job.start_objective_s), node.id))
-    return snapshot.nodes[min(found)[1]] if found else None
+        if preemption.fits_beside_nominations(spec, machine, [n for n in nominations if n.machine_id == machine.id]):
+            found.append(
+                (placement_cost(spec, machine, min(kinds), max(kinds), scarce, job.start_objective_s), machine.id)
+            )
+    return snapshot.machines[min(found)[1]] if found else None
 
 
 def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps room on the machine that will have it first."""
     spec = job.spec
     found = []
-    for node in snapshot.nodes.values():
+    for machine in snapshot.machines.values():
         if not (
-            node.up
-            and node.ready
-            and node.id not in snapshot.reservations
-            and node.id not in job.avoid
-            and allowed(spec, node)
-            and zone_allowed(spec, job.zones, node.zone)
+            machine.up
+            and machine.ready
+            and machine.id not in snapshot.reservations
+            and machine.id not in job.avoid
+            and allowed(spec, machine)
+            and zone_allowed(spec, job.zones, machine.zone)
         ):
             continue
-        cpus, memory_gb, at = node.cpus, node.memory_gb, 0.0
-        left = sorted(node.tasks, key=lambda task: task.remaining_s)
+        cpus, memory_gb, at = machine.free_cpus, machine.free_memory_gb, 0.0
+        left = sorted(machine.tasks, key=lambda task: task.remaining_s)
         while left and (spec.cpus > cpus or spec.memory_gb > memory_gb):
             task = left.pop(0)
             cpus, memory_gb, at = cpus + task.cpus, memory_gb + task.memory_gb, task.remaining_s
@@ -143,7 +154,7 @@
             found.append(
                 (
                     at,
-                    node.id,
+                    machine.id,
                     Reservation(at, cpus - spec.cpus, 0.0, memory_gb - spec.memory_gb, spec.id if job.promoted else ""),
                 )
             )
@@ -152,16 +163,16 @@
         snapshot.reservations[name] = hold
 
 
-def take(job: PendingJob, key: TaskKey, node: MachineView, snapshot: Snapshot) -> None:
+def take(job: PendingJob, key: TaskKey, machine: MachineView, snapshot: Snapshot) -> None:
     """Puts a task there."""
-    spec, hold = job.spec, snapshot.reservations.get(node.id)
+    spec, hold = job.spec, snapshot.reservations.get(machine.id)
     if hold is not None and job.estimate_s > hold.until_s:
         hold.cpus -= spec.cpus
         hold.memory_gb -= spec.memory_gb
-    node.take(as_running(spec, key, job.promoted, job.estimate_s))
-    if spec.image not in node.images:
-        node.fetching |= {spec.image}
-    job.zones[node.zone] = job.zones.get(node.zone, 0) + 1
+    machine.add_task(running_task(spec, key, job.promoted, job.estimate_s))
+    if spec.image not in machine.images:
+        machine.fetching |= {spec.image}
+    job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
     snapshot.usage.setdefault(spec.team, Usage()).cpus += spec.cpus
     job.count -= 1
 
@@ -179,9 +190,9 @@
         n for n in nominations if n.key[0] != "expected" or (n.rank > spec.rank and not (job.promoted or job.starving))
     ]
     found = []
-    for zone in sorted({node.zone for node in snapshot.nodes.values()}) if spec.one_zone else [""]:
+    for zone in sorted({machine.zone for machine in snapshot.machines.values()}) if spec.one_zone else [""]:
         copied = copy.deepcopy(snapshot)
-        copied.nodes = {name: node for name, node in copied.nodes.items() if zone in ("", node.zone)}
+        copied.machines = {name: machine for name, machine in copied.machines.items() if zone in ("", machine.zone)}
         tried = PendingJob(
             spec,
             job.submitted,
@@ -198,8 +209,8 @@
             target = find(tried, copied, heeded, scarce)
             if target is None:
                 break
-            images_s = max(images_s, fetch_time(spec, target))
-            target.take(as_running(spec, (spec.id, index)))
+            images_s = max(images_s, image_fetch_s(spec, target))
+            target.add_task(running_task(spec, (spec.id, index)))
             tried.zones[target.zone] = tried.zones.get(target.zone, 0) + 1
             placed.append(((spec.id, index), target.id))
         if len(placed) == job.count:
@@ -211,27 +222,27 @@
     """Keeps the room in the zone that will have all of it first."""
     spec = job.spec
     found = []
-    for zone in sorted({node.zone for node in snapshot.nodes.values()}) if spec.one_zone else [""]:
+    for zone in sorted({machine.zone for machine in snapshot.machines.values()}) if spec.one_zone else [""]:
         rooms = []
-        for node in snapshot.nodes.values():
+        for machine in snapshot.machines.values():
             if (
-                zone in ("", node.zone)
-                and node.up
-                and node.ready
-                and allowed(spec, node)
-                and node.id not in snapshot.reservations
-                and node.id not in job.avoid
+                zone in ("", machine.zone)
+                and machine.up
+                and machine.ready
+                and allowed(spec, machine)
+                and machine.id not in snapshot.reservations
+                and machine.id not in job.avoid
             ):
                 had = 0
-                for at in sorted({0.0, *(t.remaining_s for t in node.tasks)}):
-                    stay = [t for t in node.tasks if t.remaining_s > at or at == 0.0]
+                for at in sorted({0.0, *(t.remaining_s for t in machine.tasks)}):
+                    stay = [t for t in machine.tasks if t.remaining_s > at or at == 0.0]
                     has = 0
                     while (
-                        sum(t.cpus for t in stay) + (has + 1) * spec.cpus <= node.type.cpus + 1e-6
-                        and sum(t.memory_gb for t in stay) + (has + 1) * spec.memory_gb <= node.type.memory_gb + 1e-6
+                        sum(t.cpus for t in stay) + (has + 1) * spec.cpus <= machine.type.cpus + 1e-6
+                        and sum(t.memory_gb for t in stay) + (has + 1) * spec.memory_gb <= machine.type.memory_gb + 1e-6
                     ):
                         has += 1
-                    rooms += [(at, node.id)] * (has - had)
+                    rooms += [(at, machine.id)] * (has - had)
                     had = max(had, has)
         rooms.sort()
         if len(rooms) >= job.count:
@@ -240,31 +251,31 @@
         return
     until, _, chosen = min(found)
     for name in {name for _, name in chosen}:
-        node, mine = snapshot.nodes[name], [at for at, other in chosen if other == name]
-        going = [t for t in node.tasks if t.remaining_s <= max(mine)]
+        machine, mine = snapshot.machines[name], [at for at, other in chosen if other == name]
+        going = [t for t in machine.tasks if t.remaining_s <= max(mine)]
         snapshot.reservations[name] = Reservation(
             until,
-            node.cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
+            machine.free_cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
             0.0,
-            node.memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
+            machine.free_memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
             spec.id if job.promoted else "",
         )
 
 
-def expect(snapshot: Snapshot) -> list[Nomination]:
+def expected_gang_nominations(snapshot: Snapshot) -> list[Nomination]:
     """Room for gangs to come, as nominations: in the zone with the most room, where most images are first."""
     found: list[Nomination] = []
     for spec, count in snapshot.expected:
         rooms = []
-        for node in snapshot.nodes.values():
-            if node.up and node.ready and allowed(spec, node):
+        for machine in snapshot.machines.values():
+            if machine.up and machine.ready and allowed(spec, machine):
                 room = 0
-                while (room + 1) * spec.cpus <= node.cpus + 1e-6 and (
+                while (room + 1) * spec.cpus <= machine.free_cpus + 1e-6 and (
                     room + 1
-                ) * spec.memory_gb <= node.memory_gb + 1e-6:
+                ) * spec.memory_gb <= machine.free_memory_gb + 1e-6:
                     room += 1
-                room -= sum(1 for n in found if n.machine == node.id)
-                rooms.append((node.zone if spec.one_zone else "", room, node.id, len(node.images)))
+                room -= sum(1 for n in found if n.machine_id == machine.id)
+                rooms.append((machine.zone if spec.one_zone else "", room, machine.id, len(machine.images)))
         if not rooms:
             continue
         zone = max(
@@ -286,18 +297,18 @@
     preemptions: list[tuple[TaskKey, str, list[TaskKey]]] = []
     unmet: dict[str, int] = {}
     saving: list[str] = []
-    limit_aged(snapshot)
+    promote_aged_jobs(snapshot)
     usage = snapshot.usage
-    nominations = [*snapshot.nominations.values(), *expect(snapshot)]
+    nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
     smallest = min((kind.cpus for kind in snapshot.types.values()), default=0.0)
     scarce = any(job.spec.cpus > smallest for job in snapshot.waiting)
-    for job in sorted(snapshot.waiting, key=lambda job: order_key(job, snapshot, usage)):
+    for job in sorted(snapshot.waiting, key=lambda job: queue_position(job, snapshot, usage)):
         spec = job.spec
         team, used = snapshot.teams.get(spec.team), usage.setdefault(spec.team, Usage())
         if spec.is_gang:
             whole = place_gang(job, snapshot, nominations, scarce)
             for key, name in whole or ():
-                take(job, key, snapshot.nodes[name], snapshot)
+                take(job, key, snapshot.machines[name], snapshot)
             placed += whole or ()
             rest = Usage(used.cpus + spec.cpus * (job.count - 1), used.gpus)
             if whole is None and within_limit(spec, team, rest):
@@ -319,14 +330,16 @@
             target = None
             if own is not None:
                 nominations.remove(own)
-                node = snapshot.nodes.get(own.machine)
+                machine = snapshot.machines.get(own.machine_id)
                 if (
-                    node is not None
-                    and node.ready
-                    and zone_allowed(spec, job.zones, node.zone)
-                    and preemption.room_beside(spec, node, [n for n in nominations if n.machine == node.id])
+                    machine is not None
+                    and machine.ready
+                    and zone_allowed(spec, job.zones, machine.zone)
+                    and preemption.fits_beside_nominations(
+                        spec, machine, [n for n in nominations if n.machine_id == machine.id]
+                    )
                 ):
-                    target = node
+                    target = machine
             if target is None and not stuck:
                 heeded = [n for n in nominations if n.key[0] != "expected" or not (job.promoted or job.starving)]
                 target = find(job, snapshot, heeded, scarce)
@@ -344,12 +357,12 @@
             eviction = preempt(job, snapshot, nominations) if len(preemptions) < max_preemptions else None
             if eviction is None:
                 break
-            preemptions.append((key, eviction.machine, sorted(v.key for v in eviction.victims)))
+            preemptions.append((key, eviction.machine_id, sorted(v.key for v in eviction.victims)))
             gone = {t.key[0] for t in eviction.victims if t.group_size > 1}
-            for node in snapshot.nodes.values():
-                node.leave([t for t in node.tasks if t in eviction.victims or t.key[0] in gone])
-            nominations = [n for n in nominations if n.machine != eviction.machine or n.rank >= spec.rank]
-            nominations.append(Nomination(key, eviction.machine, spec.rank, spec, 0.0))
+            for machine in snapshot.machines.values():
+                machine.mark_stopping([t for t in machine.tasks if t in eviction.victims or t.key[0] in gone])
+            nominations = [n for n in nominations if n.machine_id != eviction.machine_id or n.rank >= spec.rank]
+            nominations.append(Nomination(key, eviction.machine_id, spec.rank, spec, 0.0))
             used.cpus += spec.cpus
             nominated += 1
         if stuck and job.count > nominated and within_limit(spec, team, used):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -10,9 +10,9 @@
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.scheduling.autoscaling import Autoscaler, InstanceOffer, ScalingDemand
-from stileloft.scheduling.gangs import units
+from stileloft.scheduling.gangs import preemption_units
 from stileloft.scheduling.placement import decide
-from stileloft.scheduling.preemption import candidates, loss, preempt, room_beside
+from stileloft.scheduling.preemption import candidates, fits_beside_nominations, loss, preempt
 from stileloft.scheduling.snapshot import (
     MachineView,
     Nomination,
@@ -39,15 +39,15 @@
     return JobSpec(id=f"j-{number}", job_class="batch", team=team, kind=kind, priority=priority, cpus=cpus, **fields)
 
 
-def node(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
+def machine(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
     made = MachineView(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
-    made.settle()
+    made.recompute_free()
     return made
 
 
 @st.composite
 def fleets(draw: st.DrawFn) -> list[MachineView]:
-    nodes = []
+    machines = []
     serial = itertools.count(100)
     # Two gangs may have tasks on any of the machines.
     gangs = [
@@ -109,13 +109,13 @@
                     remaining_s=5.0,
                 )
             )
-        nodes.append(node(f"n-{number}", kind, tasks))
-    return nodes
+        machines.append(machine(f"n-{number}", kind, tasks))
+    return machines
 
 
-def used(nodes: list[MachineView]) -> dict[str, Usage]:
+def used(machines: list[MachineView]) -> dict[str, Usage]:
     usage = {name: Usage() for name in TEAMS}
-    for one in nodes:
+    for one in machines:
         for task in one.tasks:
             usage[task.team].cpus += task.cpus
     return usage
@@ -124,36 +124,36 @@
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16), st.sampled_from(["idle", "standard", "urgent"]), st.sampled_from(["core", "edge"]))
 def test_preemption_is_the_designs_trial_on_the_best_machine(
-    nodes: list[MachineView], cpus: int, priority: str, team: str
+    machines: list[MachineView], cpus: int, priority: str, team: str
 ) -> None:
     job = spec(1, float(cpus), priority, team)
-    usage = used(nodes)
-    before = [(n.cpus, [t.key for t in n.tasks]) for n in nodes]
-    found = preempt(job, {}, nodes, [], TEAMS, usage)
-    assert [(n.cpus, sorted(t.key for t in n.tasks)) for n in nodes] == [(c, sorted(k)) for c, k in before]
+    usage = used(machines)
+    before = [(n.free_cpus, [t.key for t in n.tasks]) for n in machines]
+    found = preempt(job, {}, machines, [], TEAMS, usage)
+    assert [(n.free_cpus, sorted(t.key for t in n.tasks)) for n in machines] == [(c, sorted(k)) for c, k in before]
     snapshot = Snapshot(0.0, {}, [], TEAMS, usage, {}, {})
-    victims = {n.id: plain.trial(job, n, [], snapshot) for n in nodes}
+    victims = {n.id: plain.trial(job, n, [], snapshot) for n in machines}
     expected = {name: None if tasks is None else sorted(t.key for t in tasks) for name, tasks in victims.items()}
     if usage[team].cpus + cpus > TEAMS[team].cpus_max or all(keys is None for keys in expected.values()):
         assert found is None
         return
     assert found is not None
-    assert sorted(v.key for v in found.victims) == expected[found.machine]
+    assert sorted(v.key for v in found.victims) == expected[found.machine_id]
     # No other machine's victims would have been a smaller loss.
-    by_key = {t.key: t for n in nodes for t in n.tasks}
+    by_key = {t.key: t for n in machines for t in n.tasks}
     losses = [loss([by_key[k] for k in keys]) for keys in expected.values() if keys is not None]
     assert loss(found.victims) == min(losses)
 
 
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16))
-def test_every_victim_is_necessary(nodes: list[MachineView], cpus: int) -> None:
+def test_every_victim_is_necessary(machines: list[MachineView], cpus: int) -> None:
     job = spec(1, float(cpus), "urgent")
-    found = preempt(job, {}, nodes, [], TEAMS, used(nodes))
+    found = preempt(job, {}, machines, [], TEAMS, used(machines))
     if found is None:
         return
-    chosen = next(n for n in nodes if n.id == found.machine)
-    victims = units(found.victims)
+    chosen = next(n for n in machines if n.id == found.machine_id)
+    victims = preemption_units(found.victims)
     for count in range(len(victims)):
         for subset in itertools.combinations(victims, count):
             left = sum(t.cpus for t in chosen.tasks if not any(t in victim for victim in subset))
@@ -162,8 +162,8 @@
 
 @st.composite
 def snapshots(draw: st.DrawFn) -> Snapshot:
-    nodes = draw(fleets())
-    for one in nodes:
+    machines = draw(fleets())
+    for one in machines:
         one.zone = draw(st.sampled_from(["a", "b"]))
         one.spot = draw(st.booleans())
         one.ready = draw(st.integers(0, 4)) > 0
@@ -184,21 +184,23 @@
             kind=draw(st.sampled_from(["array", "gang"])),
         )
         waiting.append(PendingJob(job, float(draw(st.integers(0, 50))), tasks, list(range(tasks)), {}, 10.0))
-    return Snapshot(60.0, {n.id: n for n in nodes}, waiting, TEAMS, used(nodes), {}, {"small": SMALL, "large": LARGE})
+    return Snapshot(
+        60.0, {n.id: n for n in machines}, waiting, TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
+    )
 
 
 @DERANDOMIZED
 @given(snapshots())
 def test_decisions_respect_room_limits_and_constraints(snapshot: Snapshot) -> None:
     jobs = {job.spec.id: job.spec for job in snapshot.waiting}
-    machines = {n.id: (n.type, n.zone, n.ready, sum(t.cpus for t in n.tasks), n) for n in snapshot.nodes.values()}
-    usage = {name: use.cpus for name, use in used(list(snapshot.nodes.values())).items()}
+    before = {n.id: (n.type, n.zone, n.ready, sum(t.cpus for t in n.tasks), n) for n in snapshot.machines.values()}
+    usage = {name: use.cpus for name, use in used(list(snapshot.machines.values())).items()}
     decision = decide(snapshot, 100, 8)
     zones: dict[str, list[str]] = {}
-    taken = {name: entry[3] for name, entry in machines.items()}
+    taken = {name: entry[3] for name, entry in before.items()}
     assert len({key for key, _ in decision.placed}) == len(decision.placed)
     for (job_id, _), name in decision.placed:
-        job, (kind, zone, ready, _, one) = jobs[job_id], machines[name]
+        job, (kind, zone, ready, _, one) = jobs[job_id], before[name]
         assert ready and allowed(job, one)
         taken[name] += job.cpus
         usage[job.team] += job.cpus
@@ -210,7 +212,7 @@
         if jobs[job_id].spread:
             assert max(where.count(z) for z in where) <= (jobs[job_id].tasks + 1) // 2
     for name, team in TEAMS.items():
-        assert usage[name] <= max(team.cpus_max or 1e9, used(list(snapshot.nodes.values()))[name].cpus)
+        assert usage[name] <= max(team.cpus_max or 1e9, used(list(snapshot.machines.values()))[name].cpus)
     for key, eviction in decision.preemptions:
         for victim in eviction.victims:
             assert victim.rank <= jobs[key[0]].rank and victim.key[0] != key[0]
@@ -220,29 +222,29 @@
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
 def test_decisions_are_those_of_the_plain_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
     """Whole rounds, with room held, nominations of earlier rounds, images and tasks that leave."""
-    for one in snapshot.nodes.values():
+    for one in snapshot.machines.values():
         one.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
-        one.leave([task for task in one.tasks if random.random() < 0.2])
+        one.mark_stopping([task for task in one.tasks if random.random() < 0.2])
     for job in snapshot.waiting:
         job.start_objective_s = random.choice([None, 2.0])
         job.aged, job.started = random.random() < 0.3, random.random() < 0.5
         job.starving = random.random() < 0.3
-        job.avoid = frozenset(name for name in snapshot.nodes if random.random() < 0.1)
+        job.avoid = frozenset(name for name in snapshot.machines if random.random() < 0.1)
         if random.random() < 0.3 and not job.spec.is_gang:
-            key, name = (job.spec.id, job.tasks[-1]), random.choice(list(snapshot.nodes))
+            key, name = (job.spec.id, job.tasks[-1]), random.choice(list(snapshot.machines))
             snapshot.nominations[key] = Nomination(key, name, job.spec.rank, job.spec, 9.0)
     snapshot.expected = [
         (spec(950 + i, 2.0, priority, kind="gang", spot=False, one_zone=i == 0), random.randrange(6))
         for i, priority in enumerate(random.sample(["idle", "standard", "urgent"], 2))
     ]
     expected = plain.decide(copy.deepcopy(snapshot), 6, max_preemptions)
-    before = {name: (one, one.cpus, list(one.tasks)) for name, one in snapshot.nodes.items()}
+    before = {name: (one, one.free_cpus, list(one.tasks)) for name, one in snapshot.machines.items()}
     decision = decide(snapshot, 6, max_preemptions)
     assert decision.placed == expected[0]
-    assert [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.preemptions] == expected[1]
+    assert [(key, e.machine_id, sorted(v.key for v in e.victims)) for key, e in decision.preemptions] == expected[1]
     assert {job.spec.id: left for job, left in decision.unmet} == expected[2]
     # The machines as they were handed in serve other rounds too.
-    assert all(one.cpus == cpus and one.tasks == tasks for one, cpus, tasks in before.values())
+    assert all(one.free_cpus == cpus and one.tasks == tasks for one, cpus, tasks in before.values())
 
 
 def crowd(draw: random.Random) -> Snapshot:
@@ -262,9 +264,9 @@
     running = [any_spec(900 + i, draw.randint(1, 3), tasks=4, kind="gang") for i in range(2)]
     running += [any_spec(910 + i, draw.randint(1, 6)) for i in range(6)]
     left = {job.id: float(draw.randint(1, 40)) for job in running}
-    nodes, serial = [], itertools.count()
+    machines, serial = [], itertools.count()
     for number in range(draw.randint(3, 6)):
-        one = node(
+        one = machine(
             f"n-{number}",
             draw.choice([SMALL, LARGE]),
             [],
@@ -273,8 +275,8 @@
         one.zone, one.spot = draw.choice("ab"), draw.random() < 0.3
         one.ready = draw.random() < 0.9
         for job in draw.choices(running, k=draw.randint(0, 6)):
-            if job.cpus <= one.cpus:
-                one.take(
+            if job.cpus <= one.free_cpus:
+                one.add_task(
                     RunningTask(
                         (job.id, next(serial)),
                         job,
@@ -291,7 +293,7 @@
                         recently_started=left[job.id] < 15,
                     )
                 )
-        nodes.append(one)
+        machines.append(one)
     waits = []
     for number in range(draw.randint(2, 5)):
         kind, tasks = draw.choice(["array", "gang", "gang"]), draw.randint(2, 6)
@@ -321,7 +323,7 @@
     expected = [(any_spec(950 + i, 2, kind="gang", spot=i == 1, one_zone=i == 0), draw.randint(0, 8)) for i in range(2)]
     teams = {name: Team(name, team.cpus, 2 * team.cpus_max) for name, team in TEAMS.items()}
     return Snapshot(
-        60.0, {n.id: n for n in nodes}, waits, teams, used(nodes), {}, {"small": SMALL, "large": LARGE}, expected
+        60.0, {n.id: n for n in machines}, waits, teams, used(machines), {}, {"small": SMALL, "large": LARGE}, expected
     )
 
 
@@ -332,7 +334,7 @@
         expected = plain.decide(copy.deepcopy(snapshot), 50, 8)
         decision = decide(snapshot, 50, 8)
         assert decision.placed == expected[0], seed
-        stopped = [(key, e.machine, sorted(v.key for v in e.victims)) for key, e in decision.preemptions]
+        stopped = [(key, e.machine_id, sorted(v.key for v in e.victims)) for key, e in decision.preemptions]
         assert stopped == expected[1], seed
         assert {job.spec.id: left for job, left in decision.unmet} == expected[2], seed
         placed: dict[str, int] = {}
@@ -350,25 +352,25 @@
 
 @DERANDOMIZED
 @given(fleets(), st.lists(st.tuples(st.integers(1, 8), st.sampled_from(["standard", "urgent"])), max_size=5))
-def test_a_task_waits_only_when_it_fits_nowhere(nodes: list[MachineView], wanted: list[tuple[int, str]]) -> None:
+def test_a_task_waits_only_when_it_fits_nowhere(machines: list[MachineView], wanted: list[tuple[int, str]]) -> None:
     """Against first fit by brute force: what is left unplaced has no room left."""
     waiting = [
         PendingJob(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
         for i, (cpus, priority) in enumerate(wanted)
     ]
     snapshot = Snapshot(
-        0.0, {n.id: n for n in nodes}, waiting, TEAMS, used(nodes), {}, {"small": SMALL, "large": LARGE}
+        0.0, {n.id: n for n in machines}, waiting, TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
     )
     decision = decide(snapshot, 100, 0)
     placed = {key[0] for key, _ in decision.placed}
     for job in waiting:
         if job.spec.id not in placed:
-            assert all(n.cpus < job.spec.cpus or n.id in snapshot.reservations for n in snapshot.nodes.values())
+            assert all(n.free_cpus < job.spec.cpus or n.id in snapshot.reservations for n in snapshot.machines.values())
 
 
 def test_nominated_room_is_not_given_away() -> None:
     busy = RunningTask(("j-9", 0), spec(9, 8.0), "core", 1, 8.0, 0.0, 1.0, remaining_s=100.0)
-    one = node("n-0", SMALL, [busy])
+    one = machine("n-0", SMALL, [busy])
     urgent, other = spec(1, 6.0, "urgent", tasks=1), spec(2, 4.0, tasks=1)
 
     def snapshot(nominations: dict) -> Snapshot:
@@ -376,10 +378,10 @@
         return Snapshot(0.0, {"n-0": one}, waiting, TEAMS, used([one]), nominations, {"small": SMALL})
 
     first = decide(snapshot({}), 10, 8)
-    assert [(key, e.machine, [v.key for v in e.victims]) for key, e in first.preemptions] == [
+    assert [(key, e.machine_id, [v.key for v in e.victims]) for key, e in first.preemptions] == [
         (("j-1", 0), "n-0", [("j-9", 0)])
     ]
-    one.give(busy)
+    one.remove_task(busy)
     nomination = Nomination(("j-1", 0), "n-0", 2, urgent, 10.0)
     waiting_urgent_last = snapshot({("j-1", 0): nomination})
     waiting_urgent_last.waiting.pop(0)
@@ -389,22 +391,22 @@
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
     gang = spec(1, 4.0, "urgent", tasks=3, kind="gang")
-    for machines, expected in ((1, 0), (2, 3)):
-        nodes = [node(f"n-{i}", SMALL, []) for i in range(machines)]
+    for count, expected in ((1, 0), (2, 3)):
+        machines = [machine(f"n-{i}", SMALL, []) for i in range(count)]
         waits = [PendingJob(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
-        snapshot = Snapshot(0.0, {n.id: n for n in nodes}, waits, TEAMS, used(nodes), {}, {"small": SMALL})
+        snapshot = Snapshot(0.0, {n.id: n for n in machines}, waits, TEAMS, used(machines), {}, {"small": SMALL})
         decision = decide(snapshot, 10, 8)
         assert len(decision.placed) == expected and decision.preemptions == []
         assert [job.spec.id for job, _ in decision.unmet] == (["j-1"] if expected == 0 else [])
-        assert sum(n.cpus for n in snapshot.nodes.values()) == 8.0 * machines - 4.0 * expected
+        assert sum(n.free_cpus for n in snapshot.machines.values()) == 8.0 * count - 4.0 * expected
 
 
 def test_room_beside_counts_equal_and_higher_nominations_only() -> None:
-    one = node("n-0", SMALL, [])
+    one = machine("n-0", SMALL, [])
     lower = Nomination(("j-5", 0), "n-0", 0, spec(5, 8.0, "idle"), 1.0)
     equal = Nomination(("j-6", 0), "n-0", 1, spec(6, 5.0), 1.0)
-    assert room_beside(spec(1, 8.0), one, [lower])
-    assert not room_beside(spec(1, 4.0), one, [equal])
+    assert fits_beside_nominations(spec(1, 8.0), one, [lower])
+    assert not fits_beside_nominations(spec(1, 4.0), one, [equal])
     assert candidates(spec(1, 4.0), one, TEAMS, used([])) == []
 
 
@@ -414,12 +416,14 @@
 
 def scale(
     unmet: list[tuple[PendingJob, int]],
-    nodes: list[MachineView],
+    machines: list[MachineView],
     refused: set[InstanceOffer] | None = None,
     settings: OperatorSettings | None = None,
 ):
-    snapshot = Snapshot(0.0, {n.id: n for n in nodes}, [], TEAMS, used(nodes), {}, {"small": SMALL, "large": LARGE})
-    demand = ScalingDemand(unmet, refused=frozenset(refused or ()))
+    snapshot = Snapshot(
+        0.0, {n.id: n for n in machines}, [], TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
+    )
+    demand = ScalingDemand(unmet, without_capacity=frozenset(refused or ()))
     return Autoscaler(snapshot, demand, settings or OperatorSettings()).plan()
 
 
@@ -443,7 +447,7 @@
 
 def test_room_kept_for_gangs_is_no_room_for_others() -> None:
     """Else a job that the kept room is closed to would wait for it, and nothing would be rented."""
-    kept = node("n-0", SMALL, [])
+    kept = machine("n-0", SMALL, [])
     expected = [(spec(9, 4.0, kind="gang", one_zone=True), 2)]
     for keep, placed in (([], 2), (expected, 0)):
         job = waiting(spec(1, 4.0), 2)
@@ -463,10 +467,10 @@
 
 
 def test_machines_on_the_way_count_and_idle_ones_go_back() -> None:
-    coming = node("n-1", SMALL, [])
+    coming = machine("n-1", SMALL, [])
     coming.up = False
     assert scale([(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
-    idle = node("n-2", SMALL, [], idle_s=100.0)
+    idle = machine("n-2", SMALL, [], idle_s=100.0)
     assert scale([], [idle]).release == ["n-2"]
     assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
 
@@ -474,19 +478,19 @@
 def test_held_room_is_open_to_what_was_not_served_for_long() -> None:
     """But for room that is held for an old job: that is for it alone, or for what fits beside it."""
     small = spec(1, 4.0)
-    for owner, lets in (("", True), ("j-000002", False)):
+    for owner, admits in (("", True), ("j-000002", False)):
         hold = Reservation(20.0, 2.0, 0.0, 8.0, owner)
-        assert hold.lets(small, 40.0, overdue=True) is lets
-        assert not hold.lets(small, 40.0) and hold.lets(spec(1, 2.0), 40.0, overdue=True)
+        assert hold.admits(small, 40.0, overdue=True) is admits
+        assert not hold.admits(small, 40.0) and hold.admits(spec(1, 2.0), 40.0, overdue=True)
 
 
 def test_an_old_job_of_many_tasks_is_not_held_to_the_part_of_the_old() -> None:
     """A quarter of the machines goes to it first; what else is free it gets in the ordinary order."""
-    nodes = [node(f"n-{number}", SMALL, []) for number in range(4)]
+    machines = [machine(f"n-{number}", SMALL, []) for number in range(4)]
     old = waiting(spec(1, 1.0), 28)
     old.aged = True
-    snapshot = Snapshot(0.0, {n.id: n for n in nodes}, [old], TEAMS, used(nodes), {}, {"small": SMALL})
+    snapshot = Snapshot(0.0, {n.id: n for n in machines}, [old], TEAMS, used(machines), {}, {"small": SMALL})
     decision = decide(snapshot, 100, 8)
     assert sorted(key for key, _ in decision.placed) == [("j-1", index) for index in range(28)]
-    preemption_exempt = [task for n in snapshot.nodes.values() for task in n.tasks if task.rank > 3]
+    preemption_exempt = [task for n in snapshot.machines.values() for task in n.tasks if task.rank > 3]
     assert len(preemption_exempt) == 8
