--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -7,11 +7,11 @@
 import math
 from typing import TYPE_CHECKING
 
+from stileloft.model import gangs
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import EXITED
-from stileloft.scheduling import gangs
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -7,10 +7,9 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from stileloft.model import records
+from stileloft.model import gangs, records
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.scheduling import gangs
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -16,10 +16,11 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
-from stileloft.protocol.messages import Heartbeat, JobSpec, MachineType, command_message
+from stileloft.protocol.messages import Heartbeat, MachineType, command_message
 from stileloft.protocol.state import UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import operator_decisions as decisions
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
+from stileloft.scheduling.snapshot import ExpectedTasks
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
 from stileloft.store.commit_queue import CommitQueue
@@ -190,7 +191,7 @@
             self.machines[machine_id] = machine
         return machine
 
-    def headroom(self, gang: bool) -> list[tuple[JobSpec, int]]:
+    def headroom(self, gang: bool) -> list[ExpectedTasks]:
         """Tasks that are to find room at once if they come now."""
         # What has not been seen in the first moments of a term may only not have been read yet.
         settled = self.clock.seconds() - self.started_at > self.settings.workers.heartbeat_s
--- a/stileloft/machines/fleet.py
+++ b/stileloft/machines/fleet.py
@@ -12,7 +12,8 @@
 from stileloft.protocol.cloud import PROVISION_LIMIT, RELEASE_LIMIT, CloudError, NoCapacityError
 from stileloft.protocol.messages import ListedMachine
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-from stileloft.scheduling.autoscaling import InstanceOffer, ScalingPlan
+from stileloft.scheduling.autoscaling import ScalingPlan
+from stileloft.scheduling.instance_offers import InstanceOffer
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
@@ -246,17 +247,19 @@
     def _came_late(self, machine: Machine, now: float) -> None:
         """It does not count as coming any more: others are rented for what waits for it."""
         machine.boot_overdue = True
-        offer = (machine.type, machine.zone, machine.spot)
+        offer = InstanceOffer(machine.type, machine.zone, machine.spot)
         late = self._late_in_a_row[offer] = self._late_in_a_row.get(offer, 0) + 1
         if late >= SLOW_BOOTS_IN_A_ROW:
             boots = min(MAX_UNRELIABLE_BOOTS, 2.0 ** (late - SLOW_BOOTS_IN_A_ROW))
             self._unreliable_until[offer] = now + boots * self._boot_s(machine)
-            log.info("the last %d machines of %s in %s came late: others are preferred", late, offer[0], offer[1])
+            log.info(
+                "the last %d machines of %s in %s came late: others are preferred", late, offer.machine_type, offer.zone
+            )
 
     def record_boot(self, machine: Machine) -> None:
         """A machine is up; one that is in time shows that its offer can be trusted."""
         if not machine.boot_overdue:
-            offer = (machine.type, machine.zone, machine.spot)
+            offer = InstanceOffer(machine.type, machine.zone, machine.spot)
             self._late_in_a_row.pop(offer, None)
             self._unreliable_until.pop(offer, None)
 
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -5,8 +5,9 @@
 
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
+from stileloft.model.nominations import Nomination
 from stileloft.model.placements import TaskKey
-from stileloft.scheduling.snapshot import Nomination, Usage
+from stileloft.model.quota import QuotaUsage
 
 
 class ClusterState:
@@ -64,21 +65,21 @@
         """
         return {task for machine in self.machines.values() if machine.orphaned_tasks for task in machine.orphaned_tasks}
 
-    def usage(self, teams: Iterable[str]) -> dict[str, Usage]:
+    def usage(self, teams: Iterable[str]) -> dict[str, QuotaUsage]:
         """What each team's tasks take, placed ones and strays."""
-        usage = {name: Usage() for name in teams}
+        usage = {name: QuotaUsage() for name in teams}
         for machine in self.machines.values():
             for stray in machine.orphaned_tasks.values():
                 if stray.team in usage:
                     usage[stray.team].add(stray.cpus, stray.gpus)
         for job in self.jobs.values():
             spec = job.spec
-            usage.setdefault(spec.team, Usage()).add(spec.cpus * job.placed, (spec.gpus or 0.0) * job.placed)
+            usage.setdefault(spec.team, QuotaUsage()).add(spec.cpus * job.placed, (spec.gpus or 0.0) * job.placed)
         return usage
 
     def expire_nominations(self, now: float) -> None:
         """Gives up nominations that have lapsed, or whose machine is gone."""
-        for key in [k for k, n in self.nominations.items() if n.until < now or n.machine_id not in self.machines]:
+        for key in [k for k, n in self.nominations.items() if n.expires_at < now or n.machine_id not in self.machines]:
             del self.nominations[key]
 
     def remove_job(self, job_id: str) -> None:
--- /dev/null
+++ b/stileloft/model/resources.py
@@ -0,0 +1,70 @@
+"""Amounts of processors, accelerators and memory."""
+
+from typing import NamedTuple, Protocol
+
+from stileloft.protocol.messages import JobSpec
+
+EPSILON = 1e-6
+"""Tolerance of comparisons: sums of amounts are not exact."""
+UNBOUNDED_SLOTS = 1_000_000
+"""Slots that a resource allows of which a task takes nothing."""
+
+
+class ResourceAmounts(Protocol):
+    """Anything that says how much of each resource it stands for."""
+
+    @property
+    def cpus(self) -> float:
+        """Processors."""
+
+    @property
+    def gpus(self) -> float:
+        """Accelerators."""
+
+    @property
+    def memory_gb(self) -> float:
+        """Memory."""
+
+
+class Resources(NamedTuple):
+    """An amount of each resource."""
+
+    cpus: float
+    gpus: float
+    memory_gb: float
+
+    def plus(self, other: ResourceAmounts) -> "Resources":
+        """The sum of both."""
+        return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb)
+
+    def minus(self, other: ResourceAmounts, count: int = 1) -> "Resources":
+        """What is left once the other amount is taken `count` times."""
+        return Resources(
+            self.cpus - count * other.cpus,
+            self.gpus - count * other.gpus,
+            self.memory_gb - count * other.memory_gb,
+        )
+
+    def covers(self, needed: "Resources", tolerance: float = EPSILON) -> bool:
+        """Whether each amount is at least the needed one."""
+        return (
+            needed.cpus <= self.cpus + tolerance
+            and needed.gpus <= self.gpus + tolerance
+            and needed.memory_gb <= self.memory_gb + tolerance
+        )
+
+    def slots(self, spec: JobSpec) -> int:
+        """How many of a job's tasks fit into this amount."""
+        return max(
+            0,
+            min(
+                int((self.cpus + EPSILON) / spec.cpus) if spec.cpus else UNBOUNDED_SLOTS,
+                int((self.memory_gb + EPSILON) / spec.memory_gb) if spec.memory_gb else UNBOUNDED_SLOTS,
+                int((self.gpus + EPSILON) / spec.gpus) if spec.gpus else UNBOUNDED_SLOTS,
+            ),
+        )
+
+
+def requested(spec: JobSpec) -> Resources:
+    """What one task of a job takes."""
+    return Resources(spec.cpus, spec.gpus or 0.0, spec.memory_gb)
--- /dev/null
+++ b/stileloft/scheduling/candidates.py
@@ -0,0 +1,99 @@
+"""The machines that have room for a job's tasks, the best first."""
+
+import heapq
+from collections.abc import Iterable, Sequence
+from typing import NamedTuple
+
+from stileloft.model.nominations import Nomination
+from stileloft.model.resources import EPSILON
+from stileloft.scheduling.constraints import machine_allowed, zone_allowed
+from stileloft.scheduling.machine_scoring import placement_cost
+from stileloft.scheduling.machine_view import MachineView
+from stileloft.scheduling.preemption import fits_beside_nominations
+from stileloft.scheduling.scheduling_cycle import SchedulingCycle
+from stileloft.scheduling.snapshot import PendingJob
+
+
+class ScoredMachine(NamedTuple):
+    """An entry of the heap."""
+
+    cost: float
+    machine_id: str
+    version: int
+    """The entry is out of date if the machine was scored again since."""
+
+
+class Candidates:
+    """The machines that have room for a job's tasks, which are alike, the best first.
+
+    Each machine is scored once, and again only when it has changed.
+    """
+
+    def __init__(self, job: PendingJob, cycle: SchedulingCycle, among: list[MachineView] | None = None) -> None:
+        self._job = job
+        self._cycle = cycle
+        self._machines = cycle.snapshot.machines
+        self._heap: list[ScoredMachine] = []
+        self._versions: dict[str, int] = {}
+        for machine in cycle.open_machine_views() if among is None else among:
+            self._score(machine, 0)
+        heapq.heapify(self._heap)
+
+    def _score(self, machine: MachineView, version: int) -> None:
+        """Appends the machine to the heap's list if a task fits there."""
+        job, cycle = self._job, self._cycle
+        spec = job.spec
+        if (
+            spec.cpus > machine.free_cpus + EPSILON
+            or machine.id in job.excluded_machines
+            or not machine_allowed(spec, machine)
+        ):
+            return
+        nominated: Sequence[Nomination] = cycle.nominations_by_machine.get(machine.id, ())
+        if nominated:
+            nominated = nominations_to_respect(job, nominated)
+        if not fits_beside_nominations(spec, machine, nominated):
+            return
+        reservation = cycle.snapshot.reservations.get(machine.id)
+        if reservation is not None and not reservation.admits(spec, job.estimate_s, job.starving):
+            return
+        cost = placement_cost(spec, machine, cycle.sizes, job.start_objective_s)
+        self._heap.append(ScoredMachine(cost, machine.id, version))
+
+    def best(self) -> MachineView | None:
+        """The machine of least cost that has room, if there is one."""
+        while self._heap:
+            entry = self._heap[0]
+            machine = self._machines[entry.machine_id]
+            # A zone that is full for the job stays so in this cycle.
+            if entry.version == self._versions.get(machine.id, 0) and zone_allowed(
+                self._job.spec, self._job.placed_by_zone, machine.zone
+            ):
+                return machine
+            heapq.heappop(self._heap)
+        return None
+
+    def machine_changed(self, machine_id: str) -> None:
+        """Scores a machine anew, on which a task was placed or a nomination lost."""
+        version = self._versions[machine_id] = self._versions.get(machine_id, 0) + 1
+        machine = self._machines[machine_id]
+        if not machine.schedulable:
+            return
+        before = len(self._heap)
+        self._score(machine, version)
+        if len(self._heap) > before:
+            heapq.heappush(self._heap, self._heap.pop())
+
+
+def nominations_to_respect(job: PendingJob, nominated: Iterable[Nomination]) -> list[Nomination]:
+    """The nominations that a job has to leave room for: not all of those of gangs that are only expected.
+
+    Gangs like these may take their room, and so may jobs that are promoted or starving.
+    """
+    respects_expected = not job.promoted and not job.starving
+    return [
+        nomination
+        for nomination in nominated
+        if not nomination.is_expected
+        or (respects_expected and (not job.spec.is_gang or nomination.rank > job.spec.rank))
+    ]
--- /dev/null
+++ b/stileloft/scheduling/machine_scoring.py
@@ -0,0 +1,82 @@
+"""Scoring of machines that have room for a task: image fetch, bin packing, price."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling.machine_view import MachineView
+
+URGENT_RANK = 2
+"""From this priority on a class is urgent."""
+
+# Score of a second of image fetch, in seconds.
+FETCH_WEIGHT_URGENT = 1.0
+FETCH_WEIGHT = 0.3
+# Score, in seconds, of a small task on a large machine: ordinary, with an objective on starting, and while tasks wait
+# that only large machines can take.
+BROKEN_MACHINE_WEIGHT = 5.0
+BROKEN_MACHINE_WEIGHT_PROMPT = 1.0
+BROKEN_MACHINE_WEIGHT_SCARCE = 30.0
+# The part of that for a large machine that is broken into already.
+ALREADY_BROKEN_FACTOR = 0.3
+# Score of a start later than the class's objective, in seconds; fetches may take this share of the objective.
+MISSED_OBJECTIVE_PENALTY = 6.0
+FETCH_SHARE_OF_OBJECTIVE = 0.6
+# Score of on-demand machines, in seconds: they are to run empty first, so that they can be released.
+ON_DEMAND_PENALTY = 2.0
+# For types that state no rate.
+LEAST_FETCH_GB_PER_S = 1e-3
+
+
+@dataclass(frozen=True, slots=True)
+class MachineSizes:
+    """The range of machine types, and whether the large ones are sought after."""
+
+    smallest_cpus: float
+    largest_cpus: float
+    large_scarce: bool
+    """Tasks wait that only large machines can take."""
+
+    @classmethod
+    def of(cls, types: Iterable[MachineType], waiting: Iterable[JobSpec]) -> "MachineSizes":
+        """The sizes of all types, for the jobs that wait."""
+        sizes = [kind.cpus for kind in types]
+        smallest = min(sizes, default=0.0)
+        return cls(smallest, max(sizes, default=0.0), any(spec.cpus > smallest for spec in waiting))
+
+
+def image_fetch_s(spec: JobSpec, machine: MachineView) -> float:
+    """Seconds until the machine is likely to have the task's image."""
+    if spec.image in machine.images:
+        return 0.0
+    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+    if spec.image in machine.fetching:
+        return alone_s  # it was begun some time ago, but may share the rate
+    return alone_s * (1 + len(machine.fetching))  # fetches share the rate
+
+
+def placement_cost(
+    spec: JobSpec, machine: MachineView, sizes: MachineSizes, start_objective_s: float | None = None
+) -> float:
+    """How bad a machine is for a task that fits there; lower is better."""
+    fetch_s = image_fetch_s(spec, machine)
+    # All tasks of a gang wait for the last image.
+    urgent = spec.rank >= URGENT_RANK or (spec.is_gang and start_objective_s is not None)
+    cost = (FETCH_WEIGHT_URGENT if urgent else FETCH_WEIGHT) * fetch_s
+    if start_objective_s is not None and fetch_s > FETCH_SHARE_OF_OBJECTIVE * start_objective_s:
+        cost += MISSED_OBJECTIVE_PENALTY
+    cost += (0.0 if machine.spot else ON_DEMAND_PENALTY) + (machine.free_cpus - spec.cpus) / max(machine.type.cpus, 1.0)
+    if spec.cpus <= sizes.smallest_cpus < machine.type.cpus:
+        cost += _broken_machine_cost(machine, sizes, start_objective_s)
+    return cost
+
+
+def _broken_machine_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
+    """Small tasks leave large machines whole while a small one has room, and first use up those broken into already."""
+    if start_objective_s is not None:
+        weight = BROKEN_MACHINE_WEIGHT_PROMPT
+    elif sizes.large_scarce:
+        weight = BROKEN_MACHINE_WEIGHT_SCARCE
+    else:
+        weight = BROKEN_MACHINE_WEIGHT
+    return weight * (1.0 if machine.free_cpus >= sizes.largest_cpus / 2 else ALREADY_BROKEN_FACTOR)
--- /dev/null
+++ b/stileloft/scheduling/reservations.py
@@ -0,0 +1,42 @@
+"""Reservations for single tasks: room kept on the machine that will have it first."""
+
+from stileloft.model.resources import requested
+from stileloft.scheduling.constraints import machine_allowed, zone_allowed
+from stileloft.scheduling.machine_view import FutureRoom, MachineView
+from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
+
+MAX_RESERVATIONS = 8
+"""Waiting tasks that room is kept for in one cycle."""
+
+
+def may_reserve(job: PendingJob, machine: MachineView, snapshot: Snapshot) -> bool:
+    """Whether room may be kept for the job on a machine, whatever runs there now."""
+    return machine.schedulable and machine.id not in snapshot.reservations and machine.id not in job.excluded_machines
+
+
+def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
+    """Keeps room for a task on the machine that will have it first."""
+    if len(snapshot.reservations) >= MAX_RESERVATIONS:
+        return
+    spec = job.spec
+    best: tuple[float, str] | None = None
+    for machine in snapshot.machines.values():
+        if (
+            spec.cpus > machine.type.cpus
+            or not may_reserve(job, machine, snapshot)
+            or not machine_allowed(spec, machine)
+            or not zone_allowed(spec, job.placed_by_zone, machine.zone)
+        ):
+            continue
+        future = _first_room(job, machine)
+        if future is not None and (best is None or (future.available_in_s, machine.id) < best):
+            best = future.available_in_s, machine.id
+            reservation = Reservation.for_job(job, future.available_in_s, future.room)
+    if best is not None:
+        snapshot.reservations[best[1]] = reservation
+
+
+def _first_room(job: PendingJob, machine: MachineView) -> FutureRoom | None:
+    """The first room on the machine that a task fits into."""
+    needed = requested(job.spec)
+    return next((future for future in machine.room_by_time() if future.room.covers(needed, tolerance=0.0)), None)
--- /dev/null
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -0,0 +1,87 @@
+"""When provisioning a machine is worth while: what waits, what will be free soon, what deadlines allow."""
+
+from collections.abc import Iterable
+
+from stileloft.model.machines import fits_type
+from stileloft.protocol.messages import JobSpec, MachineType
+from stileloft.scheduling.constraints import machine_allowed
+from stileloft.scheduling.machine_scoring import LEAST_FETCH_GB_PER_S
+from stileloft.scheduling.machine_view import MachineView
+from stileloft.scheduling.scheduling_cycle import UnmetDemand
+from stileloft.scheduling.snapshot import PendingJob, Snapshot
+
+# Waiting that the present machines will end within this part of a boot time does not pay a new machine.
+WORTHWHILE_WAIT_BOOTS = 0.4
+# On-demand machines are provisioned for a deadline when this many boot times are left to it, and
+# for one that is this many boot times out of reach, since estimates are often wrong.
+EARLY_BOOTS = 0.5
+LATE_BOOTS = 1.0
+
+
+def machines_to_fill(unmet: Iterable[UnmetDemand], types: dict[str, MachineType]) -> float:
+    """Roughly how many machines the tasks would fill, each on the smallest type that they fit on."""
+    total = 0.0
+    for job, count in unmet:
+        sizes = [kind.cpus for kind in types.values() if fits_type(job.spec, kind)]
+        if sizes:
+            total += count * job.spec.cpus / max(min(sizes), 1.0)
+    return total
+
+
+def time_to_ready_s(spec: JobSpec, types: Iterable[MachineType]) -> float:
+    """Boot and image fetch of a new machine for the job, at the best; 0 if no type suits it."""
+    return min(
+        (
+            kind.boot_s + spec.image_gb / max(kind.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+            for kind in types
+            if fits_type(spec, kind)
+        ),
+        default=0.0,
+    )
+
+
+def shortest_boot_s(spec: JobSpec, types: Iterable[MachineType]) -> float:
+    """Boot time of a new machine for the job, at the best; 0 if no type suits it."""
+    return min((kind.boot_s for kind in types if fits_type(spec, kind)), default=0.0)
+
+
+def all_tasks_allow_spot(machine: MachineView) -> bool:
+    """Whether none of a machine's tasks rules out spot instances."""
+    return not any(task.spec is not None and not task.spec.spot for task in machine.tasks)
+
+
+def needs_on_demand(job: PendingJob, snapshot: Snapshot) -> bool:
+    """Whether an on-demand machine is needed now for the job's deadline, and still helps it."""
+    spec = job.spec
+    if spec.deadline_s is None:
+        return True
+    ready_s = time_to_ready_s(spec, snapshot.types.values())
+    spare_s = job.submitted_at + spec.deadline_s - job.estimate_s - ready_s - snapshot.now
+    return -LATE_BOOTS * ready_s < spare_s < EARLY_BOOTS * ready_s
+
+
+def served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
+    """Whether the present machines will have room well before a new one could be up.
+
+    What gangs are to have of it is taken already: a job that waited for that room would wait for ever.
+    """
+    horizon_s = WORTHWHILE_WAIT_BOOTS * shortest_boot_s(spec, snapshot.types.values())
+    slots = 0
+    for machine in machines:
+        if machine.schedulable and machine_allowed(spec, machine):
+            slots += _slots_within(spec, machine, horizon_s)
+        if slots >= count:
+            return True
+    return False
+
+
+def _slots_within(spec: JobSpec, machine: MachineView, horizon_s: float) -> int:
+    """How many tasks the machine will have room for by then; none of a job that takes no processors or no memory."""
+    if not spec.cpus or not spec.memory_gb:
+        return 0
+    cpus, memory_gb = machine.free_cpus, machine.free_memory_gb
+    for task in machine.tasks:
+        if task.remaining_s <= horizon_s:
+            cpus += task.cpus
+            memory_gb += task.memory_gb
+    return int(min(cpus / spec.cpus, memory_gb / spec.memory_gb))
--- /dev/null
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -0,0 +1,150 @@
+"""One scheduling cycle: what is the same for all of its jobs, and how its decisions change the snapshot."""
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from stileloft.model.nominations import Nomination
+from stileloft.model.placements import TaskKey
+from stileloft.model.quota import TeamQuotas
+from stileloft.model.resources import EPSILON, requested
+from stileloft.scheduling.machine_scoring import MachineSizes
+from stileloft.scheduling.machine_view import MachineView, RunningTask
+from stileloft.scheduling.preemption import Preemption
+from stileloft.scheduling.preemption_trials import ReclaimableRoomIndex
+from stileloft.scheduling.snapshot import PendingJob, Snapshot
+
+
+class TaskPlacement(NamedTuple):
+    """A task that is to be placed on a machine."""
+
+    key: TaskKey
+    machine_id: str
+
+
+class TaskPreemption(NamedTuple):
+    """A task for which room is to be made on a machine."""
+
+    key: TaskKey
+    preemption: Preemption
+
+
+class UnmetDemand(NamedTuple):
+    """How many tasks of a job got neither a place nor a nomination."""
+
+    job: PendingJob
+    task_count: int
+
+
+@dataclass(slots=True)
+class Decision:
+    """What a cycle decided."""
+
+    placed: list[TaskPlacement] = field(default_factory=list)
+    preemptions: list[TaskPreemption] = field(default_factory=list)
+    unmet: list[UnmetDemand] = field(default_factory=list)
+    promoted: frozenset[str] = frozenset()
+    """Jobs that went before more pressing work because of their age."""
+
+
+@dataclass(frozen=True, slots=True)
+class CycleLimits:
+    """How much one cycle decides at the most."""
+
+    placed: int
+    preemptions: int
+
+
+class LeastRequest(NamedTuple):
+    """The least that any waiting task takes, of each resource by itself."""
+
+    cpus: float
+    memory_gb: float
+
+
+class SchedulingCycle:
+    """What is the same for all jobs of a cycle, and the decisions made so far."""
+
+    def __init__(self, snapshot: Snapshot, limits: CycleLimits, nominations: Iterable[Nomination]) -> None:
+        specs = [job.spec for job in snapshot.waiting]
+        self.snapshot = snapshot
+        self.quotas: TeamQuotas = snapshot.quotas
+        self.limits = limits
+        self.decision = Decision(promoted=frozenset(job.spec.id for job in snapshot.waiting if job.promoted))
+        self.sizes = MachineSizes.of(snapshot.types.values(), specs)
+        self.nominations_by_machine: dict[str, list[Nomination]] = {}
+        for nomination in nominations:
+            self.nominations_by_machine.setdefault(nomination.machine_id, []).append(nomination)
+        self.reclaimable = ReclaimableRoomIndex(snapshot.machines)
+        self.teams_saving_quota: set[str] = set()
+        """Teams at their limit, of which a promoted job is to have what becomes free."""
+        self._open_machines = [machine.id for machine in snapshot.machines.values() if machine.schedulable]
+        """Machines on which something may have room."""
+        self._least_request = LeastRequest(
+            min((spec.cpus for spec in specs), default=0.0), min((spec.memory_gb for spec in specs), default=0.0)
+        )
+        self._placed_at_last_drop = -1
+
+    def open_machine_views(self) -> list[MachineView]:
+        """Machines on which something may have room."""
+        return [self.snapshot.machines[machine_id] for machine_id in self._open_machines]
+
+    def drop_full_machines(self) -> None:
+        """Leaves out the machines that have become full, if tasks were placed since the last time."""
+        placed = len(self.decision.placed)
+        if placed == self._placed_at_last_drop:
+            return
+        self._placed_at_last_drop = placed
+        cpus, memory_gb = self._least_request
+        self._open_machines = [
+            machine.id
+            for machine in self.open_machine_views()
+            if machine.free_cpus + EPSILON >= cpus and machine.free_memory_gb + EPSILON >= memory_gb
+        ]
+
+    def place_task(self, job: PendingJob, index: int, target: MachineView) -> None:
+        """Places a task on a machine."""
+        spec, snapshot = job.spec, self.snapshot
+        key = (spec.id, index)
+        machine = snapshot.writable(target.id)
+        reservation = snapshot.reservations.get(machine.id)
+        if reservation is not None and job.estimate_s > reservation.available_in_s:
+            reservation.leftover = reservation.leftover.minus(requested(spec))
+        machine.add_task(RunningTask.from_spec(spec, key, job.promoted, job.estimate_s))
+        if spec.image not in machine.images:
+            machine.fetching |= {spec.image}
+        self.quotas.usage_of(spec.team).add(spec.cpus, spec.gpus or 0.0)
+        job.placed_by_zone[machine.zone] = job.placed_by_zone.get(machine.zone, 0) + 1
+        job.waiting_count -= 1
+        self.decision.placed.append(TaskPlacement(key, machine.id))
+        snapshot.nominations.pop(key, None)
+
+    def nominate_task(self, job: PendingJob, index: int, preemption: Preemption) -> None:
+        """The task is to have the machine that the trials found best, once the victims are gone."""
+        spec, snapshot = job.spec, self.snapshot
+        key, machine_id = (spec.id, index), preemption.machine_id
+        self.decision.preemptions.append(TaskPreemption(key, preemption))
+        self._stop_victims(preemption)
+        nominated = self.nominations_by_machine.setdefault(machine_id, [])
+        for lower in [nomination for nomination in nominated if nomination.rank < spec.rank]:
+            # They lose the nomination and return to waiting.
+            nominated.remove(lower)
+            snapshot.nominations.pop(lower.key, None)
+        nomination = Nomination(key, machine_id, spec.rank, spec, 0.0)
+        snapshot.nominations[key] = nomination
+        nominated.append(nomination)
+        self.quotas.usage_of(spec.team).add(spec.cpus, spec.gpus or 0.0)
+
+    def _stop_victims(self, preemption: Preemption) -> None:
+        """Marks the victims as being stopped, and with them the rest of their gangs on other machines."""
+        if preemption.victims:
+            self.snapshot.writable(preemption.machine_id).mark_stopping(preemption.victims)
+            self.reclaimable.task_stopped(preemption.machine_id)
+        gangs = {task.key[0] for task in preemption.victims if task.group_size > 1}
+        if not gangs:
+            return
+        for machine in list(self.snapshot.machines.values()):
+            members = [task for task in machine.tasks if task.key[0] in gangs]
+            if members:
+                self.snapshot.writable(machine.id).mark_stopping(members)
+                self.reclaimable.task_stopped(machine.id)
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -7,16 +7,21 @@
 import logging
 from typing import TYPE_CHECKING, Any
 
+from stileloft.model import gangs
 from stileloft.model.chunks import Chunk
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
+from stileloft.model.nominations import Nomination
 from stileloft.model.placements import Placement, PlacementState, TaskKey
+from stileloft.model.quota import QuotaUsage, within_limit
+from stileloft.model.resources import EPSILON
 from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling import gangs, placement
-from stileloft.scheduling.autoscaling import Autoscaler, ScalingDemand, ScalingPlan
-from stileloft.scheduling.placement import Decision
+from stileloft.scheduling import placement
+from stileloft.scheduling.autoscaling import Autoscaler, ScalingPlan
+from stileloft.scheduling.constraints import zone_allowed
 from stileloft.scheduling.preemption import Preemption
-from stileloft.scheduling.snapshot import EPSILON, Nomination, Usage, within_limit, zone_allowed
+from stileloft.scheduling.provisioning_planner import ScalingDemand
+from stileloft.scheduling.scheduling_cycle import Decision
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
@@ -176,7 +181,7 @@
         self,
         key: TaskKey,
         machine_id: str,
-        usage: dict[str, Usage],
+        usage: dict[str, QuotaUsage],
         orphaned_task_names: set[str],
         preemption_exempt: bool,
     ) -> None:
@@ -185,7 +190,7 @@
         machine = self._cluster.machines.get(machine_id)
         if job is None or machine is None or not self._is_free(job, key[1], orphaned_task_names):
             return
-        used = usage.setdefault(job.spec.team, Usage())
+        used = usage.setdefault(job.spec.team, QuotaUsage())
         if not self._may_take(job, machine, used):
             return
         used.add(job.spec.cpus, job.spec.gpus or 0.0)
@@ -201,7 +206,7 @@
         chunk = job.chunks.get(index // job.chunk_size)
         return chunk is None or (index not in chunk.done and index not in chunk.placements)
 
-    def _may_take(self, job: Job, machine: Machine, used: Usage) -> bool:
+    def _may_take(self, job: Job, machine: Machine, used: QuotaUsage) -> bool:
         """Whether the machine, the job's zones and the team's limit allow one more task."""
         spec = job.spec
         kind = self._term.types.get(machine.type)
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -7,7 +7,9 @@
 from stileloft.model.machines import Machine, fits_type
 from stileloft.model.placements import PlacementState
 from stileloft.protocol.messages import MachineType
-from stileloft.scheduling.snapshot import PREEMPTION_EXEMPT_RANK, MachineView, PendingJob, RunningTask, Snapshot
+from stileloft.scheduling.instance_offers import view_of_offer
+from stileloft.scheduling.machine_view import PREEMPTION_EXEMPT_RANK, MachineView, RunningTask
+from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
@@ -54,7 +56,7 @@
             usage=cluster.usage(term.teams),
             nominations=dict(cluster.nominations),
             types=types,
-            expected=term.headroom(gang=True),
+            expected_gangs=term.headroom(gang=True),
         )
 
     def _nodes(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
@@ -66,8 +68,7 @@
                 nodes[machine.id] = self._view(machine, kind, now)
         for request, (offer, count) in self._term.fleet.provisioning.items():
             for number in range(count):
-                node = MachineView(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
-                node.recompute_free()
+                node = view_of_offer(f"{request}-{number}", offer, types)
                 nodes[node.id] = node
         return nodes
 
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -1,26 +1,37 @@
 """What the classes of jobs are like, how often they come, and what room they will need."""
 
+import enum
 import math
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
 from stileloft.model.machines import fits_type
+from stileloft.model.nominations import EXPECTED_JOB_ID
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling import gangs
+from stileloft.scheduling.scaling_criteria import shortest_boot_s, time_to_ready_s
+from stileloft.scheduling.snapshot import ExpectedTasks
 from stileloft.settings import Objective
 
 # Weight of the newest observation in a moving mean.
-CLASS_MEMORY = 0.2
+MOVING_MEAN_WEIGHT = 0.2
 # Machines kept for a class that is to start soon and has not been seen: some gangs come while more are booting.
-UNSEEN_MACHINES = 3
+UNSEEN_CLASS_MACHINES = 3
 # A class is taken to have ended when nothing came for this many of its usual gaps.
-QUIET_ARRIVALS = 4.0
-# The room that operators set is for classes of which so many jobs come in a boot.
-BURST_ARRIVALS = 2.0
-# CycleLimits of the ratio of a run time to its estimate, so that one odd job does not mislead.
+QUIET_GAPS = 4.0
+# The headroom that operators set is for classes of which so many jobs come in a boot time.
+ARRIVALS_PER_BOOT = 2.0
+# Bounds of the ratio of a run time to its estimate, so that one odd job does not mislead.
 LEAST_RATIO, MOST_RATIO = 0.1, 4.0
 LEAST_ESTIMATE_S = 0.5
+LEAST_GAP_S = 0.1
+
+
+class ObjectiveKind(enum.StrEnum):
+    """Which time a service-level objective bounds, by the settings' names."""
+
+    START = "wait"
+    COMPLETION = "finished"
 
 
 @dataclass(slots=True)
@@ -28,17 +39,29 @@
     """What a class's jobs are like, and how often they come."""
 
     spec: JobSpec
-    tasks: float
-    last: float
-    gap_s: float = 0.0
+    """The newest job."""
+    mean_tasks: float
+    last_submitted_at: float
+    mean_gap_s: float = 0.0
 
-    def add(self, spec: JobSpec, submitted: float) -> None:
+    def add(self, spec: JobSpec, submitted_at: float) -> None:
         """Takes in one more job of the class."""
-        gap = max(0.0, submitted - self.last)
-        self.gap_s = gap if self.gap_s == 0.0 else self.gap_s + CLASS_MEMORY * (gap - self.gap_s)
-        self.tasks += CLASS_MEMORY * (spec.tasks - self.tasks)
+        gap_s = max(0.0, submitted_at - self.last_submitted_at)
+        if self.mean_gap_s == 0.0:
+            self.mean_gap_s = gap_s
+        else:
+            self.mean_gap_s = _moving_mean(self.mean_gap_s, gap_s)
+        self.mean_tasks = _moving_mean(self.mean_tasks, spec.tasks)
         self.spec = spec
-        self.last = max(self.last, submitted)
+        self.last_submitted_at = max(self.last_submitted_at, submitted_at)
+
+    def has_ended(self, now: float) -> bool:
+        """Whether the class has sent nothing for so long that it is taken to have ended."""
+        return now - self.last_submitted_at > QUIET_GAPS * max(self.mean_gap_s, self.spec.estimate_s)
+
+
+def _moving_mean(mean: float, newest: float) -> float:
+    return mean + MOVING_MEAN_WEIGHT * (newest - mean)
 
 
 class Workload:
@@ -53,62 +76,71 @@
         self._wall_clock = wall_clock
         self._types = types
         self._ratios: dict[str, float] = {}
+        """Run time to estimate, by class."""
         self.classes: dict[str, ClassLoad] = {}
-        self.start_objectives = self._objective_times(objectives, "wait")
-        self.completion_objectives = self._objective_times(objectives, "finished")
+        self.start_objectives = self._tightest(objectives, ObjectiveKind.START)
+        self.completion_objectives = self._tightest(objectives, ObjectiveKind.COMPLETION)
+
+    @staticmethod
+    def _tightest(objectives: Iterable[Objective], kind: ObjectiveKind) -> dict[str, float]:
+        """The tightest time of each class that has an objective of this kind."""
+        tightest: dict[str, float] = {}
+        for objective in objectives:
+            if objective.kind == kind and objective.job_class and objective.within_s is not None:
+                known = tightest.get(objective.job_class, objective.within_s)
+                tightest[objective.job_class] = min(known, objective.within_s)
+        return tightest
 
     def any_active(self) -> bool:
         """Whether jobs of some class are still coming."""
-        return any(not self._has_ended(load) for load in self.classes.values())
+        now = self._wall_clock()
+        return any(not load.has_ended(now) for load in self.classes.values())
 
     def record_run_time(self, spec: JobSpec, took_s: float) -> None:
         """Corrects later estimates of the class by a completed task's run time."""
         ratio = min(MOST_RATIO, max(LEAST_RATIO, took_s / spec.estimate_s))
-        known = self._ratios.get(spec.job_class, 1.0)
-        self._ratios[spec.job_class] = known + CLASS_MEMORY * (ratio - known)
+        self._ratios[spec.job_class] = _moving_mean(self._ratios.get(spec.job_class, 1.0), ratio)
 
-    @staticmethod
-    def _objective_times(objectives: Iterable[Objective], kind: str) -> dict[str, float]:
-        """The tightest time of each class that has an objective of this kind."""
-        times: dict[str, float] = {}
-        for objective in objectives:
-            if objective.kind == kind and objective.job_class and objective.within_s is not None:
-                known = times.get(objective.job_class, objective.within_s)
-                times[objective.job_class] = min(known, objective.within_s)
-        return times
+    def estimate(self, spec: JobSpec) -> float:
+        """Seconds a task is likely to run: the owner's estimate, corrected by what the class has shown."""
+        return max(LEAST_ESTIMATE_S, spec.estimate_s * self._ratios.get(spec.job_class, 1.0))
 
-    def observe(self, spec: JobSpec, submitted: float) -> None:
+    def observe(self, spec: JobSpec, submitted_at: float) -> None:
         """Keeps what a class's jobs are like and how often they come, for headroom."""
         load = self.classes.get(spec.job_class)
         if load is None:
-            self.classes[spec.job_class] = ClassLoad(spec, float(spec.tasks), submitted)
+            self.classes[spec.job_class] = ClassLoad(spec, float(spec.tasks), submitted_at)
         else:
-            load.add(spec, submitted)
+            load.add(spec, submitted_at)
 
-    def headroom(self, gang: bool, settings: OperatorSettings, unseen: bool = False) -> list[tuple[JobSpec, int]]:
-        """Tasks that should find room at once: of classes for which a rental would come too late.
+    def headroom(self, gang: bool, settings: OperatorSettings, unseen: bool = False) -> list[ExpectedTasks]:
+        """Tasks that should find room at once: of classes for which a new machine would come too late.
 
         With `unseen`, room is kept for classes too of which nothing has come yet.
         """
-        found = []
-        for name, load in sorted(self.classes.items()):
-            spec = load.spec
-            if self._has_ended(load) or spec.is_gang is not gang:
-                continue
-            if name in self.start_objectives:
-                factor = settings.headroom_wait
-            else:
-                factor = settings.headroom if self._slack_s(spec) < 0 else 0.0
-            found.append((spec, math.ceil(factor * self._burst_factor(load) * load.tasks)))
+        now = self._wall_clock()
+        found = [
+            ExpectedTasks(load.spec, self._headroom_tasks(job_class, load, settings))
+            for job_class, load in sorted(self.classes.items())
+            if load.spec.is_gang is gang and not load.has_ended(now)
+        ]
         if unseen:
-            found += [(spec, UNSEEN_MACHINES) for spec in self._unseen()]
-        found.sort(key=lambda item: -item[0].rank)
+            found += [ExpectedTasks(spec, UNSEEN_CLASS_MACHINES) for spec in self._unseen_classes()]
+        found.sort(key=lambda expected: -expected.spec.rank)
         return found
 
-    def _unseen(self) -> list[JobSpec]:
-        """Small machines at the full price for each class that is to start soon and of which nothing has come.
+    def _headroom_tasks(self, job_class: str, load: ClassLoad, settings: OperatorSettings) -> int:
+        """For how many tasks of a class room is to be kept."""
+        if job_class in self.start_objectives:
+            factor = settings.headroom_wait
+        else:
+            factor = settings.headroom if self._slack_s(load.spec) < 0 else 0.0
+        return math.ceil(factor * self._burst_factor(load) * load.mean_tasks)
+
+    def _unseen_classes(self) -> list[JobSpec]:
+        """Small on-demand machines for each class that is to start soon and of which nothing has come.
 
-        It may turn out to be one of gangs, which stop nobody, or one that may use no spot machine, and its
+        It may turn out to be one of gangs, which preempt nothing, or one that may use no spot instance, and its
         first jobs would wait for a boot.
         """
         kind = min(self._types().values(), key=lambda kind: (kind.price, kind.name), default=None)
@@ -116,8 +148,8 @@
             return []
         return [
             JobSpec(
-                id=gangs.EXPECTED_JOB_ID,
-                job_class=name,
+                id=EXPECTED_JOB_ID,
+                job_class=job_class,
                 team="",
                 kind="gang",
                 priority="standard",
@@ -129,32 +161,21 @@
                 image_gb=0.0,
                 estimate_s=0.0,
             )
-            for name in self.start_objectives
-            if name not in self.classes
+            for job_class in self.start_objectives
+            if job_class not in self.classes
         ]
 
     def _burst_factor(self, load: ClassLoad) -> float:
-        """What arrives in a boot varies by its root: more room for classes of which many jobs come in one."""
-        boot_s = min((kind.boot_s for kind in self._types().values() if fits_type(load.spec, kind)), default=0.0)
-        return max(1.0, math.sqrt(boot_s / max(load.gap_s, 0.1) / BURST_ARRIVALS))
-
-    def _has_ended(self, load: ClassLoad) -> bool:
-        """Whether the class has sent nothing for so long that it is taken to have ended."""
-        return self._wall_clock() - load.last > QUIET_ARRIVALS * max(load.gap_s, load.spec.estimate_s)
+        """What arrives in a boot time varies by its root: more room for classes of which many jobs come in one."""
+        boot_s = shortest_boot_s(load.spec, self._types().values())
+        return max(1.0, math.sqrt(boot_s / max(load.mean_gap_s, LEAST_GAP_S) / ARRIVALS_PER_BOOT))
 
     def _slack_s(self, spec: JobSpec) -> float:
-        """How long a new job of this kind may wait for a machine to be rented, at the least."""
+        """How long a new job of this kind may wait before a machine is provisioned for it, at the least."""
         kinds = [kind for kind in self._types().values() if fits_type(spec, kind)]
         if not kinds:
             return 0.0
-        ready_s = min(kind.boot_s + spec.image_gb / max(kind.fetch_gb_per_s, 1e-3) for kind in kinds)
-        limits = [
-            limit for limit in (spec.deadline_s, self.completion_objectives.get(spec.job_class)) if limit is not None
-        ]
-        if not limits:
-            return ready_s
-        return min(limits) - self.estimate(spec) - ready_s
-
-    def estimate(self, spec: JobSpec) -> float:
-        """Seconds a task is likely to run: the owner's estimate, corrected by what the class has shown."""
-        return max(LEAST_ESTIMATE_S, spec.estimate_s * self._ratios.get(spec.job_class, 1.0))
+        ready_s = time_to_ready_s(spec, kinds)
+        objective_s = self.completion_objectives.get(spec.job_class)
+        limits = [limit for limit in (spec.deadline_s, objective_s) if limit is not None]
+        return min(limits) - self.estimate(spec) - ready_s if limits else ready_s
--- a/stileloft/store/job_transaction.py
+++ b/stileloft/store/job_transaction.py
@@ -4,10 +4,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from stileloft.model import records
+from stileloft.model import gangs, records
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.scheduling import gangs
 from stileloft.settings import State
 
 if TYPE_CHECKING:
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -149,10 +149,10 @@
         (SchedulingLoop, "_decide"),
         (SchedulingLoop, "_apply"),
         (Leader, "_check"),
-        (CommandDispatcher, "on_report"),
+        (CommandDispatcher, "on_heartbeat"),
     ):
         costs.watch(owner, method)
-    costs.watch(Fleet, "take_list")
+    costs.watch(Fleet, "reconcile_list")
     for machines in sizes:
         measure_size(machines, costs)
 
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -2,32 +2,18 @@
 
 import copy
 
+from stileloft.model.nominations import Nomination
 from stileloft.model.placements import TaskKey
+from stileloft.model.quota import QuotaUsage, exceeds_guarantee, within_guarantee, within_limit
+from stileloft.model.resources import Resources
 from stileloft.protocol.messages import JobSpec
-from stileloft.scheduling import preemption
-from stileloft.scheduling.placement import (
-    MAX_RESERVATIONS,
-    image_fetch_s,
-    placement_cost,
-    promote_aged_jobs,
-    queue_position,
-    running_task,
-)
-from stileloft.scheduling.preemption import Preemption, loss
-from stileloft.scheduling.snapshot import (
-    MachineView,
-    Nomination,
-    PendingJob,
-    Reservation,
-    RunningTask,
-    Snapshot,
-    Usage,
-    allowed,
-    beyond_guarantee,
-    within_guarantee,
-    within_limit,
-    zone_allowed,
-)
+from stileloft.scheduling.constraints import machine_allowed, zone_allowed
+from stileloft.scheduling.machine_scoring import MachineSizes, image_fetch_s, placement_cost
+from stileloft.scheduling.machine_view import MachineView, RunningTask
+from stileloft.scheduling.preemption import Preemption, fits_beside_nominations, loss
+from stileloft.scheduling.queue_order import promote_aged_jobs, queue_position
+from stileloft.scheduling.reservations import MAX_RESERVATIONS
+from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
 
 
 def trial(
@@ -35,7 +21,7 @@
 ) -> list[RunningTask] | None:
     """The design's words, with lists and sums only: remove in order, then return in the opposite order."""
     teams, usage = snapshot.teams, snapshot.usage
-    owed = within_guarantee(job, teams.get(job.team), usage.get(job.team, Usage()))
+    owed = within_guarantee(job, teams.get(job.team), usage.get(job.team, QuotaUsage()))
     single = [
         t
         for t in machine.tasks
@@ -47,7 +33,7 @@
                 owed
                 and t.rank <= job.rank
                 and t.team != job.team
-                and beyond_guarantee(teams.get(t.team), usage.get(t.team, Usage()))
+                and exceeds_guarantee(teams.get(t.team), usage.get(t.team, QuotaUsage()))
             )
         )
     ]
@@ -88,12 +74,12 @@
 def preempt(job: PendingJob, snapshot: Snapshot, nominations: list[Nomination]) -> Preemption | None:
     """The best machine and its victims."""
     spec = job.spec
-    if not within_limit(spec, snapshot.teams.get(spec.team), snapshot.usage.get(spec.team, Usage())):
+    if not within_limit(spec, snapshot.teams.get(spec.team), snapshot.usage.get(spec.team, QuotaUsage())):
         return None
     found = []
     for machine in snapshot.machines.values():
         hold = snapshot.reservations.get(machine.id)
-        if not may_use(job, machine) or (hold and hold.owner not in ("", spec.id)):
+        if not may_use(job, machine) or (hold and hold.exclusive_job_id not in ("", spec.id)):
             continue
         victims = trial(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
         if victims is not None:
@@ -107,9 +93,9 @@
     return (
         machine.up
         and machine.ready
-        and machine.id not in job.avoid
-        and allowed(job.spec, machine)
-        and zone_allowed(job.spec, job.zones, machine.zone)
+        and machine.id not in job.excluded_machines
+        and machine_allowed(job.spec, machine)
+        and zone_allowed(job.spec, job.placed_by_zone, machine.zone)
     )
 
 
@@ -117,6 +103,7 @@
     """The best machine that fits now, beside the tasks nominated there."""
     spec = job.spec
     kinds = [kind.cpus for kind in snapshot.types.values()]
+    sizes = MachineSizes(min(kinds), max(kinds), scarce)
     found = []
     for machine in snapshot.machines.values():
         if not may_use(job, machine):
@@ -124,10 +111,8 @@
         hold = snapshot.reservations.get(machine.id)
         if hold is not None and not hold.admits(spec, job.estimate_s, job.starving):
             continue
-        if preemption.fits_beside_nominations(spec, machine, [n for n in nominations if n.machine_id == machine.id]):
-            found.append(
-                (placement_cost(spec, machine, min(kinds), max(kinds), scarce, job.start_objective_s), machine.id)
-            )
+        if fits_beside_nominations(spec, machine, [n for n in nominations if n.machine_id == machine.id]):
+            found.append((placement_cost(spec, machine, sizes, job.start_objective_s), machine.id))
     return snapshot.machines[min(found)[1]] if found else None
 
 
@@ -140,9 +125,9 @@
             machine.up
             and machine.ready
             and machine.id not in snapshot.reservations
-            and machine.id not in job.avoid
-            and allowed(spec, machine)
-            and zone_allowed(spec, job.zones, machine.zone)
+            and machine.id not in job.excluded_machines
+            and machine_allowed(spec, machine)
+            and zone_allowed(spec, job.placed_by_zone, machine.zone)
         ):
             continue
         cpus, memory_gb, at = machine.free_cpus, machine.free_memory_gb, 0.0
@@ -155,7 +140,11 @@
                 (
                     at,
                     machine.id,
-                    Reservation(at, cpus - spec.cpus, 0.0, memory_gb - spec.memory_gb, spec.id if job.promoted else ""),
+                    Reservation(
+                        at,
+                        Resources(cpus - spec.cpus, 0.0, memory_gb - spec.memory_gb),
+                        spec.id if job.promoted else "",
+                    ),
                 )
             )
     if found and len(snapshot.reservations) < MAX_RESERVATIONS:
@@ -166,15 +155,15 @@
 def take(job: PendingJob, key: TaskKey, machine: MachineView, snapshot: Snapshot) -> None:
     """Puts a task there."""
     spec, hold = job.spec, snapshot.reservations.get(machine.id)
-    if hold is not None and job.estimate_s > hold.until_s:
-        hold.cpus -= spec.cpus
-        hold.memory_gb -= spec.memory_gb
-    machine.add_task(running_task(spec, key, job.promoted, job.estimate_s))
+    if hold is not None and job.estimate_s > hold.available_in_s:
+        left = hold.leftover
+        hold.leftover = Resources(left.cpus - spec.cpus, 0.0, left.memory_gb - spec.memory_gb)
+    machine.add_task(RunningTask.from_spec(spec, key, job.promoted, job.estimate_s))
     if spec.image not in machine.images:
         machine.fetching |= {spec.image}
-    job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
-    snapshot.usage.setdefault(spec.team, Usage()).cpus += spec.cpus
-    job.count -= 1
+    job.placed_by_zone[machine.zone] = job.placed_by_zone.get(machine.zone, 0) + 1
+    snapshot.usage.setdefault(spec.team, QuotaUsage()).cpus += spec.cpus
+    job.waiting_count -= 1
 
 
 def place_gang(
@@ -182,8 +171,8 @@
 ) -> list[tuple[TaskKey, str]] | None:
     """Tries each zone on a copy of everything, task by task."""
     spec = job.spec
-    used = snapshot.usage.setdefault(spec.team, Usage())
-    rest = Usage(used.cpus + spec.cpus * (job.count - 1), used.gpus)
+    used = snapshot.usage.setdefault(spec.team, QuotaUsage())
+    rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
     if not within_limit(spec, snapshot.teams.get(spec.team), rest):
         return None
     heeded = [
@@ -195,25 +184,25 @@
         copied.machines = {name: machine for name, machine in copied.machines.items() if zone in ("", machine.zone)}
         tried = PendingJob(
             spec,
-            job.submitted,
-            job.count,
-            job.tasks,
-            dict(job.zones),
+            job.submitted_at,
+            job.waiting_count,
+            job.task_indices,
+            dict(job.placed_by_zone),
             job.estimate_s,
             job.start_objective_s,
-            job.avoid,
+            job.excluded_machines,
             starving=job.starving,
         )
         placed, images_s = [], 0.0
-        for index in job.tasks:
+        for index in job.task_indices:
             target = find(tried, copied, heeded, scarce)
             if target is None:
                 break
             images_s = max(images_s, image_fetch_s(spec, target))
-            target.add_task(running_task(spec, (spec.id, index)))
-            tried.zones[target.zone] = tried.zones.get(target.zone, 0) + 1
+            target.add_task(RunningTask.from_spec(spec, (spec.id, index)))
+            tried.placed_by_zone[target.zone] = tried.placed_by_zone.get(target.zone, 0) + 1
             placed.append(((spec.id, index), target.id))
-        if len(placed) == job.count:
+        if len(placed) == job.waiting_count:
             found.append((images_s, zone, placed))
     return min(found, key=lambda item: item[:2])[2] if found else None
 
@@ -229,9 +218,9 @@
                 zone in ("", machine.zone)
                 and machine.up
                 and machine.ready
-                and allowed(spec, machine)
+                and machine_allowed(spec, machine)
                 and machine.id not in snapshot.reservations
-                and machine.id not in job.avoid
+                and machine.id not in job.excluded_machines
             ):
                 had = 0
                 for at in sorted({0.0, *(t.remaining_s for t in machine.tasks)}):
@@ -245,8 +234,8 @@
                     rooms += [(at, machine.id)] * (has - had)
                     had = max(had, has)
         rooms.sort()
-        if len(rooms) >= job.count:
-            found.append((rooms[job.count - 1][0], zone, rooms[: job.count]))
+        if len(rooms) >= job.waiting_count:
+            found.append((rooms[job.waiting_count - 1][0], zone, rooms[: job.waiting_count]))
     if not found or len(snapshot.reservations) >= MAX_RESERVATIONS:
         return
     until, _, chosen = min(found)
@@ -255,9 +244,11 @@
         going = [t for t in machine.tasks if t.remaining_s <= max(mine)]
         snapshot.reservations[name] = Reservation(
             until,
-            machine.free_cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
-            0.0,
-            machine.free_memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
+            Resources(
+                machine.free_cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
+                0.0,
+                machine.free_memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
+            ),
             spec.id if job.promoted else "",
         )
 
@@ -265,10 +256,10 @@
 def expected_gang_nominations(snapshot: Snapshot) -> list[Nomination]:
     """Room for gangs to come, as nominations: in the zone with the most room, where most images are first."""
     found: list[Nomination] = []
-    for spec, count in snapshot.expected:
+    for spec, count in snapshot.expected_gangs:
         rooms = []
         for machine in snapshot.machines.values():
-            if machine.up and machine.ready and allowed(spec, machine):
+            if machine.up and machine.ready and machine_allowed(spec, machine):
                 room = 0
                 while (room + 1) * spec.cpus <= machine.free_cpus + 1e-6 and (
                     room + 1
@@ -302,21 +293,21 @@
     nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
     smallest = min((kind.cpus for kind in snapshot.types.values()), default=0.0)
     scarce = any(job.spec.cpus > smallest for job in snapshot.waiting)
-    for job in sorted(snapshot.waiting, key=lambda job: queue_position(job, snapshot, usage)):
+    for job in sorted(snapshot.waiting, key=lambda job: queue_position(job, snapshot)):
         spec = job.spec
-        team, used = snapshot.teams.get(spec.team), usage.setdefault(spec.team, Usage())
+        team, used = snapshot.teams.get(spec.team), usage.setdefault(spec.team, QuotaUsage())
         if spec.is_gang:
             whole = place_gang(job, snapshot, nominations, scarce)
             for key, name in whole or ():
                 take(job, key, snapshot.machines[name], snapshot)
             placed += whole or ()
-            rest = Usage(used.cpus + spec.cpus * (job.count - 1), used.gpus)
+            rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
             if whole is None and within_limit(spec, team, rest):
                 hold_room_for_gang(job, snapshot)
-                unmet[spec.id] = job.count
+                unmet[spec.id] = job.waiting_count
             continue
         nominated, stuck = 0, False
-        for index in job.tasks:
+        for index in job.task_indices:
             if len(placed) >= max_placed:
                 break
             if not within_limit(spec, team, used):
@@ -334,10 +325,8 @@
                 if (
                     machine is not None
                     and machine.ready
-                    and zone_allowed(spec, job.zones, machine.zone)
-                    and preemption.fits_beside_nominations(
-                        spec, machine, [n for n in nominations if n.machine_id == machine.id]
-                    )
+                    and zone_allowed(spec, job.placed_by_zone, machine.zone)
+                    and fits_beside_nominations(spec, machine, [n for n in nominations if n.machine_id == machine.id])
                 ):
                     target = machine
             if target is None and not stuck:
@@ -365,6 +354,6 @@
             nominations.append(Nomination(key, eviction.machine_id, spec.rank, spec, 0.0))
             used.cpus += spec.cpus
             nominated += 1
-        if stuck and job.count > nominated and within_limit(spec, team, used):
-            unmet[spec.id] = job.count - nominated
+        if stuck and job.waiting_count > nominated and within_limit(spec, team, used):
+            unmet[spec.id] = job.waiting_count - nominated
     return placed, preemptions, unmet
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,22 +7,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from stileloft.model.nominations import Nomination
+from stileloft.model.quota import QuotaUsage, TeamQuotas
+from stileloft.model.resources import Resources
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling.autoscaling import Autoscaler, InstanceOffer, ScalingDemand
-from stileloft.scheduling.gangs import preemption_units
+from stileloft.scheduling.autoscaling import Autoscaler
+from stileloft.scheduling.constraints import machine_allowed
+from stileloft.scheduling.instance_offers import InstanceOffer
+from stileloft.scheduling.machine_view import MachineView, RunningTask
 from stileloft.scheduling.placement import decide
-from stileloft.scheduling.preemption import candidates, fits_beside_nominations, loss, preempt
-from stileloft.scheduling.snapshot import (
-    MachineView,
-    Nomination,
-    PendingJob,
-    Reservation,
-    RunningTask,
-    Snapshot,
-    Usage,
-    allowed,
-)
+from stileloft.scheduling.preemption import Preemption, candidates, fits_beside_nominations, loss, preemption_units
+from stileloft.scheduling.preemption_trials import PreemptionContext, PreemptionTrials, ReclaimableRoomIndex
+from stileloft.scheduling.provisioning_planner import ScalingDemand
+from stileloft.scheduling.scheduling_cycle import UnmetDemand
+from stileloft.scheduling.snapshot import ExpectedTasks, PendingJob, Reservation, Snapshot
 from stileloft.settings import Team
 from tests import reference_model as plain
 
@@ -113,14 +112,21 @@
     return machines
 
 
-def used(machines: list[MachineView]) -> dict[str, Usage]:
-    usage = {name: Usage() for name in TEAMS}
+def used(machines: list[MachineView]) -> dict[str, QuotaUsage]:
+    usage = {name: QuotaUsage() for name in TEAMS}
     for one in machines:
         for task in one.tasks:
             usage[task.team].cpus += task.cpus
     return usage
 
 
+def preempt(job: JobSpec, machines: list[MachineView], usage: dict[str, QuotaUsage]) -> Preemption | None:
+    """The best machine and its victims for one task, or None if no trial succeeds."""
+    by_id = {machine.id: machine for machine in machines}
+    context = PreemptionContext(by_id, {}, TeamQuotas(TEAMS, usage), ReclaimableRoomIndex(by_id))
+    return PreemptionTrials(job, {}, frozenset(), context).best()
+
+
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16), st.sampled_from(["idle", "standard", "urgent"]), st.sampled_from(["core", "edge"]))
 def test_preemption_is_the_designs_trial_on_the_best_machine(
@@ -129,7 +135,7 @@
     job = spec(1, float(cpus), priority, team)
     usage = used(machines)
     before = [(n.free_cpus, [t.key for t in n.tasks]) for n in machines]
-    found = preempt(job, {}, machines, [], TEAMS, usage)
+    found = preempt(job, machines, usage)
     assert [(n.free_cpus, sorted(t.key for t in n.tasks)) for n in machines] == [(c, sorted(k)) for c, k in before]
     snapshot = Snapshot(0.0, {}, [], TEAMS, usage, {}, {})
     victims = {n.id: plain.trial(job, n, [], snapshot) for n in machines}
@@ -149,7 +155,7 @@
 @given(fleets(), st.integers(1, 16))
 def test_every_victim_is_necessary(machines: list[MachineView], cpus: int) -> None:
     job = spec(1, float(cpus), "urgent")
-    found = preempt(job, {}, machines, [], TEAMS, used(machines))
+    found = preempt(job, machines, used(machines))
     if found is None:
         return
     chosen = next(n for n in machines if n.id == found.machine_id)
@@ -201,7 +207,7 @@
     assert len({key for key, _ in decision.placed}) == len(decision.placed)
     for (job_id, _), name in decision.placed:
         job, (kind, zone, ready, _, one) = jobs[job_id], before[name]
-        assert ready and allowed(job, one)
+        assert ready and machine_allowed(job, one)
         taken[name] += job.cpus
         usage[job.team] += job.cpus
         assert taken[name] <= kind.cpus
@@ -229,12 +235,12 @@
         job.start_objective_s = random.choice([None, 2.0])
         job.aged, job.started = random.random() < 0.3, random.random() < 0.5
         job.starving = random.random() < 0.3
-        job.avoid = frozenset(name for name in snapshot.machines if random.random() < 0.1)
+        job.excluded_machines = frozenset(name for name in snapshot.machines if random.random() < 0.1)
         if random.random() < 0.3 and not job.spec.is_gang:
-            key, name = (job.spec.id, job.tasks[-1]), random.choice(list(snapshot.machines))
+            key, name = (job.spec.id, job.task_indices[-1]), random.choice(list(snapshot.machines))
             snapshot.nominations[key] = Nomination(key, name, job.spec.rank, job.spec, 9.0)
-    snapshot.expected = [
-        (spec(950 + i, 2.0, priority, kind="gang", spot=False, one_zone=i == 0), random.randrange(6))
+    snapshot.expected_gangs = [
+        ExpectedTasks(spec(950 + i, 2.0, priority, kind="gang", spot=False, one_zone=i == 0), random.randrange(6))
         for i, priority in enumerate(random.sample(["idle", "standard", "urgent"], 2))
     ]
     expected = plain.decide(copy.deepcopy(snapshot), 6, max_preemptions)
@@ -320,7 +326,10 @@
                 starving=draw.random() < 0.3,
             )
         )
-    expected = [(any_spec(950 + i, 2, kind="gang", spot=i == 1, one_zone=i == 0), draw.randint(0, 8)) for i in range(2)]
+    expected = [
+        ExpectedTasks(any_spec(950 + i, 2, kind="gang", spot=i == 1, one_zone=i == 0), draw.randint(0, 8))
+        for i in range(2)
+    ]
     teams = {name: Team(name, team.cpus, 2 * team.cpus_max) for name, team in TEAMS.items()}
     return Snapshot(
         60.0, {n.id: n for n in machines}, waits, teams, used(machines), {}, {"small": SMALL, "large": LARGE}, expected
@@ -407,7 +416,7 @@
     equal = Nomination(("j-6", 0), "n-0", 1, spec(6, 5.0), 1.0)
     assert fits_beside_nominations(spec(1, 8.0), one, [lower])
     assert not fits_beside_nominations(spec(1, 4.0), one, [equal])
-    assert candidates(spec(1, 4.0), one, TEAMS, used([])) == []
+    assert candidates(spec(1, 4.0), one, TeamQuotas(TEAMS, used([]))) == []
 
 
 def waiting(job: JobSpec, count: int) -> PendingJob:
@@ -415,7 +424,7 @@
 
 
 def scale(
-    unmet: list[tuple[PendingJob, int]],
+    unmet: list[UnmetDemand],
     machines: list[MachineView],
     refused: set[InstanceOffer] | None = None,
     settings: OperatorSettings | None = None,
@@ -428,27 +437,29 @@
 
 
 def test_rentals_are_cheap_and_fit_the_task() -> None:
-    large = scale([(waiting(spec(1, 16.0), 2), 2)], [])
+    large = scale([UnmetDemand(waiting(spec(1, 16.0), 2), 2)], [])
     assert list(large.provision) == [("large", "a", True)] and sum(large.provision.values()) == 1
-    small = scale([(waiting(spec(1, 4.0), 2), 2)], [])
+    small = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [])
     assert list(small.provision) == [("small", "a", True)]
-    elsewhere = scale([(waiting(spec(1, 4.0), 2), 2)], [], {("small", "a", True)})
+    elsewhere = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
     assert list(elsewhere.provision) == [("small", "b", True)]
-    dear = scale([(waiting(spec(1, 4.0, spot=False), 2), 2)], [])
+    dear = scale([UnmetDemand(waiting(spec(1, 4.0, spot=False), 2), 2)], [])
     assert list(dear.provision) == [("small", "a", False)]
     assert (
         scale(
-            [(waiting(spec(1, 4.0, spot=False), 2), 2)], [], settings=OperatorSettings(rent_full_price=False)
+            [UnmetDemand(waiting(spec(1, 4.0, spot=False), 2), 2)], [], settings=OperatorSettings(rent_full_price=False)
         ).provision
         == {}
     )
-    assert scale([(waiting(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)).provision == {}
+    assert (
+        scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)).provision == {}
+    )
 
 
 def test_room_kept_for_gangs_is_no_room_for_others() -> None:
     """Else a job that the kept room is closed to would wait for it, and nothing would be rented."""
     kept = machine("n-0", SMALL, [])
-    expected = [(spec(9, 4.0, kind="gang", one_zone=True), 2)]
+    expected = [ExpectedTasks(spec(9, 4.0, kind="gang", one_zone=True), 2)]
     for keep, placed in (([], 2), (expected, 0)):
         job = waiting(spec(1, 4.0), 2)
         snapshot = Snapshot(0.0, {"n-0": kept}, [job], TEAMS, used([kept]), {}, {"small": SMALL}, keep)
@@ -469,7 +480,7 @@
 def test_machines_on_the_way_count_and_idle_ones_go_back() -> None:
     coming = machine("n-1", SMALL, [])
     coming.up = False
-    assert scale([(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
+    assert scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
     idle = machine("n-2", SMALL, [], idle_s=100.0)
     assert scale([], [idle]).release == ["n-2"]
     assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
@@ -479,9 +490,9 @@
     """But for room that is held for an old job: that is for it alone, or for what fits beside it."""
     small = spec(1, 4.0)
     for owner, admits in (("", True), ("j-000002", False)):
-        hold = Reservation(20.0, 2.0, 0.0, 8.0, owner)
-        assert hold.admits(small, 40.0, overdue=True) is admits
-        assert not hold.admits(small, 40.0) and hold.admits(spec(1, 2.0), 40.0, overdue=True)
+        hold = Reservation(20.0, Resources(2.0, 0.0, 8.0), owner)
+        assert hold.admits(small, 40.0, starving=True) is admits
+        assert not hold.admits(small, 40.0) and hold.admits(spec(1, 2.0), 40.0, starving=True)
 
 
 def test_an_old_job_of_many_tasks_is_not_held_to_the_part_of_the_old() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -6,10 +6,10 @@
 from twisted.internet import defer
 
 from stileloft.jobs.admission import why_impossible
+from stileloft.model import gangs
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
-from stileloft.scheduling import gangs
 from stileloft.settings import Team
 from tests.simulation.gangs import Gang
 from tests.simulation.workers import Machine
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,7 @@
 
 from stileloft.model import records
 from stileloft.scheduling import placement
-from stileloft.scheduling.preemption import PreemptionTrials
+from stileloft.scheduling.preemption_trials import PreemptionTrials
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.transport.sockets import KEEP_USERS, Sockets
@@ -39,7 +39,7 @@
 
     counted(SchedulingLoop, "_decide", "rounds")
     counted(SnapshotBuilder, "_node", "copies")
-    counted(placement.Candidates, "_weigh", "weighed")
+    counted(placement.Candidates, "_score", "weighed")
     counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
