--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -7,7 +7,7 @@
 EPSILON = 1e-6
 """Tolerance of comparisons: sums of amounts are not exact."""
 UNBOUNDED_SLOTS = 1_000_000
-"""Slots that a resource allows of which a task takes nothing."""
+"""How many tasks fit as far as a resource goes of which they take nothing."""
 
 
 class ResourceAmounts(Protocol):
@@ -53,14 +53,14 @@
             and needed.memory_gb <= self.memory_gb + tolerance
         )
 
-    def slots(self, spec: JobSpec) -> int:
-        """How many of a job's tasks fit into this amount."""
+    def slots(self, spec: JobSpec, unbounded: int = UNBOUNDED_SLOTS) -> int:
+        """How many of a job's tasks fit into this amount; `unbounded` for resources of which they take nothing."""
         return max(
             0,
             min(
-                int((self.cpus + EPSILON) / spec.cpus) if spec.cpus else UNBOUNDED_SLOTS,
-                int((self.memory_gb + EPSILON) / spec.memory_gb) if spec.memory_gb else UNBOUNDED_SLOTS,
-                int((self.gpus + EPSILON) / spec.gpus) if spec.gpus else UNBOUNDED_SLOTS,
+                int((self.cpus + EPSILON) / spec.cpus) if spec.cpus else unbounded,
+                int((self.memory_gb + EPSILON) / spec.memory_gb) if spec.memory_gb else unbounded,
+                int((self.gpus + EPSILON) / spec.gpus) if spec.gpus else unbounded,
             ),
         )
 
--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -50,15 +50,17 @@
                 self._provide_for_waiting(job, count)
         for spec, count in self._demand.headroom:
             self._provide_headroom(spec, count)
-        for kind in self._snapshot.types.values():
-            self._replace_on_demand(kind)
+        for machine_type in self._snapshot.types.values():
+            self._replace_on_demand(machine_type)
         return ScalingPlan(self._planner.provision, self._machines_to_release())
 
     def _provide_for_gang(self, spec: JobSpec, count: int) -> None:
         """Provisions what a gang lacks, in the zone that lacks the least; what room there is is taken."""
         present = [machine for machine in self._usable if machine.up] + self._planner.coming
-        kinds = self._snapshot.types.values()
-        possible = sorted({zone for kind in kinds if fits_type(spec, kind) for zone in kind.zones})
+        machine_types = self._snapshot.types.values()
+        possible = sorted(
+            {zone for machine_type in machine_types if fits_type(spec, machine_type) for zone in machine_type.zones}
+        )
         for _, zone in shortage_by_zone(spec, count, present, possible):
             zones = {zone: 1} if spec.one_zone else {}
             # Machines in use come first, so that others run empty and are released.
@@ -105,19 +107,26 @@
             for task in machine.tasks
         )
 
-    def _replace_on_demand(self, kind: MachineType) -> None:
+    def _replace_on_demand(self, machine_type: MachineType) -> None:
         """Provisions a spot instance in place of an on-demand machine, which then runs empty and is released."""
         machines = self._snapshot.machines.values()
-        alike = [machine for machine in machines if machine.type.name == kind.name]
+        alike = [machine for machine in machines if machine.type.name == machine_type.name]
         replaceable = sum(
             not machine.spot and bool(machine.tasks) and all_tasks_allow_spot(machine) for machine in alike
         )
-        on_the_way = sum(machine.type.name == kind.name for machine in self._planner.coming)
+        on_the_way = sum(machine.type.name == machine_type.name for machine in self._planner.coming)
         # What runs now stays where it is: a spot instance is of use to tasks that come later.
-        has_room = any(machine.spot and machine.ready and machine.free_cpus >= kind.cpus / 2 for machine in alike)
-        if not self._demand.active or has_room or replaceable <= on_the_way or kind.spot_price >= kind.price:
+        has_room = any(
+            machine.spot and machine.ready and machine.free_cpus >= machine_type.cpus / 2 for machine in alike
+        )
+        if (
+            not self._demand.active
+            or has_room
+            or replaceable <= on_the_way
+            or machine_type.spot_price >= machine_type.price
+        ):
             return
-        offers = [InstanceOffer(kind.name, zone, True) for zone in kind.zones]
+        offers = [InstanceOffer(machine_type.name, zone, True) for zone in machine_type.zones]
         offers = [offer for offer in offers if offer not in self._demand.without_capacity]
         if not offers or not self._planner.may_provision():
             return
--- a/stileloft/scheduling/instance_offers.py
+++ b/stileloft/scheduling/instance_offers.py
@@ -8,6 +8,9 @@
 from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.scheduling.machine_view import MachineView
 
+# Tasks that share the price of a machine, as far as a resource goes of which they take nothing.
+MAX_PRICED_SLOTS = 1000
+
 
 class InstanceOffer(NamedTuple):
     """A kind of machine that can be provisioned; stored in this order in the records of provisioned machines."""
@@ -24,9 +27,9 @@
     offer: InstanceOffer
 
 
-def machine_price(kind: MachineType, spot: bool) -> float:
+def machine_price(machine_type: MachineType, spot: bool) -> float:
     """The price of a whole machine."""
-    return kind.spot_price if spot else kind.price
+    return machine_type.spot_price if spot else machine_type.price
 
 
 def view_of_offer(machine_id: str, offer: InstanceOffer, types: dict[str, MachineType]) -> MachineView:
@@ -41,15 +44,16 @@
 ) -> list[PricedOffer]:
     """What could be provisioned for a task of this job."""
     found: list[PricedOffer] = []
-    for kind in types.values():
-        if not fits_type(spec, kind):
+    for machine_type in types.values():
+        if not fits_type(spec, machine_type):
             continue
-        slots = max(1, Resources(kind.cpus, kind.gpus, kind.memory_gb).slots(spec))
-        for zone in kind.zones:
+        whole = Resources(machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+        slots = max(1, whole.slots(spec, unbounded=MAX_PRICED_SLOTS))
+        for zone in machine_type.zones:
             if spec.zone is not None and spec.zone != zone:
                 continue
             for spot in (True, False) if spec.spot else (False,):
-                offer = InstanceOffer(kind.name, zone, spot)
+                offer = InstanceOffer(machine_type.name, zone, spot)
                 if offer not in without_capacity:
-                    found.append(PricedOffer(machine_price(kind, spot) / slots, offer))
+                    found.append(PricedOffer(machine_price(machine_type, spot) / slots, offer))
     return found
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -9,21 +9,21 @@
 URGENT_RANK = 2
 """From this priority on a class is urgent."""
 
-# Score of a second of image fetch, in seconds.
+# Weight of a second of image fetch in the cost of a machine, which is in seconds.
 FETCH_WEIGHT_URGENT = 1.0
 FETCH_WEIGHT = 0.3
-# Score, in seconds, of a small task on a large machine: ordinary, with an objective on starting, and while tasks wait
-# that only large machines can take.
-BROKEN_MACHINE_WEIGHT = 5.0
-BROKEN_MACHINE_WEIGHT_PROMPT = 1.0
-BROKEN_MACHINE_WEIGHT_SCARCE = 30.0
-# The part of that for a large machine that is broken into already.
-ALREADY_BROKEN_FACTOR = 0.3
-# Score of a start later than the class's objective, in seconds; fetches may take this share of the objective.
-MISSED_OBJECTIVE_PENALTY = 6.0
+# Bin packing: cost of a small task on a large machine; less for a class with an objective on starting, and more while
+# tasks wait that only large machines can take.
+FRAGMENTATION_PENALTY_S = 5.0
+FRAGMENTATION_PENALTY_PROMPT_S = 1.0
+FRAGMENTATION_PENALTY_SCARCE_S = 30.0
+# The share of that cost on a large machine that small tasks use already.
+ALREADY_FRAGMENTED_FACTOR = 0.3
+# Cost of a fetch that takes more than this share of the class's objective on starting.
+MISSED_OBJECTIVE_PENALTY_S = 6.0
 FETCH_SHARE_OF_OBJECTIVE = 0.6
-# Score of on-demand machines, in seconds: they are to run empty first, so that they can be released.
-ON_DEMAND_PENALTY = 2.0
+# Cost of on-demand machines: they are to run empty first, so that they can be released.
+ON_DEMAND_PENALTY_S = 2.0
 # For types that state no rate.
 LEAST_FETCH_GB_PER_S = 1e-3
 
@@ -40,7 +40,7 @@
     @classmethod
     def of(cls, types: Iterable[MachineType], waiting: Iterable[JobSpec]) -> "MachineSizes":
         """The sizes of all types, for the jobs that wait."""
-        sizes = [kind.cpus for kind in types]
+        sizes = [machine_type.cpus for machine_type in types]
         smallest = min(sizes, default=0.0)
         return cls(smallest, max(sizes, default=0.0), any(spec.cpus > smallest for spec in waiting))
 
@@ -64,19 +64,21 @@
     urgent = spec.rank >= URGENT_RANK or (spec.is_gang and start_objective_s is not None)
     cost = (FETCH_WEIGHT_URGENT if urgent else FETCH_WEIGHT) * fetch_s
     if start_objective_s is not None and fetch_s > FETCH_SHARE_OF_OBJECTIVE * start_objective_s:
-        cost += MISSED_OBJECTIVE_PENALTY
-    cost += (0.0 if machine.spot else ON_DEMAND_PENALTY) + (machine.free_cpus - spec.cpus) / max(machine.type.cpus, 1.0)
+        cost += MISSED_OBJECTIVE_PENALTY_S
+    cost += (0.0 if machine.spot else ON_DEMAND_PENALTY_S) + (machine.free_cpus - spec.cpus) / max(
+        machine.type.cpus, 1.0
+    )
     if spec.cpus <= sizes.smallest_cpus < machine.type.cpus:
-        cost += _broken_machine_cost(machine, sizes, start_objective_s)
+        cost += _fragmentation_cost(machine, sizes, start_objective_s)
     return cost
 
 
-def _broken_machine_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
-    """Small tasks leave large machines whole while a small one has room, and first use up those broken into already."""
+def _fragmentation_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
+    """Small tasks leave large machines whole while others have room, and first fill those with small tasks on them."""
     if start_objective_s is not None:
-        weight = BROKEN_MACHINE_WEIGHT_PROMPT
+        weight = FRAGMENTATION_PENALTY_PROMPT_S
     elif sizes.large_scarce:
-        weight = BROKEN_MACHINE_WEIGHT_SCARCE
+        weight = FRAGMENTATION_PENALTY_SCARCE_S
     else:
-        weight = BROKEN_MACHINE_WEIGHT
-    return weight * (1.0 if machine.free_cpus >= sizes.largest_cpus / 2 else ALREADY_BROKEN_FACTOR)
+        weight = FRAGMENTATION_PENALTY_S
+    return weight * (1.0 if machine.free_cpus >= sizes.largest_cpus / 2 else ALREADY_FRAGMENTED_FACTOR)
--- a/stileloft/scheduling/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -19,7 +19,7 @@
     promote_aged_jobs(snapshot)
     nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
     cycle = SchedulingCycle(snapshot, CycleLimits(max_placed, max_preemptions), nominations)
-    for job in sorted(snapshot.waiting, key=lambda job: queue_position(job, snapshot)):
+    for job in sorted(snapshot.pending_jobs, key=lambda job: queue_position(job, snapshot)):
         cycle.drop_full_machines()
         if job.spec.is_gang:
             place_gang(job, cycle)
@@ -57,7 +57,7 @@
         """Serves the job's tasks in their order, as far as the cycle's limits and its team's limit allow."""
         decision, quotas = self._cycle.decision, self._cycle.quotas
         for index in self._job.task_indices:
-            if len(decision.placed) >= self._cycle.limits.placed:
+            if len(decision.placed) >= self._cycle.limits.max_placed:
                 break
             if not quotas.within_limit(self._spec):
                 self._save_quota()
@@ -119,7 +119,7 @@
         """Nominates the task to the machine that the trials find best; returns whether there is one."""
         if self._trials is None:
             self._trials = self._begin_trials()
-        if len(self._cycle.decision.preemptions) >= self._cycle.limits.preemptions:
+        if len(self._cycle.decision.preemptions) >= self._cycle.limits.max_preemptions:
             return False
         preemption = self._trials.best()
         if preemption is None:
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -57,7 +57,7 @@
         self.planned: list[MachineView] = []
         self.provision: dict[InstanceOffer, int] = {}
         """How many machines of each offer are planned."""
-        self.smallest_cpus = min((kind.cpus for kind in snapshot.types.values()), default=0.0)
+        self.smallest_cpus = min((machine_type.cpus for machine_type in snapshot.types.values()), default=0.0)
         self._machines_by_type_and_zone = Counter((machine.type.name, machine.zone) for machine in self.machines)
         present = len(snapshot.machines)
         share = PROVISION_SHARE * max(present, machines_to_fill(demand.unmet, snapshot.types))
--- a/stileloft/scheduling/queue_order.py
+++ b/stileloft/scheduling/queue_order.py
@@ -46,14 +46,14 @@
     it while machines stand empty.
     """
     room = _cpus_for_aged_jobs(snapshot)
-    aged = [job for job in snapshot.waiting if job.aged]
+    aged = [job for job in snapshot.pending_jobs if job.aged]
     for job in sorted(aged, key=lambda job: (job.started, job.submitted_at, job.spec.id)):
         job.promoted = room > 0 or not job.started
         wanted = (job.waiting_count if job.started else 1) * job.spec.cpus
         if job.promoted and not job.spec.is_gang:
             most = max(1, int(room / job.spec.cpus)) if job.started and job.spec.cpus else 1
             if most < job.waiting_count:
-                snapshot.waiting.append(job.split(most))
+                snapshot.pending_jobs.append(job.split(most))
         room -= wanted
 
 
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -22,7 +22,7 @@
     """Roughly how many machines the tasks would fill, each on the smallest type that they fit on."""
     total = 0.0
     for job, count in unmet:
-        sizes = [kind.cpus for kind in types.values() if fits_type(job.spec, kind)]
+        sizes = [machine_type.cpus for machine_type in types.values() if fits_type(job.spec, machine_type)]
         if sizes:
             total += count * job.spec.cpus / max(min(sizes), 1.0)
     return total
@@ -32,9 +32,9 @@
     """Boot and image fetch of a new machine for the job, at the best; 0 if no type suits it."""
     return min(
         (
-            kind.boot_s + spec.image_gb / max(kind.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
-            for kind in types
-            if fits_type(spec, kind)
+            machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+            for machine_type in types
+            if fits_type(spec, machine_type)
         ),
         default=0.0,
     )
@@ -42,7 +42,7 @@
 
 def shortest_boot_s(spec: JobSpec, types: Iterable[MachineType]) -> float:
     """Boot time of a new machine for the job, at the best; 0 if no type suits it."""
-    return min((kind.boot_s for kind in types if fits_type(spec, kind)), default=0.0)
+    return min((machine_type.boot_s for machine_type in types if fits_type(spec, machine_type)), default=0.0)
 
 
 def all_tasks_allow_spot(machine: MachineView) -> bool:
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -51,8 +51,8 @@
 class CycleLimits:
     """How much one cycle decides at the most."""
 
-    placed: int
-    preemptions: int
+    max_placed: int
+    max_preemptions: int
 
 
 class LeastRequest(NamedTuple):
@@ -66,11 +66,11 @@
     """What is the same for all jobs of a cycle, and the decisions made so far."""
 
     def __init__(self, snapshot: Snapshot, limits: CycleLimits, nominations: Iterable[Nomination]) -> None:
-        specs = [job.spec for job in snapshot.waiting]
+        specs = [job.spec for job in snapshot.pending_jobs]
         self.snapshot = snapshot
         self.quotas: TeamQuotas = snapshot.quotas
         self.limits = limits
-        self.decision = Decision(promoted=frozenset(job.spec.id for job in snapshot.waiting if job.promoted))
+        self.decision = Decision(promoted=frozenset(job.spec.id for job in snapshot.pending_jobs if job.promoted))
         self.sizes = MachineSizes.of(snapshot.types.values(), specs)
         self.nominations_by_machine: dict[str, list[Nomination]] = {}
         for nomination in nominations:
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -93,7 +93,7 @@
     now: float
     """Time of day, for deadlines."""
     machines: dict[str, MachineView]
-    waiting: list[PendingJob]
+    pending_jobs: list[PendingJob]
     teams: dict[str, Team]
     usage: dict[str, QuotaUsage]
     nominations: dict[TaskKey, Nomination]
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -51,7 +51,7 @@
         return Snapshot(
             now=term.wall_clock(),
             machines=nodes,
-            waiting=self._waiting(nodes.values(), now),
+            pending_jobs=self._waiting(nodes.values(), now),
             teams=term.teams,
             usage=cluster.usage(term.teams),
             nominations=dict(cluster.nominations),
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -143,8 +143,12 @@
         It may turn out to be one of gangs, which preempt nothing, or one that may use no spot instance, and its
         first jobs would wait for a boot.
         """
-        kind = min(self._types().values(), key=lambda kind: (kind.price, kind.name), default=None)
-        if kind is None:
+        machine_type = min(
+            self._types().values(),
+            key=lambda machine_type: (machine_type.price, machine_type.name),
+            default=None,
+        )
+        if machine_type is None:
             return []
         return [
             JobSpec(
@@ -154,9 +158,9 @@
                 kind="gang",
                 priority="standard",
                 tasks=1,
-                cpus=kind.cpus,
-                gpus=kind.gpus,
-                memory_gb=kind.memory_gb,
+                cpus=machine_type.cpus,
+                gpus=machine_type.gpus,
+                memory_gb=machine_type.memory_gb,
                 image="",
                 image_gb=0.0,
                 estimate_s=0.0,
@@ -171,11 +175,11 @@
         return max(1.0, math.sqrt(boot_s / max(load.mean_gap_s, LEAST_GAP_S) / ARRIVALS_PER_BOOT))
 
     def _slack_s(self, spec: JobSpec) -> float:
-        """How long a new job of this kind may wait before a machine is provisioned for it, at the least."""
-        kinds = [kind for kind in self._types().values() if fits_type(spec, kind)]
-        if not kinds:
+        """How long a new job like this may wait before a machine is provisioned for it, at the least."""
+        machine_types = [machine_type for machine_type in self._types().values() if fits_type(spec, machine_type)]
+        if not machine_types:
             return 0.0
-        ready_s = time_to_ready_s(spec, kinds)
+        ready_s = time_to_ready_s(spec, machine_types)
         objective_s = self.completion_objectives.get(spec.job_class)
         limits = [limit for limit in (spec.deadline_s, objective_s) if limit is not None]
         return min(limits) - self.estimate(spec) - ready_s if limits else ready_s
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -78,8 +78,8 @@
         return None
     found = []
     for machine in snapshot.machines.values():
-        hold = snapshot.reservations.get(machine.id)
-        if not may_use(job, machine) or (hold and hold.exclusive_job_id not in ("", spec.id)):
+        reservation = snapshot.reservations.get(machine.id)
+        if not may_use(job, machine) or (reservation and reservation.exclusive_job_id not in ("", spec.id)):
             continue
         victims = trial(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
         if victims is not None:
@@ -99,7 +99,9 @@
     )
 
 
-def find(job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool) -> MachineView | None:
+def best_machine(
+    job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool
+) -> MachineView | None:
     """The best machine that fits now, beside the tasks nominated there."""
     spec = job.spec
     kinds = [kind.cpus for kind in snapshot.types.values()]
@@ -108,8 +110,8 @@
     for machine in snapshot.machines.values():
         if not may_use(job, machine):
             continue
-        hold = snapshot.reservations.get(machine.id)
-        if hold is not None and not hold.admits(spec, job.estimate_s, job.starving):
+        reservation = snapshot.reservations.get(machine.id)
+        if reservation is not None and not reservation.admits(spec, job.estimate_s, job.starving):
             continue
         if fits_beside_nominations(spec, machine, [n for n in nominations if n.machine_id == machine.id]):
             found.append((placement_cost(spec, machine, sizes, job.start_objective_s), machine.id))
@@ -148,16 +150,16 @@
                 )
             )
     if found and len(snapshot.reservations) < MAX_RESERVATIONS:
-        _, name, hold = min(found, key=lambda item: item[:2])
-        snapshot.reservations[name] = hold
+        _, name, reservation = min(found, key=lambda item: item[:2])
+        snapshot.reservations[name] = reservation
 
 
-def take(job: PendingJob, key: TaskKey, machine: MachineView, snapshot: Snapshot) -> None:
+def place_task(job: PendingJob, key: TaskKey, machine: MachineView, snapshot: Snapshot) -> None:
     """Puts a task there."""
-    spec, hold = job.spec, snapshot.reservations.get(machine.id)
-    if hold is not None and job.estimate_s > hold.available_in_s:
-        left = hold.leftover
-        hold.leftover = Resources(left.cpus - spec.cpus, 0.0, left.memory_gb - spec.memory_gb)
+    spec, reservation = job.spec, snapshot.reservations.get(machine.id)
+    if reservation is not None and job.estimate_s > reservation.available_in_s:
+        left = reservation.leftover
+        reservation.leftover = Resources(left.cpus - spec.cpus, 0.0, left.memory_gb - spec.memory_gb)
     machine.add_task(RunningTask.from_spec(spec, key, job.promoted, job.estimate_s))
     if spec.image not in machine.images:
         machine.fetching |= {spec.image}
@@ -175,7 +177,7 @@
     rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
     if not within_limit(spec, snapshot.teams.get(spec.team), rest):
         return None
-    heeded = [
+    respected = [
         n for n in nominations if n.key[0] != "expected" or (n.rank > spec.rank and not (job.promoted or job.starving))
     ]
     found = []
@@ -195,7 +197,7 @@
         )
         placed, images_s = [], 0.0
         for index in job.task_indices:
-            target = find(tried, copied, heeded, scarce)
+            target = best_machine(tried, copied, respected, scarce)
             if target is None:
                 break
             images_s = max(images_s, image_fetch_s(spec, target))
@@ -207,7 +209,7 @@
     return min(found, key=lambda item: item[:2])[2] if found else None
 
 
-def hold_room_for_gang(job: PendingJob, snapshot: Snapshot) -> None:
+def reserve_gang_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps the room in the zone that will have all of it first."""
     spec = job.spec
     found = []
@@ -292,18 +294,18 @@
     usage = snapshot.usage
     nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
     smallest = min((kind.cpus for kind in snapshot.types.values()), default=0.0)
-    scarce = any(job.spec.cpus > smallest for job in snapshot.waiting)
-    for job in sorted(snapshot.waiting, key=lambda job: queue_position(job, snapshot)):
+    scarce = any(job.spec.cpus > smallest for job in snapshot.pending_jobs)
+    for job in sorted(snapshot.pending_jobs, key=lambda job: queue_position(job, snapshot)):
         spec = job.spec
         team, used = snapshot.teams.get(spec.team), usage.setdefault(spec.team, QuotaUsage())
         if spec.is_gang:
             whole = place_gang(job, snapshot, nominations, scarce)
             for key, name in whole or ():
-                take(job, key, snapshot.machines[name], snapshot)
+                place_task(job, key, snapshot.machines[name], snapshot)
             placed += whole or ()
             rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
             if whole is None and within_limit(spec, team, rest):
-                hold_room_for_gang(job, snapshot)
+                reserve_gang_room(job, snapshot)
                 unmet[spec.id] = job.waiting_count
             continue
         nominated, stuck = 0, False
@@ -330,10 +332,10 @@
                 ):
                     target = machine
             if target is None and not stuck:
-                heeded = [n for n in nominations if n.key[0] != "expected" or not (job.promoted or job.starving)]
-                target = find(job, snapshot, heeded, scarce)
+                respected = [n for n in nominations if n.key[0] != "expected" or not (job.promoted or job.starving)]
+                target = best_machine(job, snapshot, respected, scarce)
             if target is not None:
-                take(job, key, target, snapshot)
+                place_task(job, key, target, snapshot)
                 placed.append((key, target.id))
                 continue
             if own is not None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -198,7 +198,7 @@
 @DERANDOMIZED
 @given(snapshots())
 def test_decisions_respect_room_limits_and_constraints(snapshot: Snapshot) -> None:
-    jobs = {job.spec.id: job.spec for job in snapshot.waiting}
+    jobs = {job.spec.id: job.spec for job in snapshot.pending_jobs}
     before = {n.id: (n.type, n.zone, n.ready, sum(t.cpus for t in n.tasks), n) for n in snapshot.machines.values()}
     usage = {name: use.cpus for name, use in used(list(snapshot.machines.values())).items()}
     decision = decide(snapshot, 100, 8)
@@ -231,7 +231,7 @@
     for one in snapshot.machines.values():
         one.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
         one.mark_stopping([task for task in one.tasks if random.random() < 0.2])
-    for job in snapshot.waiting:
+    for job in snapshot.pending_jobs:
         job.start_objective_s = random.choice([None, 2.0])
         job.aged, job.started = random.random() < 0.3, random.random() < 0.5
         job.starving = random.random() < 0.3
@@ -349,13 +349,15 @@
         placed: dict[str, int] = {}
         for key, _ in decision.placed:
             placed[key[0]] = placed.get(key[0], 0) + 1
-        for job in snapshot.waiting:
+        for job in snapshot.pending_jobs:
             if job.spec.is_gang:
                 assert placed.get(job.spec.id, 0) in (0, job.spec.tasks), seed
                 gangs_placed += job.spec.id in placed
         gangs_stopped += any(v.group_size > 1 for _, e in decision.preemptions for v in e.victims)
         # A waiting gang stops nobody.
-        assert not {key[0] for key, _ in decision.preemptions} & {j.spec.id for j in snapshot.waiting if j.spec.is_gang}
+        assert not {key[0] for key, _ in decision.preemptions} & {
+            j.spec.id for j in snapshot.pending_jobs if j.spec.is_gang
+        }
     assert gangs_placed > 200 and gangs_stopped > 5
 
 
@@ -393,7 +395,7 @@
     one.remove_task(busy)
     nomination = Nomination(("j-1", 0), "n-0", 2, urgent, 10.0)
     waiting_urgent_last = snapshot({("j-1", 0): nomination})
-    waiting_urgent_last.waiting.pop(0)
+    waiting_urgent_last.pending_jobs.pop(0)
     assert decide(waiting_urgent_last, 10, 8).placed == []
     assert decide(snapshot({("j-1", 0): nomination}), 10, 8).placed == [(("j-1", 0), "n-0")]
 
@@ -426,13 +428,13 @@
 def scale(
     unmet: list[UnmetDemand],
     machines: list[MachineView],
-    refused: set[InstanceOffer] | None = None,
+    without_capacity: set[InstanceOffer] | None = None,
     settings: OperatorSettings | None = None,
 ):
     snapshot = Snapshot(
         0.0, {n.id: n for n in machines}, [], TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
     )
-    demand = ScalingDemand(unmet, without_capacity=frozenset(refused or ()))
+    demand = ScalingDemand(unmet, without_capacity=frozenset(without_capacity or ()))
     return Autoscaler(snapshot, demand, settings or OperatorSettings()).plan()
 
 
