--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -9,12 +9,12 @@
 
 from stileloft.leadership.lease import LeaderLease
 from stileloft.machines.registry import MachineRegistry
+from stileloft.model import gangs
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import EXITED
-from stileloft.scheduling import gangs
 from stileloft.scheduling.workload import Workload
 from stileloft.settings import Workers
 from stileloft.store.flush_timer import FlushTimer
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -10,11 +10,10 @@
 from stileloft.jobs.registry import JobRegistry
 from stileloft.leadership.fencing_tokens import FencingTokens
 from stileloft.leadership.lease import LeaderLease
-from stileloft.model import records
+from stileloft.model import gangs, records
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.scheduling import gangs
 
 
 class Refusal(StrEnum):
--- a/stileloft/machines/boot_monitor.py
+++ b/stileloft/machines/boot_monitor.py
@@ -5,7 +5,7 @@
 from stileloft.leadership.lease import LeaderLease
 from stileloft.machines.catalog import MachineCatalog
 from stileloft.model.machines import Machine
-from stileloft.scheduling.autoscaling import InstanceOffer
+from stileloft.scheduling.instance_offers import InstanceOffer
 from stileloft.transport.clock import Clock
 
 log = logging.getLogger(__name__)
@@ -99,4 +99,4 @@
 
 
 def _offer_of(machine: Machine) -> InstanceOffer:
-    return (machine.type, machine.zone, machine.spot)
+    return InstanceOffer(machine.type, machine.zone, machine.spot)
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -6,7 +6,7 @@
 from stileloft.machines.registry import MachineRegistry
 from stileloft.model import records
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-from stileloft.scheduling.autoscaling import InstanceOffer
+from stileloft.scheduling.instance_offers import InstanceOffer
 from stileloft.store.access import LeaderStore
 from stileloft.transport.clock import Clock, WallClock
 
--- a/stileloft/machines/scale_out.py
+++ b/stileloft/machines/scale_out.py
@@ -12,7 +12,7 @@
 from stileloft.machines.registry import MachineRegistry
 from stileloft.model.cluster import ClusterState
 from stileloft.protocol.cloud import PROVISION_LIMIT, CloudClient, CloudError, NoCapacityError
-from stileloft.scheduling.autoscaling import InstanceOffer
+from stileloft.scheduling.instance_offers import InstanceOffer
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
--- a/stileloft/scheduling/decision_applier.py
+++ b/stileloft/scheduling/decision_applier.py
@@ -6,17 +6,20 @@
 from stileloft.machines.catalog import MachineCatalog
 from stileloft.machines.scale_in import MachineReleaser
 from stileloft.machines.scale_out import MachineProvisioner
+from stileloft.model import gangs
 from stileloft.model.chunks import Chunk
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
+from stileloft.model.nominations import Nomination
 from stileloft.model.placements import Placement, PlacementState, TaskKey
+from stileloft.model.quota import QuotaUsage, within_limit
+from stileloft.model.resources import EPSILON
 from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling import gangs
 from stileloft.scheduling.autoscaling import ScalingPlan
-from stileloft.scheduling.placement import Decision
+from stileloft.scheduling.constraints import zone_allowed
 from stileloft.scheduling.preemption import Preemption
-from stileloft.scheduling.snapshot import EPSILON, Nomination, Usage, within_limit, zone_allowed
+from stileloft.scheduling.scheduling_cycle import Decision
 from stileloft.settings import Team
 from stileloft.transport.clock import Clock, WallClock
 
@@ -75,7 +78,7 @@
         self,
         key: TaskKey,
         machine_id: str,
-        usage: dict[str, Usage],
+        usage: dict[str, QuotaUsage],
         orphaned_task_names: set[str],
         preemption_exempt: bool,
     ) -> None:
@@ -84,7 +87,7 @@
         machine = self._cluster.machines.get(machine_id)
         if job is None or machine is None or not self._is_free(job, key[1], orphaned_task_names):
             return
-        used = usage.setdefault(job.spec.team, Usage())
+        used = usage.setdefault(job.spec.team, QuotaUsage())
         if not self._may_take(job, machine, used):
             return
         used.add(job.spec.cpus, job.spec.gpus or 0.0)
@@ -100,7 +103,7 @@
         chunk = job.chunks.get(index // job.chunk_size)
         return chunk is None or (index not in chunk.done and index not in chunk.placements)
 
-    def _may_take(self, job: Job, machine: Machine, used: Usage) -> bool:
+    def _may_take(self, job: Job, machine: Machine, used: QuotaUsage) -> bool:
         """Whether the machine, the job's zones and the team's limit allow one more task."""
         spec = job.spec
         kind = self._catalog.types.get(machine.type)
@@ -167,7 +170,7 @@
 
     def _preempt(self, key: TaskKey, preemption: Preemption) -> None:
         job = self._cluster.jobs.get(key[0])
-        machine = self._cluster.machines.get(preemption.machine)
+        machine = self._cluster.machines.get(preemption.machine_id)
         if job is None or machine is None or job.end_phase or machine.drain_reason:
             return
         now = self._clock.seconds()
@@ -183,7 +186,7 @@
                 stopped.preemption_count += victim.group_size
             longest = max(longest, placed.stop_grace_s or 0.0)
         for other in [
-            k for k, n in self._cluster.nominations.items() if n.machine == machine.id and n.rank < job.spec.rank
+            k for k, n in self._cluster.nominations.items() if n.machine_id == machine.id and n.rank < job.spec.rank
         ]:
             del self._cluster.nominations[other]
         until = now + longest + NOMINATION_HEARTBEATS * self._heartbeat_s
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -17,9 +17,10 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.scheduling import placement
-from stileloft.scheduling.autoscaling import Autoscaler, ScalingDemand, ScalingPlan
+from stileloft.scheduling.autoscaling import Autoscaler, ScalingPlan
 from stileloft.scheduling.decision_applier import DecisionApplier
-from stileloft.scheduling.placement import Decision
+from stileloft.scheduling.provisioning_planner import ScalingDemand
+from stileloft.scheduling.scheduling_cycle import Decision
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
 from stileloft.transport.clock import Clock, Timer
@@ -164,7 +165,7 @@
             "preemptions": [
                 {
                     "for": f"{key[0]}/{key[1]}",
-                    "machine": preemption.machine,
+                    "machine": preemption.machine_id,
                     "victims": [f"{victim.key[0]}/{victim.key[1]}" for victim in preemption.victims],
                 }
                 for key, preemption in decision.preemptions
@@ -177,5 +178,5 @@
             "scheduling state unmet=%s placements=%s nominations=%s",
             self.last_decision["unmet"],
             {m.id: [p.task for p in m.placements.values()] for m in self._cluster.machines.values()},
-            {f"{n.key[0]}/{n.key[1]}": n.machine for n in self._cluster.nominations.values()},
+            {f"{n.key[0]}/{n.key[1]}": n.machine_id for n in self._cluster.nominations.values()},
         )
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -11,8 +11,10 @@
 from stileloft.model.machines import Machine, fits_type
 from stileloft.model.placements import PlacementState
 from stileloft.protocol.admin import OperatorSettings
-from stileloft.protocol.messages import JobSpec, MachineType
-from stileloft.scheduling.snapshot import PREEMPTION_EXEMPT_RANK, MachineView, PendingJob, RunningTask, Snapshot
+from stileloft.protocol.messages import MachineType
+from stileloft.scheduling.instance_offers import view_of_offer
+from stileloft.scheduling.machine_view import PREEMPTION_EXEMPT_RANK, MachineView, RunningTask
+from stileloft.scheduling.snapshot import ExpectedTasks, PendingJob, Snapshot
 from stileloft.scheduling.workload import Workload
 from stileloft.settings import Team
 from stileloft.transport.clock import Clock, WallClock
@@ -76,16 +78,16 @@
         nodes = self._nodes(types, now)
         return Snapshot(
             now=self._wall_clock(),
-            nodes=nodes,
-            waiting=self._waiting(nodes.values(), now),
+            machines=nodes,
+            pending_jobs=self._waiting(nodes.values(), now),
             teams=self._teams,
             usage=cluster.usage(self._teams),
             nominations=dict(cluster.nominations),
             types=types,
-            expected=self.headroom(gang=True),
+            expected_gangs=self.headroom(gang=True),
         )
 
-    def headroom(self, gang: bool) -> list[tuple[JobSpec, int]]:
+    def headroom(self, gang: bool) -> list[ExpectedTasks]:
         """Tasks that are to find room at once if they come now."""
         # What has not been seen in the first moments of a leadership may only not have been read yet.
         settled = self._clock.seconds() - self._lease.began_at > self._heartbeat_s
@@ -100,8 +102,7 @@
                 nodes[machine.id] = self._view(machine, kind, now)
         for request, (offer, count) in self._provisioner.pending.items():
             for number in range(count):
-                node = MachineView(f"{request}-{number}", types[offer[0]], offer[1], offer[2], True, False)
-                node.settle()
+                node = view_of_offer(f"{request}-{number}", offer, types)
                 nodes[node.id] = node
         return nodes
 
@@ -228,7 +229,7 @@
             )
         copy.idle_s = now - machine.idle_since if machine.idle_since is not None else 0.0
         copy.fetching = frozenset(fetching)
-        copy.settle()
+        copy.recompute_free()
         return copy
 
     def _aged(self, job: Job, after_s: float) -> bool:
--- a/stileloft/store/job_transaction.py
+++ b/stileloft/store/job_transaction.py
@@ -3,10 +3,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stileloft.model import records
+from stileloft.model import gangs, records
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.scheduling import gangs
 from stileloft.store.access import LeaderStore
 from stileloft.transport.clock import Clock
 
