--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -35,7 +35,6 @@
 )
 from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
 from stileloft.protocol.workers import WorkerClient
-from stileloft.rebuild import operator_decisions as decisions
 from stileloft.settings import Settings, Workers, split_address
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.client import Client
@@ -136,6 +135,8 @@
         """Tasks per chunk of the jobs whose records don't say."""
         self.chunk_size = records.sized_chunk_size(least.value_bytes)
         """The same of new jobs, once their records may say so."""
+        life_s = deployment.workers.lease_s * LEADER_LEASE
+        self.renewal_grace_s = renewal_grace(deployment.workers, life_s)
         self.rebuild = self._rebuild_feature()
         self.integrity = self.rebuild.protection if self.rebuild else StoreIntegrity()
         self.admission = Admission(
@@ -152,8 +153,6 @@
         self.admission.on_cancelled = self._cancelled_here
         self.invariants = InvariantMonitor()
         self.nonce = secrets.token_hex(8)
-        life_s = deployment.workers.lease_s * LEADER_LEASE
-        self.renewal_grace_s = renewal_grace(deployment.workers, life_s)
         self.election = Election(
             reactor, self.state, settings.member, self.nonce, life_s, self._elected, self._deposed, self.integrity
         )
@@ -165,9 +164,25 @@
         if not self.features.rebuild.enabled:
             return None
         # Imported here, as its library takes memory that nodes without the feature have no use for.
+        from stileloft.rebuild.environment import RebuildEnvironment
         from stileloft.rebuild.service import Rebuild
 
-        return Rebuild(self)
+        return Rebuild(
+            RebuildEnvironment(
+                clock=self.reactor,
+                sleep=self.sleep,
+                settings=self.settings,
+                feature=self.features.rebuild,
+                state=self.state,
+                peers=self.peers,
+                leader_write_budget=self.leader_write_budget,
+                leadership=lambda: self.election,
+                first_chunk_size=self.first_chunk_size,
+                renewal_grace_s=self.renewal_grace_s,
+                forget_record_versions=self.forget_versions,
+                begin_term=self.begin_term,
+            )
+        )
 
     # -- life ---------------------------------------------------------------
 
@@ -321,8 +336,9 @@
     def handle_heartbeat(self, report: Heartbeat) -> Answer:
         """A worker's report: answered by the leader, referred to it by the others."""
         self.integrity.observe_token(report.token)
-        if self.rebuild is not None and self.rebuild.rebuilder is not None:
-            return self.rebuild.rebuilder.on_heartbeat(report)
+        answer = None if self.rebuild is None else self.rebuild.on_heartbeat(report)
+        if answer is not None:
+            return answer
         term = self.term
         if term is not None and term.tokens.is_later(report.token):
             self.election.suspect(f"{report.machine} knows token {report.token}")
@@ -380,15 +396,15 @@
 
     def snapshot_piece(self, number: int) -> bytes | None:
         """A piece of this node's replica of the store, for a peer that rebuilds it."""
-        return None if self.rebuild is None else self.rebuild.protection.piece(number)
+        return None if self.rebuild is None else self.rebuild.snapshots.piece(number)
 
-    def take_notes(self, body: Any) -> bool:
-        """Takes in what a peer has just told its users; whether it could be read."""
-        return self.rebuild is not None and self.rebuild.take_notes(body)
+    def receive_change_notice(self, body: Any) -> bool:
+        """Applies a peer's change notice; whether it could be used."""
+        return self.rebuild is not None and self.rebuild.receive_change_notice(body)
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
         """Takes an operator's word on undecided tasks; None if the job has none."""
-        return None if self.rebuild is None else await decisions.decide(self, job, task, decision)
+        return None if self.rebuild is None else await self.rebuild.decide(job, task, decision)
 
     def view(self) -> PeerView:
         """What this node sees, for a peer that doubts its own view."""
@@ -400,8 +416,8 @@
             self.settings.member,
             records.NEWEST_FORMAT,
             protects=self.rebuild is not None,
-            deployment=self.rebuild.protection.deployment if self.rebuild else "",
-            highest_token=self.rebuild.protection.highest_token if self.rebuild else 0,
+            deployment=self.rebuild.store.deployment if self.rebuild else "",
+            highest_token=self.rebuild.tokens.highest if self.rebuild else 0,
         )
 
     async def read_settings(self) -> tuple[OperatorSettings, int]:
--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -210,7 +210,7 @@
         known = self._keep_known_end(job)
         if known is not None:
             return known
-        return job_status_message(job, "queued", 0, 0) if self._integrity.is_unknown_job(job) else None
+        return job_status_message(job, "queued", 0, 0) if self._integrity.has_lost_spec(job) else None
 
     def _require_sound_store(self) -> None:
         if not self._integrity.is_sound() or not self._integrity.knows_outcomes():
@@ -223,7 +223,7 @@
     def _look_into(self, conflict: ConflictError) -> None:
         """A transaction that failed on the store's identity was one on a store that is not the known one."""
         if records.IDENTITY in conflict.failed:
-            self._integrity.suspect()
+            self._integrity.verify_soon()
             raise RetryLaterError("the state service is being verified", 1.0)
 
     def _keep_final(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -81,7 +81,7 @@
 
         If the store has lost its records, nobody else can lead either, and we go on to answer reports for our grace.
         """
-        if not self._integrity.can_be_lost:
+        if not self._integrity.detects_loss:
             self.step_down(reason)
         elif self.token is not None:
             self._confirmed_until = 0.0
@@ -176,7 +176,7 @@
             token = await self._integrity.take_leadership(version)
         except ConflictError as conflict:
             if records.LEADER not in conflict.failed:
-                self._integrity.suspect()
+                self._integrity.verify_soon()
             await self._end(lease)
             return
         except LeaseExpiredError:
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -152,7 +152,7 @@
         defer.ensureDeferred(self.watch.run())
         defer.ensureDeferred(self.fleet.images.run())
         defer.ensureDeferred(self.upgrade.run())
-        if self.node.integrity.can_be_lost:
+        if self.node.integrity.detects_loss:
             defer.ensureDeferred(decisions.carry_out(self))
         self._check()
         self.request_scheduling()
--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -10,7 +10,7 @@
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError
 
 SNAPSHOT_PATH = "/rebuild/snapshot/"
-NOTES_PATH = "/rebuild/notes"
+CHANGE_NOTICE_PATH = "/rebuild/notes"
 # A piece of a replica may take longer to make and to send than a view does.
 SNAPSHOT_TIMEOUTS = 5.0
 
@@ -56,10 +56,10 @@
             return None
         return bytes(reply.body["piece"], "utf-8")
 
-    async def send_notes(self, address: str, notes: Any) -> None:
+    async def send_change_notice(self, address: str, notice: Any) -> None:
         """Tells a controller what users have just been told; whether it hears that is not asked."""
         with contextlib.suppress(ConnectionFailedError, NoResponseError):
-            await self._client.request("POST", address, NOTES_PATH, notes, self._timeout_s)
+            await self._client.request("POST", address, CHANGE_NOTICE_PATH, notice, self._timeout_s)
 
     async def _view(self, address: str) -> PeerView | None:
         try:
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -7,24 +7,24 @@
 
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.messages import JOB_ID
-from stileloft.protocol.peers import NOTES_PATH, SNAPSHOT_PATH
+from stileloft.protocol.peers import CHANGE_NOTICE_PATH, SNAPSHOT_PATH
 from stileloft.transport.server import Answer, Handler, retry_later
 
 STATUS_PATH = "/rebuild"
-UNDECIDED_PATH = "/rebuild/undecided/"
+DECISION_PATH = "/rebuild/undecided/"
 JOB = re.compile(JOB_ID)
-MOST_NUMBER_DIGITS = 9
+MAX_NUMBER_DIGITS = 9
 FEATURE_OFF = Answer(404, {"error": "the feature rebuild is not enabled"})
 NO_SUCH_PIECE = Answer(404, {"error": "no such piece"})
-BAD_NOTES = Answer(400, {"error": "these are no notes of a controller"})
-NOTHING_UNDECIDED = Answer(404, {"error": "the job has no undecided tasks"})
+INVALID_CHANGE_NOTICE = Answer(400, {"error": "these are no notes of a controller"})
+NO_UNRESOLVED_TASKS = Answer(404, {"error": "the job has no undecided tasks"})
 
 
 class RebuildAdministered(Protocol):
     """What a node tells of the feature, and takes from operators."""
 
     def snapshot_piece(self, number: int) -> bytes | None: ...
-    def take_notes(self, body: Any) -> bool: ...
+    def receive_change_notice(self, body: Any) -> bool: ...
     def rebuild_status(self) -> dict[str, Any] | None: ...
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None: ...
 
@@ -53,47 +53,47 @@
 class RebuildResources:
     """Routes of the feature."""
 
-    def __init__(self, node: RebuildAdministered) -> None:
-        self._node = node
+    def __init__(self, controller: RebuildAdministered) -> None:
+        self._controller = controller
 
     def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
         if path == STATUS_PATH:
             return {"GET": self.status}, {}
         if path.startswith(SNAPSHOT_PATH):
             return {"GET": self.piece}, {"number": path[len(SNAPSHOT_PATH) :]}
-        if path == NOTES_PATH:
-            return {"POST": self.notes}, {}
-        if path.startswith(UNDECIDED_PATH):
-            return {"PUT": self.decide}, {"job": path[len(UNDECIDED_PATH) :]}
+        if path == CHANGE_NOTICE_PATH:
+            return {"POST": self.receive_change_notice}, {}
+        if path.startswith(DECISION_PATH):
+            return {"PUT": self.decide}, {"job": path[len(DECISION_PATH) :]}
         return None
 
     def status(self, _body: Any, _arguments: dict[str, str]) -> Answer:
         """What is known of the store, and of a rebuild."""
-        status = self._node.rebuild_status()
+        status = self._controller.rebuild_status()
         return FEATURE_OFF if status is None else Answer(200, status)
 
     def piece(self, _body: Any, arguments: dict[str, str]) -> Answer:
         """A piece of this controller's replica of the store, for another one that rebuilds it."""
         number = arguments["number"]
-        if not number.isdecimal() or len(number) > MOST_NUMBER_DIGITS:
+        if not number.isdecimal() or len(number) > MAX_NUMBER_DIGITS:
             return NO_SUCH_PIECE
-        piece = self._node.snapshot_piece(int(number))
+        piece = self._controller.snapshot_piece(int(number))
         return NO_SUCH_PIECE if piece is None else Answer(200, {"piece": piece.decode()})
 
-    def notes(self, body: Any, _arguments: dict[str, str]) -> Answer:
-        """Takes in what another controller has just told its users."""
-        return Answer(200) if self._node.take_notes(body) else BAD_NOTES
+    def receive_change_notice(self, body: Any, _arguments: dict[str, str]) -> Answer:
+        """Applies another controller's notice of what it has just told its users."""
+        return Answer(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
 
     async def decide(self, body: Any, arguments: dict[str, str]) -> Answer:
         """Takes an operator's word on tasks of which a rebuild could not tell whether they completed."""
         job = arguments["job"]
         try:
             request = parse_decision(body)
-            decided = await self._node.decide(job, request.task, request.decision) if JOB.match(job) else None
+            decided = await self._controller.decide(job, request.task, request.decision) if JOB.match(job) else None
         except (MalformedDecisionError, InvalidSettingsError) as error:
             return Answer(400, {"error": str(error)})
         except StaleVersionError:
             return Answer(409, {"error": "the job's record has been changed since; try again"})
         except TemporarilyUnavailableError as error:
             return retry_later(503, str(error), 1)
-        return NOTHING_UNDECIDED if decided is None else Answer(200, decided)
+        return NO_UNRESOLVED_TASKS if decided is None else Answer(200, decided)
--- a/stileloft/rebuild/change_broadcast.py
+++ b/stileloft/rebuild/change_broadcast.py
@@ -6,85 +6,51 @@
 
 import logging
 from collections.abc import Iterable, Mapping
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
-from msgspec import Struct
 from twisted.internet import defer
 
 from stileloft.model import records
-from stileloft.rebuild.replica import Replica
-
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-
-    pass
+from stileloft.rebuild.change_notice import MAX_CHANGES, ChangeNotice, is_announced
+from stileloft.rebuild.environment import RebuildEnvironment
+from stileloft.rebuild.replica import RecordChange
+from stileloft.rebuild.store_status import StoreStatus
 
 log = logging.getLogger(__name__)
 
-# What comes within so many seconds shares a message.
+# Changes within so many seconds share a message.
 GATHER_S = 0.02
-MOST_CHANGES = 500
-
-
-class InvalidNotesError(Exception):
-    """A message that can't be taken; the text says why."""
-
-
-class Notes(Struct, frozen=True):
-    """Changes of the store, each with key, value (null: deleted) and version."""
-
-    deployment: str
-    generation: int
-    changes: list[tuple[str, Any, int]]
-
-
-def parse_notes(body: Any) -> Notes:
-    """A checked message."""
-    try:
-        notes = msgspec.convert(body, Notes)
-    except msgspec.ValidationError as error:
-        raise InvalidNotesError(str(error)) from None
-    if len(notes.changes) > MOST_CHANGES:
-        raise InvalidNotesError(f"more than {MOST_CHANGES} changes")
-    for key, value, _ in notes.changes:
-        if not key.startswith((records.ACTIVE, records.FINAL)) or not (value is None or isinstance(value, dict)):
-            raise InvalidNotesError(f"a change of {key!r} is none that users are told of")
-    return notes
-
-
-def take_in(notes: Notes, replica: Replica) -> None:
-    """Applies the changes, unless they are of another store than the replica."""
-    if notes.generation == replica.generation:
-        for key, value, version in notes.changes:
-            replica.apply(key, value, version)
 
 
-class PeerNotes:
-    """Gathers what is to be told, and sends it; nothing is sent again, as the feed follows."""
+class ChangeBroadcaster:
+    """Gathers changes and sends them to all other controllers; nothing is sent again, as the feed follows."""
 
-    def __init__(self, node: "Controller") -> None:
-        self._node = node
-        self._waiting: list[tuple[str, Any, int]] = []
+    def __init__(self, environment: RebuildEnvironment, store: StoreStatus) -> None:
+        self._environment = environment
+        self._store = store
+        self._waiting: list[RecordChange] = []
 
     def add(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int) -> None:
-        """Has told what users hear of: the ends of jobs, and jobs' records that are given."""
-        told = [
-            (key, value, revision) for key, value in puts.items() if key.startswith((records.ACTIVE, records.FINAL))
-        ]
-        told += [(key, None, revision) for key in deletes if key.startswith(records.ACTIVE)]
-        if told and not self._waiting:
-            self._node.reactor.callLater(GATHER_S, self._send)
-        self._waiting += told
+        """Sends what users are told of these changes: outcomes, and jobs' records."""
+        changes = [RecordChange(key, value, revision) for key, value in puts.items() if is_announced(key)]
+        changes += [RecordChange(key, None, revision) for key in deletes if key.startswith(records.ACTIVE)]
+        if changes and not self._waiting:
+            self._environment.clock.callLater(GATHER_S, self._send)
+        self._waiting += changes
 
     def _send(self) -> None:
         changes, self._waiting = self._waiting, []
-        protection = self._node.rebuild.protection if self._node.rebuild else None
-        if protection is None or protection.identity is None:
+        identity = self._store.identity
+        if identity is None:
             return
-        for first in range(0, len(changes), MOST_CHANGES):
-            part = changes[first : first + MOST_CHANGES]
-            notes = Notes(protection.identity.deployment, protection.identity.generation, part)
-            for peer in self._node.settings.peers:
-                sent = self._node.peers.send_notes(peer.address, msgspec.to_builtins(notes))
-                defer.ensureDeferred(sent).addErrback(lambda failure: log.error("notes: %s", failure.getTraceback()))
+        for first in range(0, len(changes), MAX_CHANGES):
+            notice = ChangeNotice(identity.deployment, identity.generation, changes[first : first + MAX_CHANGES])
+            for peer in self._environment.settings.peers:
+                self._send_to(peer.address, notice)
+
+    def _send_to(self, address: str, notice: ChangeNotice) -> None:
+        sent = self._environment.peers.send_change_notice(address, msgspec.to_builtins(notice))
+        defer.ensureDeferred(sent).addErrback(
+            lambda failure: log.error("change notice failed peer=%s error=%s", address, failure.getTraceback())
+        )
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -1,76 +1,99 @@
-"""What a controller knew of the lost store that the rebuild did not: it was away, or could not be reached."""
+"""Reconciliation after a rebuild: what a controller knew of the lost store and the rebuild did not.
+
+Such a controller was away, or could not be reached, while the records were written back.
+"""
 
 import logging
 from collections.abc import Iterator
-from typing import TYPE_CHECKING, Any
+from typing import Any
+
+import msgspec
 
 from stileloft.model import records
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.state import ConflictError
-from stileloft.rebuild.reconstruction import ATTEMPT_MARGIN
+from stileloft.rebuild import identity as identities
+from stileloft.rebuild.environment import RebuildEnvironment
+from stileloft.rebuild.evidence import ATTEMPT_MARGIN
+from stileloft.rebuild.local_replicas import LocalReplicas
+from stileloft.rebuild.loss_detector import LossDetector
 from stileloft.rebuild.replica import Replica
-
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-    from stileloft.rebuild.protection import StoreProtection
+from stileloft.rebuild.store_status import StoreStatus
 
 log = logging.getLogger(__name__)
 
-# Between two records that are told, so that they take little of the store's changes.
-PAUSE_S = 0.2
+# Between two records, so that they take little of the store's changes.
+RECORD_INTERVAL_S = 0.2
 
 
-async def tell_what_was_missed(node: "Controller", protection: "StoreProtection", loaded: Replica) -> None:
-    """Writes ends and accepted jobs that the rebuilt store lacks; never over what was accepted since.
+class MissedChangesReconciler:
+    """Writes outcomes and accepted jobs that the rebuilt store lacks; never over what was accepted since.
 
     Users were told of them, so a job that ended stays ended, and one that was accepted stays known.
     """
-    before = protection.replica
-    if not 0 < before.generation < loaded.generation:
-        return
-    active = {key[len(records.ACTIVE) :]: record for key, record in loaded.records.items() if _is_active(key)}
-    for job, end in before.ends.without(loaded.ends).items():
-        await _tell_end(node, protection, job, end, active[job].version if job in active else 0)
-        loaded.ends.add(job, end)
-        await node.sleep(PAUSE_S)
-    for job, value in _accepted_jobs(before):
-        if job not in active and loaded.ends.get(job) is None:
-            await _tell_job(node, protection, job, value)
-            await node.sleep(PAUSE_S)
 
-
-def _is_active(key: str) -> bool:
-    return key.startswith(records.ACTIVE)
+    def __init__(
+        self, environment: RebuildEnvironment, store: StoreStatus, replicas: LocalReplicas, detector: LossDetector
+    ) -> None:
+        self._environment = environment
+        self._state = environment.state
+        self._store = store
+        self._replicas = replicas
+        self._detector = detector
+
+    async def reconcile(self, loaded: Replica) -> None:
+        """Adds to the store what the replica of before holds and the newly loaded one does not."""
+        before = self._replicas.current
+        if not 0 < before.generation < loaded.generation:
+            return
+        active = {key: record for key, record in loaded.records.items() if key.startswith(records.ACTIVE)}
+        for job, outcome in before.outcomes.without(loaded.outcomes).items():
+            record = active.get(records.active_key(job))
+            await self._record_outcome(job, outcome, 0 if record is None else record.version)
+            loaded.outcomes.add(job, outcome)
+            await self._environment.sleep(RECORD_INTERVAL_S)
+        for job, value in _accepted_jobs(before):
+            if records.active_key(job) not in active and loaded.outcomes.get(job) is None:
+                await self._record_accepted_job(job, value)
+                await self._environment.sleep(RECORD_INTERVAL_S)
+
+    async def confirm(self) -> None:
+        """Notes in the store's identity that this controller is reconciled."""
+        identity, member = self._store.identity, self._environment.member
+        if identity is None or member not in identity.unreconciled_members:
+            return
+        rest = tuple(other for other in identity.unreconciled_members if other != member)
+        reconciled = msgspec.structs.replace(identity, unreconciled_members=rest)
+        puts = {records.IDENTITY: identities.to_record(reconciled)}
+        self._store.accept_identity(reconciled, await self._state.commit(self._store.guards(), puts, []))
+
+    async def _record_outcome(self, job: str, outcome: JobOutcome, active_version: int) -> None:
+        """Records how a job ended; if the store holds it as unfinished, that record goes in the same transaction."""
+        active, final = records.active_key(job), records.final_key(job)
+        guards = {active: active_version, final: 0, **self._store.guards()}
+        value = records.final_record(outcome.phase, outcome.tasks)
+        try:
+            await self._state.commit(guards, {final: value}, [active] if active_version else [])
+            log.info("missed outcome recorded job=%s phase=%s", job, outcome.phase)
+        except ConflictError as conflict:
+            if active in conflict.failed:
+                self._detector.request_check()
+                raise  # it is being written: all is read again, and compared again
+
+    async def _record_accepted_job(self, job: str, value: dict[str, Any]) -> None:
+        """Records an accepted job, none of whose tasks are placed: where they were is not known any more."""
+        active, final = records.active_key(job), records.final_key(job)
+        inline = value.get(records.INLINE_CHUNK)
+        if inline is not None:
+            attempt = inline["a"] + ATTEMPT_MARGIN
+            value = value | {records.INLINE_CHUNK: {"a": attempt, "d": inline["d"], "p": {}}}
+        try:
+            await self._state.commit({active: 0, final: 0, **self._store.guards()}, {active: value}, [])
+            log.info("missed job recorded job=%s", job)
+        except ConflictError:
+            return  # it was submitted again meanwhile
 
 
 def _accepted_jobs(replica: Replica) -> Iterator[tuple[str, dict[str, Any]]]:
     for key, value in replica.values(records.ACTIVE):
         yield key[len(records.ACTIVE) :], value
-
-
-async def _tell_end(node: "Controller", protection: "StoreProtection", job: str, end: JobOutcome, version: int) -> None:
-    """The job's end; if the store holds it as unfinished, that record goes in the same transaction."""
-    active, final = records.active_key(job), records.final_key(job)
-    guards = {active: version, final: 0, **protection.guards()}
-    value = records.final_record(end.phase, end.tasks)
-    try:
-        await node.state.commit(guards, {final: value}, [active] if version else [])
-        log.info("job %s is %s, which the rebuild did not know", job, end.phase)
-    except ConflictError as conflict:
-        if active in conflict.failed:
-            protection.suspect()
-            raise  # it is being written: all is read again, and compared again
-
-
-async def _tell_job(node: "Controller", protection: "StoreProtection", job: str, value: dict[str, Any]) -> None:
-    """An accepted job, none of whose tasks are placed: where they were is not known any more."""
-    active, final = records.active_key(job), records.final_key(job)
-    inline = value.get(records.INLINE_CHUNK)
-    if inline is not None:
-        attempt = inline["a"] + ATTEMPT_MARGIN
-        value = value | {records.INLINE_CHUNK: {"a": attempt, "d": inline["d"], "p": {}}}
-    try:
-        await node.state.commit({active: 0, final: 0, **protection.guards()}, {active: value}, [])
-        log.info("job %s was accepted, which the rebuild did not know", job)
-    except ConflictError:
-        return  # it was submitted again meanwhile
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -1,18 +1,14 @@
 """Tasks that a rebuild left undecided: held back by the leader until an operator has decided."""
 
 import logging
-from typing import TYPE_CHECKING, Any
-
-import msgspec
+from typing import TYPE_CHECKING
 
 from stileloft.model import records
-from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks as undecided
-from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
+from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
 
 if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
     from stileloft.leadership.leader import Leader
     from stileloft.model.jobs import Job
 
@@ -21,13 +17,13 @@
 # How often the leader looks for decisions, while anything is undecided.
 LOOK_S = 1.0
 
-Stored = dict[str, tuple[Undecided, int]]
+Stored = dict[str, tuple[UnresolvedTasks, int]]
 """By job: its undecided tasks, and the version of their record."""
 
 
 async def read(term: "Leader") -> Stored:
     """All that is undecided; nothing is asked without the feature."""
-    if not term.node.integrity.can_be_lost:
+    if not term.node.integrity.detects_loss:
         return {}
     items, _ = await term.state.scan(records.UNDECIDED)
     return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
@@ -35,7 +31,7 @@
 
 def hold(term: "Leader", stored: Stored) -> None:
     """Has no undecided task started; called with the term's lock held."""
-    term.undescribed_jobs = frozenset(job for job, (found, _) in stored.items() if found.unknown)
+    term.undescribed_jobs = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
     for job_id, (found, _) in stored.items():
         job = term.jobs.get(job_id)
         if job is not None:
@@ -62,13 +58,13 @@
             log.exception("undecided tasks")
 
 
-async def _carry_out_one(term: "Leader", job_id: str, found: Undecided, version: int) -> None:
+async def _carry_out_one(term: "Leader", job_id: str, found: UnresolvedTasks, version: int) -> None:
     job = term.jobs.get(job_id)
-    if job is not None and not found.unknown:
+    if job is not None and not found.spec_lost:
         with term.lock:
             if not _apply(term, job, found):
                 return
-    elif found.unknown and Decision.FORGET not in found.decisions.values() and job is None:
+    elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
         return
     # Nothing of it is undecided any more, or the job is over or was submitted once more.
     await term.state.commit(
@@ -80,7 +76,7 @@
     term.request_scheduling()
 
 
-def _apply(term: "Leader", job: "Job", found: Undecided) -> bool:
+def _apply(term: "Leader", job: "Job", found: UnresolvedTasks) -> bool:
     """Brings the picture in line with the decisions; whether all are carried out and stored."""
     open_tasks = found.open_tasks()
     for text, decision in found.decisions.items():
@@ -97,26 +93,3 @@
     term.commit_queue.flush_within(0.0)
     decided = found.decisions.keys() >= found.evidence.keys()
     return decided and not job.dirty and not job.commit_in_flight
-
-
-async def decide(node: "Controller", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-    """Stores an operator's decision; the leader carries it out."""
-    key = records.UNDECIDED + job
-    try:
-        chosen = Decision(decision)
-        found = await node.state.lookup(key)
-        if found is None:
-            return None
-        value = undecided.to_record(undecided.from_record(found[0]).decide(task, chosen))
-        guards = {key: found[1], **node.integrity.guards()}
-        revision = await node.state.commit(guards, {key: value}, [])
-    except (ValueError, InvalidDecisionError) as error:
-        raise InvalidSettingsError(f"decision: {error}") from None
-    except ConflictError:
-        raise StaleVersionError from None
-    except (UnavailableError, UnknownOutcomeError) as error:
-        raise TemporarilyUnavailableError(f"state service: {error}") from None
-    node.integrity.record_commit({key: value}, [], revision)
-    log.info("an operator has decided: %s of job %s %s", "all" if task is None else f"task {task}", job, decision)
-    answer: dict[str, Any] = msgspec.to_builtins(value)
-    return answer
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -1,46 +1,44 @@
 """Writes a lost store's records back: a leader's first work in a store that is being rebuilt."""
 
 import logging
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from enum import StrEnum
-from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from stileloft.leadership.election import DRIFT
 from stileloft.machines.fleet import MARGIN_LEASES
 from stileloft.model import records
-from stileloft.protocol.messages import Heartbeat, command_message, stop_command
+from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import identity as identities
-from stileloft.rebuild.protection import StoreProtection
-from stileloft.rebuild.reconstruction import Evidence, Reconstruction, reconstruct
-from stileloft.rebuild.replica import Replica
-from stileloft.rebuild.replica_merge import Image, merge
-from stileloft.rebuild.snapshot import InvalidSnapshotError, Piece, Snapshot, from_pieces, read_piece
-from stileloft.store.commit_queue import TXN_BYTES
-from stileloft.store.job_transaction import StoreLimits
-from stileloft.transport.server import Answer, retry_later
-
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-
-    pass
+from stileloft.rebuild.environment import RebuildEnvironment
+from stileloft.rebuild.evidence import Evidence
+from stileloft.rebuild.heartbeat_collector import HeartbeatCollector
+from stileloft.rebuild.local_replicas import LocalReplicas
+from stileloft.rebuild.loss_detector import LossDetector
+from stileloft.rebuild.peer_replicas import PeerReplicas
+from stileloft.rebuild.reconstruction import Reconstruction, reconstruct
+from stileloft.rebuild.record_writer import RecordWriter
+from stileloft.rebuild.replica_merge import MergedReplica
+from stileloft.rebuild.snapshot_provider import SnapshotProvider
+from stileloft.rebuild.status_report import ProgressReport
+from stileloft.rebuild.store_status import StoreStatus
+from stileloft.rebuild.token_history import TokenHistory
+from stileloft.transport.server import Answer
 
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
 # Peers that do not answer are asked again for so long, as a part of the workers' lease.
 PEERS_LEASES = 0.25
-# A snapshot of more pieces is not read.
-MOST_PIECES = 10_000
 
 
-class Step(StrEnum):
+class RebuildStep(StrEnum):
     """How far a rebuild is."""
 
     REPLICAS = "reading the controllers' replicas"
-    REPORTS = "waiting for the workers' reports"
+    HEARTBEATS = "waiting for the workers' reports"
     RECORDS = "writing the records"
 
 
@@ -48,276 +46,152 @@
     """One attempt to write the records back, by one leader; the next leader begins anew."""
 
     def __init__(
-        self, node: "Controller", protection: StoreProtection, token: int, when_done: Callable[[], None]
+        self,
+        environment: RebuildEnvironment,
+        store: StoreStatus,
+        tokens: TokenHistory,
+        replicas: LocalReplicas,
+        snapshots: SnapshotProvider,
+        detector: LossDetector,
+        token: int,
+        when_done: Callable[[], None],
     ) -> None:
-        self._node = node
-        self._state = node.state
-        self._protection = protection
-        self.token = token
+        self._environment = environment
+        self._store = store
+        self._tokens = tokens
+        self._replicas = replicas
+        self._snapshots = snapshots
+        self._detector = detector
+        self._token = token
         self._when_done = when_done
-        self._limits = StoreLimits(node.settings.deployment.state)
-        self._began_at = node.reactor.seconds()
-        self.alive = True
-        self.step = Step.REPLICAS
-        self._image: Image | None = None
-        self._reports: dict[str, Heartbeat] = {}
-        self._found: dict[str, Snapshot] = {}
-        self._awaited = {peer.member for peer in node.settings.peers}
-        """Controllers whose replicas have not come."""
-        self._versions: dict[str, int] = {}
-        self._stored: dict[str, Any] = {}
-        """What the store holds, and in which versions."""
-        self._written = 0
-        self._to_write = 0
-        self.transactions = 0
+        self._started_at = environment.clock.seconds()
+        self._active = True
+        self._step = RebuildStep.REPLICAS
+        self._merged: MergedReplica | None = None
+        self._peers = PeerReplicas(environment, store, tokens)
+        self._heartbeats = HeartbeatCollector(environment, tokens, detector, token)
+        self._writer = RecordWriter(environment, store, lambda: self._active)
 
     def stop(self) -> None:
         """Ends the attempt: another leader goes on."""
-        self.alive = False
+        self._active = False
+
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer:
+        """Answers a worker's heartbeat while the records are written back."""
+        return self._heartbeats.on_heartbeat(heartbeat)
 
     async def run(self) -> None:
-        """Until the records are there, or the leadership is over."""
-        while self.alive:
+        """Rebuilds until the records are there, or the leadership is over."""
+        while self._active:
             try:
                 await self._rebuild()
                 return
             except ConflictError as conflict:
                 # Another leads, or the store was lost once more.
-                self._protection.suspect()
-                self._node.election.suspect(f"a rebuild failed on {conflict}")
-                await self._node.sleep(RETRY_S)
+                self._detector.request_check()
+                self._environment.leadership().suspect(f"a rebuild failed on {conflict}")
+                await self._environment.sleep(RETRY_S)
             except TooLargeError:
                 continue
             except (UnavailableError, UnknownOutcomeError) as error:
-                log.info("rebuilding: %s", error)
-                await self._node.sleep(RETRY_S)
+                log.info("rebuild interrupted token=%d error=%s", self._token, error)
+                await self._environment.sleep(RETRY_S)
             except Exception:
-                log.exception("rebuilding")
-                await self._node.sleep(RETRY_S)
+                log.exception("rebuild interrupted token=%d", self._token)
+                await self._environment.sleep(RETRY_S)
 
     async def _rebuild(self) -> None:
-        if self._image is None:
-            self._image = await self._gather()
-        if not self._image.leader_heard:
-            self.step = Step.REPORTS
-            self._image = await self._await_reports(self._image)
-        if not self.alive:
+        merged = self._merged or await self._collect_replicas()
+        if not merged.has_last_leader:
+            self._step = RebuildStep.HEARTBEATS
+            merged = await self._await_heartbeats(merged)
+        if not self._active:
             return
-        self.step = Step.RECORDS
-        present = await self._read_present()
+        self._step = RebuildStep.RECORDS
+        present = await self._writer.read()
         result = reconstruct(
             Evidence(
-                self._image,
+                merged,
                 present,
-                dict(self._reports),
-                frozenset(self._node.features.rebuild.run_once_classes),
-                self._node.first_chunk_size,
+                dict(self._heartbeats.newest),
+                frozenset(self._environment.feature.run_once_classes),
+                self._environment.first_chunk_size,
             )
         )
-        await self._write(result, present)
+        await self._writer.write(result)
         await self._finish(result)
 
     # -- what is known ------------------------------------------------------------
 
-    async def _gather(self) -> Image:
+    async def _collect_replicas(self) -> MergedReplica:
         """The replicas of all controllers that answer."""
-        self._found[self._node.settings.member] = self._protection.snapshot()
-        until = self._node.reactor.seconds() + PEERS_LEASES * self._node.settings.deployment.workers.lease_s
-        while self.alive:
-            await self._ask_awaited()
-            if not self._awaited or self._node.reactor.seconds() >= until:
+        clock = self._environment.clock
+        self._peers.add(self._snapshots.snapshot())
+        until = clock.seconds() + PEERS_LEASES * self._environment.worker_lease_s
+        while self._active:
+            await self._peers.request_missing()
+            if not self._peers.missing_members or clock.seconds() >= until:
                 break
-            await self._node.sleep(RETRY_S)
+            await self._environment.sleep(RETRY_S)
         return self._merge()
 
-    async def _ask_awaited(self) -> None:
-        """Asks the controllers whose replicas have not come."""
-        addresses = {peer.member: peer.address for peer in self._node.settings.peers}
-        for member in sorted(self._awaited):
-            snapshot = await self._read_snapshot(member, addresses[member])
-            if snapshot is not None:
-                self._found[member] = snapshot
-                self._awaited.discard(member)
-
-    def _merge(self) -> Image:
-        identity = self._protection.identity
-        if identity is None:
-            raise UnavailableError("the store's identity is not known")
-        image = merge(self._found.values(), identity.deployment, self._protection.token_at_loss, identity.token_base)
-        log.info(
-            "the image has %d records and %d ends, of %s; the last leader %s among them",
-            len(image.records),
-            len(image.ends),
-            ", ".join(image.sources) or "nobody",
-            "is" if image.leader_heard else "is not",
-        )
-        return image
-
-    async def _await_reports(self, image: Image) -> Image:
-        """Waits until no task runs that no report tells of, unless the last leader can tell of all of them."""
-        while self.alive and not image.leader_heard and self._node.reactor.seconds() < self._all_surely_ended_at():
-            await self._node.sleep(RETRY_S)
-            heard = len(self._found)
-            await self._ask_awaited()
-            if len(self._found) > heard:
-                image = self._image = self._merge()
-        return image
-
-    async def _read_snapshot(self, member: str, address: str) -> Snapshot | None:
-        """A controller's replica; None if it does not answer, or what it sends can't be used."""
-        identity = self._protection.identity
-        deployment = None if identity is None else identity.deployment
-        pieces: list[Piece] = []
-        try:
-            while not pieces or len(pieces) < min(pieces[0].pieces, MOST_PIECES):
-                data = await self._node.peers.snapshot_piece(address, len(pieces))
-                if data is None:
-                    return None
-                pieces.append(read_piece(data, deployment))
-            return from_pieces(pieces)
-        except InvalidSnapshotError as error:
-            log.error("the replica of %s is passed over: %s", member, error)
-            return None
-
-    def _all_surely_ended_at(self) -> float:
-        """From then on no task runs that no report tells of: the last leader's answers can't keep it alive any more."""
-        lease_s = self._node.settings.deployment.workers.lease_s
-        lost_at = self._protection.lost_at or self._began_at
-        return lost_at + self._node.renewal_grace_s + lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
+    def _merge(self) -> MergedReplica:
+        merged = self._merged = self._peers.merge()
+        self._heartbeats.outcomes = merged.outcomes
+        return merged
 
-    async def _read_present(self) -> dict[str, Any]:
-        """What the store holds of what a rebuild writes."""
-        found: dict[str, Any] = {}
-        self._versions.clear()
-        prefixes = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED, records.FINAL, records.ENDED)
-        for prefix in prefixes:
-            items, _ = await self._state.scan(prefix)
-            for key, value, version in items:
-                found[key], self._versions[key] = value, version
-        for key in (records.SETTINGS, records.FORMAT):
-            item = await self._state.lookup(key)
-            if item is not None:
-                found[key], self._versions[key] = item
-        self._stored = dict(found)
-        return found
+    async def _await_heartbeats(self, merged: MergedReplica) -> MergedReplica:
+        """Waits until no task runs that no heartbeat lists, unless the last leader's replica has all of them."""
+        while self._active and not merged.has_last_leader and not self._have_unlisted_tasks_ended():
+            await self._environment.sleep(RETRY_S)
+            if await self._peers.request_missing():
+                merged = self._merge()
+        return merged
 
-    # -- writing ------------------------------------------------------------------
+    def _have_unlisted_tasks_ended(self) -> bool:
+        """Whether the leases of workers that were not heard are over: the last leader can't renew them any more."""
+        lost_at = self._store.lost_at or self._started_at
+        latest_lease_s = self._environment.worker_lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
+        ended_at = lost_at + self._environment.renewal_grace_s + latest_lease_s
+        return self._environment.clock.seconds() >= ended_at
 
-    async def _write(self, result: Reconstruction, present: dict[str, Any]) -> None:
-        puts = dict(result.puts)
-        first = 1 + max((int(key[len(records.ENDED) :]) for key in present if key.startswith(records.ENDED)), default=0)
-        for number, value in enumerate(result.new_ends.to_records(self._limits.value_bytes), first):
-            puts[f"{records.ENDED}{number:06d}"] = value
-        self._written, self._to_write = 0, len(puts) + len(result.deletes)
-        for batch, deletes in self._batches(puts, result.deletes):
-            await self._commit(batch, deletes)
-            self._written += len(batch) + len(deletes)
-
-    def _batches(self, puts: dict[str, Any], deletes: list[str]) -> Iterator[tuple[dict[str, Any], list[str]]]:
-        """Transactions within the limits of the store."""
-        most = max(1, self._limits.ops)
-        batch: dict[str, Any] = {}
-        size = 0
-        # Ends come first: until they are there, a job that is over would look as if it had never been.
-        for key in sorted(puts, key=lambda key: (not key.startswith(records.ENDED), key)):
-            length = records.most_compact_bytes(puts[key]) + len(key)
-            if batch and (len(batch) >= most or size + length > TXN_BYTES):
-                yield batch, []
-                batch, size = {}, 0
-            batch[key] = puts[key]
-            size += length
-        if batch:
-            yield batch, []
-        for index in range(0, len(deletes), most):
-            yield {}, deletes[index : index + most]
-
-    async def _commit(self, puts: dict[str, Any], deletes: list[str]) -> None:
-        """One transaction; it is guarded on each record, so that nothing is overwritten that came meanwhile."""
-        changes = len(puts) + len(deletes)
-        while not self._node.leader_write_budget.try_take(min(changes, self._node.leader_write_budget.rate_per_s)):
-            await self._node.sleep(RETRY_S / 3)
-        if not self.alive:
-            raise UnavailableError("the leadership is over")
-        guards = self._guards() | {key: self._versions.get(key, 0) for key in (*puts, *deletes)}
-        try:
-            revision = await self._state.commit(guards, puts, deletes)
-        except TooLargeError:
-            self._limits.refused(puts.values(), changes)
-            raise
-        self.transactions += 1
-        for key, value in puts.items():
-            self._versions[key] = revision
-            self._stored[key] = value
-        for key in deletes:
-            self._stored.pop(key, None)
-
-    def _guards(self) -> dict[str, int]:
-        return {
-            records.LEADER: self._node.election.key_version,
-            records.IDENTITY: self._protection.identity_version,
-        }
+    # -- the end --------------------------------------------------------------------
 
     async def _finish(self, result: Reconstruction) -> None:
-        """The store is sound again: everybody may believe it."""
-        identity = self._protection.identity
-        if identity is None or not self.alive:
+        """The store is sound again: everybody may trust it."""
+        identity = self._store.identity
+        if identity is None or not self._active:
             return
-        sound = msgspec.structs.replace(identity, rebuilding=False, unheard=tuple(sorted(self._awaited)))
-        version = await self._state.commit(self._guards(), {records.IDENTITY: identities.to_record(sound)}, [])
-        self._protection.rebuilt(sound, version, self.token, self._replica(sound.generation, version))
+        missing = tuple(sorted(self._peers.missing_members))
+        sound = msgspec.structs.replace(identity, rebuilding=False, unreconciled_members=missing)
+        puts = {records.IDENTITY: identities.to_record(sound)}
+        version = await self._environment.state.commit(self._writer.guards(), puts, [])
+        self._tokens.finish_rebuild(self._token, sound.generation)
+        self._replicas.replace(self._writer.replica(sound.generation, version))
+        self._store.accept_identity(sound, version)
         log.info(
-            "rebuilt in %.1f s and %d transactions: %d jobs running, %d pending, %d ended, %d undecided",
-            self._node.reactor.seconds() - self._began_at,
-            self.transactions,
+            "rebuild finished generation=%d token=%d took_s=%.1f transactions=%d running=%d pending=%d ended=%d"
+            " unresolved=%d",
+            sound.generation,
+            self._token,
+            self._environment.clock.seconds() - self._started_at,
+            self._writer.transactions,
             result.running,
             result.pending,
             result.ended,
-            len(result.undecided),
+            len(result.unresolved),
         )
-        if self.alive:
+        if self._active:
             self._when_done()
 
-    def _replica(self, generation: int, revision: int) -> Replica:
-        """What the store holds now, so that it does not have to be read before it could be lost once more."""
-        replica = Replica(generation)
-        for key, value in self._stored.items():
-            replica.apply(key, value, self._versions[key])
-        replica.advance(revision)
-        replica.complete = True
-        return replica
-
-    # -- workers --------------------------------------------------------------------
-
-    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer:
-        """Keeps a worker's tasks alive while the records are written back, and remembers what it reports.
-
-        Nobody can cancel a job meanwhile, so an answer that tells of all jobs known to be over keeps no other alive.
-        """
-        if heartbeat.token > self.token:
-            self._protection.observe_token(heartbeat.token)
-            self._protection.suspect()
-            self._node.election.suspect(f"{heartbeat.machine} knows token {heartbeat.token}")
-            return Answer(421, {})
-        if self._image is None or not self._node.election.holds_lease():
-            return retry_later(503, "lost records are being rebuilt", 1)
-        known = self._reports.get(heartbeat.machine)
-        if known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence):
-            return Answer(200, command_message(0, []))  # a late copy: its worker is to drop this
-        if heartbeat.token == self.token:
-            # Only a worker that has our token can't be told anything by a former leader any more.
-            self._reports[heartbeat.machine] = heartbeat
-        ends = self._image.ends
-        over = [task for task in heartbeat.tasks if ends.get(records.split_task(task.task)[0]) is not None]
-        return Answer(200, command_message(self.token, [stop_command(task.task, task.attempt, 0.0) for task in over]))
-
-    def status(self) -> dict[str, Any]:
+    def progress(self) -> ProgressReport:
         """What the administration API shows of it."""
-        return {
-            "step": str(self.step),
-            "running_for_s": round(self._node.reactor.seconds() - self._began_at, 1),
-            "awaited": sorted(self._awaited),
-            "machines_heard": len(self._reports),
-            "written": self._written,
-            "to_write": self._to_write,
-            "transactions": self.transactions,
-        }
+        return ProgressReport(
+            step=str(self._step),
+            running_for_s=round(self._environment.clock.seconds() - self._started_at, 1),
+            awaited=sorted(self._peers.missing_members),
+            machines_heard=len(self._heartbeats.newest),
+            written=self._writer.written,
+            to_write=self._writer.to_write,
+            transactions=self._writer.transactions,
+        )
--- /dev/null
+++ b/stileloft/rebuild/record_writer.py
@@ -0,0 +1,131 @@
+"""Writes records into a store that is being rebuilt, in transactions within its limits."""
+
+from collections.abc import Callable, Iterator
+from typing import Any
+
+from stileloft.model import records
+from stileloft.protocol.state import TooLargeError, UnavailableError
+from stileloft.rebuild.environment import RebuildEnvironment
+from stileloft.rebuild.reconstruction import Reconstruction
+from stileloft.rebuild.replica import RESTORED_KEYS, RESTORED_PREFIXES, Replica
+from stileloft.rebuild.store_status import StoreStatus
+from stileloft.store.commit_queue import TXN_BYTES
+from stileloft.store.job_transaction import StoreLimits
+
+# How often it is checked whether the leader may change the store once more.
+BUDGET_INTERVAL_S = 0.1
+
+
+class RecordWriter:
+    """Reads what the store holds, and writes what it should hold.
+
+    Each transaction is guarded on the leadership, the identity and each record, so that nothing is overwritten that
+    came meanwhile.
+    """
+
+    def __init__(self, environment: RebuildEnvironment, store: StoreStatus, is_active: Callable[[], bool]) -> None:
+        self._environment = environment
+        self._state = environment.state
+        self._store = store
+        self._is_active = is_active
+        self._limits = StoreLimits(environment.settings.deployment.state)
+        self._stored: dict[str, Any] = {}
+        """What the store holds."""
+        self._versions: dict[str, int] = {}
+        """In which versions it holds it."""
+        self.written = 0
+        """Changes that were made since the last `write` began."""
+        self.to_write = 0
+        """Changes that it makes in all."""
+        self.transactions = 0
+
+    async def read(self) -> dict[str, Any]:
+        """What the store holds of what a rebuild writes."""
+        self._stored.clear()
+        self._versions.clear()
+        for prefix in (*RESTORED_PREFIXES, records.FINAL, records.ENDED):
+            items, _ = await self._state.scan(prefix)
+            for key, value, version in items:
+                self._stored[key], self._versions[key] = value, version
+        for key in RESTORED_KEYS:
+            found = await self._state.lookup(key)
+            if found is not None:
+                self._stored[key], self._versions[key] = found
+        return dict(self._stored)
+
+    async def write(self, result: Reconstruction) -> None:
+        """Makes the changes of a reconstruction."""
+        puts = result.puts | self._outcome_records(result)
+        self.written, self.to_write = 0, len(puts) + len(result.deletes)
+        for batch in self._put_batches(puts):
+            await self._commit(batch, [])
+        most = self._most_changes()
+        for first in range(0, len(result.deletes), most):
+            await self._commit({}, result.deletes[first : first + most])
+
+    def _outcome_records(self, result: Reconstruction) -> dict[str, Any]:
+        """Records of the new outcomes, numbered on from those that the store holds."""
+        numbers = [int(key[len(records.ENDED) :]) for key in self._stored if key.startswith(records.ENDED)]
+        values = result.new_outcomes.to_records(self._limits.value_bytes)
+        return {
+            f"{records.ENDED}{number:06d}": value for number, value in enumerate(values, max(numbers, default=0) + 1)
+        }
+
+    def _most_changes(self) -> int:
+        return max(1, self._limits.ops)
+
+    def _put_batches(self, puts: dict[str, Any]) -> Iterator[dict[str, Any]]:
+        """The records in batches of a transaction's size."""
+        most = self._most_changes()
+        batch: dict[str, Any] = {}
+        size = 0
+        # Outcomes come first: until they are there, a job that is over would look as if it had never been.
+        for key in sorted(puts, key=lambda key: (not key.startswith(records.ENDED), key)):
+            length = records.most_compact_bytes(puts[key]) + len(key)
+            if batch and (len(batch) >= most or size + length > TXN_BYTES):
+                yield batch
+                batch, size = {}, 0
+            batch[key] = puts[key]
+            size += length
+        if batch:
+            yield batch
+
+    async def _commit(self, puts: dict[str, Any], deletes: list[str]) -> None:
+        """One transaction, once the leader may change the store once more."""
+        changes = len(puts) + len(deletes)
+        budget = self._environment.leader_write_budget
+        while not budget.try_take(min(changes, budget.rate_per_s)):
+            await self._environment.sleep(BUDGET_INTERVAL_S)
+        if not self._is_active():
+            raise UnavailableError("the leadership is over")
+        guards = self.guards() | {key: self._versions.get(key, 0) for key in (*puts, *deletes)}
+        try:
+            revision = await self._state.commit(guards, puts, deletes)
+        except TooLargeError:
+            self._limits.refused(puts.values(), changes)
+            raise
+        self.transactions += 1
+        self.written += changes
+        self._note_commit(puts, deletes, revision)
+
+    def _note_commit(self, puts: dict[str, Any], deletes: list[str], revision: int) -> None:
+        for key, value in puts.items():
+            self._versions[key] = revision
+            self._stored[key] = value
+        for key in deletes:
+            self._stored.pop(key, None)
+
+    def guards(self) -> dict[str, int]:
+        """Conditions under which we still lead, in the store that we have marked."""
+        return {
+            records.LEADER: self._environment.leadership().key_version,
+            records.IDENTITY: self._store.identity_version,
+        }
+
+    def replica(self, generation: int, revision: int) -> Replica:
+        """What the store holds now, so that it does not have to be read before it could be lost once more."""
+        replica = Replica(generation)
+        replica.apply_all((key, value, self._versions[key]) for key, value in self._stored.items())
+        replica.advance(revision)
+        replica.complete = True
+        return replica
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -1,16 +1,17 @@
 """A controller's copy of what the state service holds."""
 
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
 from stileloft.model import records
 from stileloft.model.records import JobOutcome
-from stileloft.rebuild.job_outcomes import Ends, InvalidEndsError
+from stileloft.rebuild.errors import InvalidOutcomesError
+from stileloft.rebuild.job_outcomes import JobOutcomes
 
-# What is written back as it was. Where images are is a hint that is learned anew, and ends are kept apart.
+# What is written back as it was. Cached images are learned again from the workers, and outcomes are kept apart.
 RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED)
 RESTORED_KEYS = (records.SETTINGS, records.FORMAT)
 
@@ -20,6 +21,15 @@
     return key in RESTORED_KEYS or key.startswith(RESTORED_PREFIXES)
 
 
+class RecordChange(NamedTuple):
+    """A change of one record of the store; encoded as a list of three."""
+
+    key: str
+    value: Any
+    """None: the record was deleted."""
+    version: int
+
+
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
     """A record of the store, encoded, as many are held in little memory."""
@@ -27,46 +37,56 @@
     data: bytes
     version: int
 
+    @classmethod
+    def encode(cls, value: Any, version: int) -> "StoredRecord":
+        """The record with this value."""
+        return cls(orjson.dumps(value), version)
+
     def value(self) -> Any:
         """What the store held under the key."""
         return orjson.loads(self.data)
 
 
 class Replica:
-    """Records and ends, each with the version in which it was last seen.
+    """Records and job outcomes, each with the version in which it was last seen.
 
     Changes come from two sides: the store's own feed, in order but a little late, and what this controller has just
-    written itself. So each is taken in only if it is newer than what is known of its key.
+    written itself. So each is applied only if it is newer than what is known of its key.
     """
 
     def __init__(self, generation: int = 0) -> None:
         self.generation = generation
         """Of the store that it follows; records of another generation can't be compared by their versions."""
         self.revision = 0
-        """All changes up to this revision of the store are in it."""
+        """All changes up to this revision of the store are applied."""
         self.complete = False
         """Whether all records were read once."""
         self.records: dict[str, StoredRecord] = {}
-        self.ends = Ends()
+        self.outcomes = JobOutcomes()
         self._deleted: dict[str, int] = {}
         """Keys deleted after `revision`, and in which version: the feed may still bring an older record of them."""
 
     def apply(self, key: str, value: Any, version: int) -> None:
-        """Takes in a change: a value, or None for a deletion."""
+        """Applies a change: a value, or None for a deletion."""
         if key.startswith(records.FINAL):
             if value is not None:
-                self.ends.add(key[len(records.FINAL) :], JobOutcome(str(value["phase"]), int(value["n"])))
+                self.outcomes.add(key[len(records.FINAL) :], JobOutcome(str(value["phase"]), int(value["n"])))
         elif key.startswith(records.ENDED):
             if value is not None:
-                self._load_ends(value)
+                self._load_outcomes(value)
         elif is_restored(key):
             self._apply_record(key, value, version)
 
-    def _load_ends(self, value: Any) -> None:
+    def apply_all(self, changes: Iterable[tuple[str, Any, int]]) -> None:
+        """Applies changes in their order."""
+        for key, value, version in changes:
+            self.apply(key, value, version)
+
+    def _load_outcomes(self, value: Any) -> None:
         try:
-            self.ends.load(value)
-        except InvalidEndsError:
-            # Written by a version to come: what it tells is in the store still, and is not ours to lose.
+            self.outcomes.load(value)
+        except InvalidOutcomesError:
+            # Written by a later version: the record is still in the store, and is not ours to lose.
             return
 
     def _apply_record(self, key: str, value: Any, version: int) -> None:
@@ -78,10 +98,10 @@
             self._deleted[key] = version
         else:
             self._deleted.pop(key, None)
-            self.records[key] = StoredRecord(orjson.dumps(value), version)
+            self.records[key] = StoredRecord.encode(value, version)
 
     def advance(self, revision: int) -> None:
-        """All changes up to a revision of the store have been taken in."""
+        """Notes that all changes up to a revision of the store have been applied."""
         self.revision = max(self.revision, revision)
         self._deleted = {key: version for key, version in self._deleted.items() if version > self.revision}
 
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -1,66 +1,128 @@
 """The feature's parts in a controller: protection, replica, and the rebuild that it leads."""
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+import msgspec
+from msgspec import UNSET
 from twisted.internet import defer
 
-from stileloft.rebuild.change_broadcast import InvalidNotesError, parse_notes
+from stileloft.model import records
+from stileloft.protocol.messages import Heartbeat
+from stileloft.rebuild.change_notice import parse_change_notice
+from stileloft.rebuild.decision_recorder import DecisionRecorder
+from stileloft.rebuild.environment import RebuildEnvironment
+from stileloft.rebuild.errors import InvalidChangeNoticeError
+from stileloft.rebuild.local_replicas import LocalReplicas
+from stileloft.rebuild.loss_detector import LossDetector
+from stileloft.rebuild.missed_changes import MissedChangesReconciler
 from stileloft.rebuild.protection import StoreProtection
 from stileloft.rebuild.rebuilder import Rebuilder
 from stileloft.rebuild.replica_follower import ReplicaFollower
-
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-
-    pass
+from stileloft.rebuild.snapshot_provider import SnapshotProvider
+from stileloft.rebuild.status_report import RebuildReport, ReplicaReport
+from stileloft.rebuild.store_status import StoreStatus
+from stileloft.rebuild.token_history import TokenHistory
+from stileloft.transport.server import Answer
 
 log = logging.getLogger(__name__)
 
 
 class Rebuild:
-    """What a node holds of the feature."""
+    """What a controller holds of the feature."""
 
-    def __init__(self, node: "Controller") -> None:
-        self._node = node
-        self.protection = StoreProtection(node)
-        self.rebuilder: Rebuilder | None = None
-        """The rebuild that this node leads now."""
-        self._refused_notes = 0
+    def __init__(self, environment: RebuildEnvironment) -> None:
+        self._environment = environment
+        self.tokens = TokenHistory()
+        self.replicas = LocalReplicas()
+        self.store = StoreStatus(environment.state, environment.clock, self.tokens, environment.forget_record_versions)
+        self.snapshots = SnapshotProvider(environment, self.store, self.tokens, self.replicas)
+        self._detector = LossDetector(environment, self.store, self.tokens, self.replicas, self.snapshots)
+        self.protection = StoreProtection(environment, self.store, self.tokens, self.replicas, self._detector)
+        self._decisions = DecisionRecorder(environment.state, self.protection)
+        self._follower = ReplicaFollower(
+            environment,
+            self.store,
+            self.replicas,
+            self.snapshots,
+            MissedChangesReconciler(environment, self.store, self.replicas, self._detector),
+        )
+        self._rebuilder: Rebuilder | None = None
+        """The rebuild that this controller leads now."""
+        self._refused_notices = 0
 
     def run(self) -> None:
-        """Starts to look after the store."""
-        defer.ensureDeferred(self.protection.run())
-        defer.ensureDeferred(ReplicaFollower(self._node, self.protection).run())
+        """Starts to check the store, and to follow it."""
+        defer.ensureDeferred(self._detector.run())
+        defer.ensureDeferred(self._follower.run())
+
+    # -- leading a rebuild ------------------------------------------------------------
+
+    def is_leading_rebuild(self) -> bool:
+        """Whether this controller writes lost records back now."""
+        return self._rebuilder is not None
 
     def begin(self, token: int) -> None:
         """Begins to write lost records back, as the leader with this token."""
-        self.rebuilder = Rebuilder(self._node, self.protection, token, lambda: self._done(token))
-        defer.ensureDeferred(self.rebuilder.run())
+        self._rebuilder = Rebuilder(
+            self._environment,
+            self.store,
+            self.tokens,
+            self.replicas,
+            self.snapshots,
+            self._detector,
+            token,
+            lambda: self._finish(token),
+        )
+        defer.ensureDeferred(self._rebuilder.run())
+
+    def _finish(self, token: int) -> None:
+        self._rebuilder = None
+        self._environment.begin_term(token)
 
-    def _done(self, token: int) -> None:
-        self.rebuilder = None
-        self._node.begin_term(token)
+    def stop(self) -> None:
+        """Ends the rebuild that this controller leads: its leadership is over."""
+        if self._rebuilder is not None:
+            self._rebuilder.stop()
+            self._rebuilder = None
+
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer | None:
+        """Answers a worker's heartbeat during a rebuild; None if this controller leads none."""
+        return None if self._rebuilder is None else self._rebuilder.on_heartbeat(heartbeat)
+
+    # -- what other controllers and operators ask ---------------------------------------
 
-    def take_notes(self, body: Any) -> bool:
-        """Takes in what another controller has just told its users; whether it could be read."""
+    def receive_change_notice(self, body: Any) -> bool:
+        """Applies another controller's change notice; whether it could be used."""
         try:
-            notes = parse_notes(body)
-        except InvalidNotesError as error:
-            self._refused_notes += 1
-            if self._refused_notes == 1:
-                log.error("notes of another controller are dropped, and later ones only counted: %s", error)
+            notice = parse_change_notice(body)
+        except InvalidChangeNoticeError as error:
+            self._refused_notices += 1
+            if self._refused_notices == 1:
+                log.error("change notice refused, later ones are only counted error=%s", error)
             return False
-        self.protection.take_notes(notes)
+        self.protection.apply_notice(notice)
         return True
 
-    def stop(self) -> None:
-        """The leadership is over."""
-        if self.rebuilder is not None:
-            self.rebuilder.stop()
-            self.rebuilder = None
+    async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
+        """Stores an operator's decision about unresolved tasks; None if the job has none."""
+        return await self._decisions.record(job, task, decision)
 
     def status(self) -> dict[str, Any]:
-        """What is known of the store, and of a rebuild that this node leads."""
-        under_way = {} if self.rebuilder is None else {"rebuild": self.rebuilder.status()}
-        return self.protection.status() | under_way | {"refused_notes": self._refused_notes}
+        """What is known of the store, and of a rebuild that this controller leads."""
+        answer: dict[str, Any] = msgspec.to_builtins(self._report())
+        return answer
+
+    def _report(self) -> RebuildReport:
+        store, replica = self.store, self.replicas.current
+        lost_for_s = None if store.lost_at is None else round(self._environment.clock.seconds() - store.lost_at, 1)
+        return RebuildReport(
+            phase=str(store.phase),
+            reason=store.reason,
+            lost_for_s=lost_for_s,
+            generation=store.generation,
+            replica=ReplicaReport(replica.complete, replica.revision, len(replica.records), len(replica.outcomes)),
+            undecided={key[len(records.UNDECIDED) :]: value for key, value in replica.values(records.UNDECIDED)},
+            refused_notes=self._refused_notices,
+            rebuild=UNSET if self._rebuilder is None else self._rebuilder.progress(),
+        )
--- a/stileloft/rebuild/unresolved_tasks.py
+++ b/stileloft/rebuild/unresolved_tasks.py
@@ -6,53 +6,56 @@
 import msgspec
 from msgspec import Struct, field
 
-
-class InvalidDecisionError(Exception):
-    """A decision that can't be carried out; the text says why."""
+from stileloft.rebuild.errors import InvalidDecisionError
 
 
 class Decision(StrEnum):
-    """What an operator may say of an undecided job."""
+    """What an operator may decide about unresolved tasks."""
 
     RUN = "run"
-    """It did not complete: it runs again."""
+    """They did not complete: they run again."""
     DONE = "done"
-    """It completed: it does not run again."""
+    """They completed: they do not run again."""
     FORGET = "forget"
-    """A job whose description is lost: it is known no longer."""
+    """The job's specification is lost: the job is known no longer."""
 
 
-class Undecided(Struct, frozen=True, omit_defaults=True):
-    """A job's undecided tasks, with the evidence for each."""
+class UnresolvedTasks(Struct, frozen=True, omit_defaults=True):
+    """A job's unresolved tasks, with the evidence for each."""
 
     evidence: dict[str, str]
     """By task number."""
-    unknown: bool = False
-    """No controller knows the job's description: only workers' reports tell of it."""
+    spec_lost: bool = field(default=False, name="unknown")
+    """No controller knows the job's specification: only workers' heartbeats tell of it."""
     decisions: dict[str, Decision] = field(default_factory=dict)
-    """What an operator has decided of tasks, for the leader to carry out."""
+    """What an operator has decided about tasks, for the leader to carry out."""
 
     def open_tasks(self) -> set[int]:
         """Tasks that must not be started."""
         return {int(task) for task in self.evidence if self.decisions.get(task) is not Decision.RUN}
 
-    def decide(self, task: int | None, decision: Decision) -> "Undecided":
-        """The record with an operator's word on one task, or on all that are open."""
-        if self.unknown != (decision is Decision.FORGET):
-            known = "unknown" if self.unknown else "known"
-            raise InvalidDecisionError(f"{decision.value!r} can't be said of a job whose description is {known}")
+    def decide(self, task: int | None, decision: Decision) -> "UnresolvedTasks":
+        """The record with an operator's decision about one task, or about all that are open.
+
+        Raises `InvalidDecisionError` if the decision does not fit the job.
+        """
+        if self.spec_lost != (decision is Decision.FORGET):
+            state = "unknown" if self.spec_lost else "known"
+            raise InvalidDecisionError(
+                f"{decision.value!r} is impossible for a job whose specification is {state}", decision, task
+            )
         if task is not None and str(task) not in self.evidence:
-            raise InvalidDecisionError(f"task {task} of the job is not undecided")
+            raise InvalidDecisionError(f"task {task} of the job is not unresolved", decision, task)
         tasks = self.evidence.keys() - self.decisions.keys() if task is None else {str(task)}
         return msgspec.structs.replace(self, decisions=self.decisions | dict.fromkeys(tasks, decision))
 
 
-def to_record(undecided: Undecided) -> dict[str, Any]:
+def to_record(unresolved: UnresolvedTasks) -> dict[str, Any]:
     """The record as it is stored."""
-    record: dict[str, Any] = msgspec.to_builtins(undecided)
+    record: dict[str, Any] = msgspec.to_builtins(unresolved)
     return record
 
 
-def from_record(value: Any) -> Undecided:
-    """What a stored record tells."""
-    return msgspec.convert(value, Undecided)
+def from_record(value: Any) -> UnresolvedTasks:
+    """The unresolved tasks in a stored record."""
+    return msgspec.convert(value, UnresolvedTasks)
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -241,7 +241,7 @@
                 entry.job.has_unresolved_commit = True
                 self.reload(entry.job)
         else:
-            term.node.integrity.record_commit(puts, deletes, revision, told=False)
+            term.node.integrity.record_commit(puts, deletes, revision, announce_all=False)
             self._executed(batch, revision)
 
     def _conflicted(self, batch: list[JobTransaction], conflict: ConflictError) -> None:
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -1,4 +1,4 @@
-"""Whether the state service still holds what it was given: what other modules ask, and the answer if nobody looks.
+"""Whether the state service still holds what it was given: what other modules ask, and the answer if nobody checks.
 
 The feature `rebuild` puts `stileloft.rebuild.protection` in place of what is here.
 """
@@ -12,11 +12,11 @@
 class StoreIntegrity:
     """The store is trusted: it never loses anything, and needs no identity."""
 
-    can_be_lost = False
+    detects_loss = False
     """Whether a loss would be noticed at all."""
 
     def is_sound(self) -> bool:
-        """Whether the store may be believed, and written."""
+        """Whether the store may be trusted, and written."""
         return True
 
     def may_campaign(self) -> bool:
@@ -41,7 +41,7 @@
         """Whether jobs that ended are known, wherever that is recorded."""
         return True
 
-    def suspect(self) -> None:
+    def verify_soon(self) -> None:
         """Has the store verified soon: something was not as it should be."""
 
     async def take_leadership(self, version: int) -> int:
@@ -54,13 +54,15 @@
     def record_raised_token(self, token: int) -> None:
         """As the leader, we tell a worker this token, which is above the one of our election."""
 
-    def record_commit(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, told: bool = True) -> None:
-        """This controller has changed the store; `told`: users hear of all of it, rather than of jobs' ends only."""
+    def record_commit(
+        self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
+    ) -> None:
+        """This controller has changed the store; `announce_all`: users are told of all of it, not only of outcomes."""
 
     def outcome_of(self, _job: str) -> JobOutcome | None:
         """How a job ended of which the store has no record of its own."""
         return None
 
-    def is_unknown_job(self, _job: str) -> bool:
-        """Whether a job is known by workers' reports alone."""
+    def has_lost_spec(self, _job: str) -> bool:
+        """Whether a job is known by workers' heartbeats alone."""
         return False
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -42,8 +42,8 @@
 LOCAL = f"127.{10 + (os.getpid() >> 16) % 200}.{os.getpid() >> 8 & 255}.{os.getpid() & 255}"
 POLL_S = 0.5
 CANCEL_AFTER_S = 1.5
-FOLLOWED = "the replica holds"
-REBUILT = re.compile(r"rebuilt in ([0-9.]+) s and ([0-9]+) transactions")
+FOLLOWED = "replica loaded"
+REBUILT = re.compile(r"rebuild finished .*took_s=([0-9.]+) transactions=([0-9]+)")
 
 
 # Below the ports that the system gives to whoever asks for any, as the fakes here do.
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -11,7 +11,7 @@
 from stileloft.features import Features, RebuildFeature
 from stileloft.model import records
 from stileloft.model.records import JobOutcome
-from stileloft.rebuild.job_outcomes import Ends
+from stileloft.rebuild.job_outcomes import JobOutcomes
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.snapshot import to_pieces
 from tests.simulation.fleet import FleetWorld
@@ -30,7 +30,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         text = record.getMessage()
-        if text.startswith("rebuilt in"):
+        if text.startswith("rebuild finished"):
             self.lines.append(text)
 
 
@@ -57,9 +57,9 @@
     applied.calls, applied.total_s = 0, 0.0
     world.run(14)
     tasks = sum(len(machine.tasks) for machine in world.every_machine.values())
-    protection = world.nodes[world.leader()].rebuild.protection
-    pieces = to_pieces(protection.snapshot())
-    held = sum(len(record.data) for record in protection.replica.records.values())
+    rebuild = world.nodes[world.leader()].rebuild
+    pieces = to_pieces(rebuild.snapshots.snapshot())
+    held = sum(len(record.data) for record in rebuild.replicas.current.records.values())
     print(f"{machines} machines, {tasks} tasks on them, {len(world.jobs)} jobs")
     print(f"  a snapshot: {len(pieces)} pieces, {sum(map(len, pieces))} bytes; its records {held} bytes")
     print(f"  replicas: {applied.calls} changes in 14 s on three nodes, {1000 * applied.total_s:.1f} ms in all")
@@ -75,22 +75,22 @@
     print(f"  simulated: all records after {rebuilt_s:.1f} s, the next start after {world.now - wiped_at:.1f} s")
 
 
-def measure_ends() -> None:
+def measure_outcomes() -> None:
     """Bitmaps beside ranges, for job numbers in no order."""
     numbers = random.Random(1).sample(range(1_000_000), ENDED_JOBS)
     began = time.process_time()
-    ends = Ends()
+    outcomes = JobOutcomes()
     for number in numbers:
-        ends.add(f"j-{number:06d}", JobOutcome("done", 1 + number % 40))
+        outcomes.add(f"j-{number:06d}", JobOutcome("done", 1 + number % 40))
     added_s = time.process_time() - began
     began = time.process_time()
-    values = ends.to_records(16 * 1024)
+    values = outcomes.to_records(16 * 1024)
     encoded_s = time.process_time() - began
     began = time.process_time()
     ranges = records.to_ranges(set(numbers))
     ranges_s = time.process_time() - began
     size = sum(map(records.size_of, values))
-    print(f"{ENDED_JOBS} ends of forty kinds: bitmaps {size} bytes in {len(values)} records, ", end="")
+    print(f"{ENDED_JOBS} outcomes of forty kinds: bitmaps {size} bytes in {len(values)} records, ", end="")
     print(f"added in {1000 * added_s:.0f} ms, encoded in {1000 * encoded_s:.0f} ms; ", end="")
     print(f"ranges of the numbers alone {records.size_of(ranges)} bytes, {1000 * ranges_s:.0f} ms")
 
@@ -99,7 +99,7 @@
     lines = RebuiltLines()
     logging.getLogger().addHandler(lines)
     logging.getLogger().setLevel(logging.INFO)
-    measure_ends()
+    measure_outcomes()
     applied = Applied()
     for machines in [int(text) for text in sys.argv[1:]] or [600, 4000]:
         measure_fleet(machines, applied, lines)
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -8,17 +8,19 @@
 from twisted.internet import defer
 
 from stileloft.protocol import messages
-from stileloft.protocol.peers import NOTES_PATH, SNAPSHOT_PATH
+from stileloft.protocol.peers import CHANGE_NOTICE_PATH, SNAPSHOT_PATH
 from stileloft.transport.client import ConnectionFailedError, NoResponseError, Reply
+from tests.versions import Version
 
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
 
-def ask_peer(peer: Any, path: str, sent: Any) -> Reply:
-    """What a node answers another one."""
-    if path == NOTES_PATH:
-        return Reply(200 if peer.take_notes(sent) else 400, None)
+def ask_peer(peer: Any, version: Version, path: str, sent: Any) -> Reply:
+    """What a node of a version answers another one."""
+    if path == CHANGE_NOTICE_PATH:
+        receive_change_notice = version.part(peer, "receive_change_notice")
+        return Reply(200 if receive_change_notice(sent) else 400, None)
     if path.startswith(SNAPSHOT_PATH):
         piece = peer.snapshot_piece(int(path[len(SNAPSHOT_PATH) :]))
         return Reply(404, None) if piece is None else Reply(200, {"piece": piece.decode()})
@@ -63,10 +65,10 @@
             if target == "cloud":
                 return world.cloud.handle(self.name, method, path, sent)
             if target in world.names:
-                peer = world.nodes[target]
+                peer, peer_version = world.nodes[target], world.versions[target]
                 if peer is None or world.now < world.peers_refuse:
                     raise ConnectionFailedError("no process, or a filter")
-                return world.to_node(target, lambda: ask_peer(peer, path, sent))
+                return world.to_node(target, lambda: ask_peer(peer, peer_version, path, sent))
             machine = world.every_machine[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -331,11 +331,11 @@
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
     world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
     cancel_held(world)
-    running, protection = set(world.rules.where), leading(world).node.integrity
-    assert protection.led_token == leading(world).tokens.highest_issued == protection.highest_token
+    running, tokens = set(world.rules.where), leading(world).node.rebuild.tokens
+    assert tokens.last_term_token == leading(world).tokens.highest_issued == tokens.highest
     world.state.wipe()
     run_watched(world, 100.0)
-    assert leading(world).tokens.first > protection.led_token - 1 and world.rules.broken == []
+    assert leading(world).tokens.first > tokens.last_term_token - 1 and world.rules.broken == []
     assert running <= set(world.rules.where), "what ran goes on"
 
 
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -16,7 +16,7 @@
 from stileloft.model import records
 from stileloft.model.records import split_task
 from stileloft.protocol.admin_errors import InvalidSettingsError
-from stileloft.rebuild.protection import Phase
+from stileloft.rebuild.store_status import StorePhase
 from tests.simulation.world import World
 from tests.test_overlapping_faults import DAYS, test_overlapping_faults
 from tests.versions import NEW, production
@@ -54,8 +54,8 @@
     assert unfinished == {}
 
 
-def phases(world: World) -> set[Phase]:
-    return {node.rebuild.protection.phase for node in world.nodes.values() if node is not None}
+def phases(world: World) -> set[StorePhase]:
+    return {node.rebuild.store.phase for node in world.nodes.values() if node is not None}
 
 
 # -- losses --------------------------------------------------------------------------------------------------------
@@ -85,7 +85,7 @@
 
 def is_rebuilding(world: World, name: str) -> bool:
     node = world.nodes[name]
-    return node is not None and node.rebuild.rebuilder is not None
+    return node is not None and node.rebuild.is_leading_rebuild()
 
 
 def wiped_twice(world: World) -> None:
@@ -176,10 +176,10 @@
         # Confirmed shortly before the loss, at it, and after it.
         world.clock.callLater(16.5 + number, world.cancel, f"j-{number:06d}")
     world.run(24.0)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
     LOSSES[name](world)
     finish(world)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
 
 
 @pytest.mark.parametrize("name", DAYS)
@@ -189,7 +189,7 @@
     """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
     monkeypatch.setattr(World, "FEATURES", ON)
     test_overlapping_faults(name, 0)
-    assert "has lost records" not in caplog.text
+    assert "lost records" not in caplog.text
 
 
 def test_without_the_feature_jobs_are_forgotten() -> None:
@@ -234,7 +234,7 @@
 ONCE = Features(rebuild=RebuildFeature(enabled=True, run_once_classes=["once"]))
 
 
-def undecided_jobs(world: World) -> dict[str, dict]:
+def unresolved_jobs(world: World) -> dict[str, dict]:
     node = next(node for node in world.nodes.values() if node is not None)
     return node.rebuild.status()["undecided"]
 
@@ -261,7 +261,7 @@
         machine.die()
     leader_lost_with_it(world)
     world.run(90.0)
-    found = undecided_jobs(world)
+    found = unresolved_jobs(world)
     assert {f"{job}/{task}" for job, record in found.items() for task in record["evidence"]} >= begun
     started = world.rules.starts_of(begun)
     world.run(40.0)
@@ -274,7 +274,7 @@
     for job in others:
         decide(world, job, None, "run")
     finish(world)
-    assert undecided_jobs(world) == {}
+    assert unresolved_jobs(world) == {}
 
 
 def test_impossible_decisions_change_nothing() -> None:
@@ -298,16 +298,16 @@
     for task in [task for task in world.rules.where if split_task(task)[0] == job]:
         world.lengths[task] = 200.0
     for node in world.nodes.values():
-        replica = node.rebuild.protection.replica
+        replica = node.rebuild.replicas.current
         for key in [key for key in replica.records if job in key]:
             del replica.records[key]
     leader_lost_with_it(world)  # it would know what it has placed
     world.run(45.0)
-    assert undecided_jobs(world)[job]["unknown"]
+    assert unresolved_jobs(world)[job]["unknown"]
     assert world.rules.last[job] != "missing" and world.rules.broken == []
     world.submit(world.jobs[job])
     finish(world)
-    assert job not in undecided_jobs(world)
+    assert job not in unresolved_jobs(world)
 
 
 # -- who takes part --------------------------------------------------------------------------------------------------
@@ -320,12 +320,12 @@
     world.kill("node-2", back_after=0.1)
     world.run(30.0)
     assert records.IDENTITY not in world.state.items
-    assert world.nodes["node-0"].rebuild.protection.phase is Phase.UNPROTECTED
+    assert world.nodes["node-0"].rebuild.store.phase is StorePhase.UNPROTECTED
     finish(world)
     world.features["node-2"] = ON
     world.kill("node-2", back_after=0.1)
     world.run(10.0)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
@@ -368,7 +368,7 @@
         world.kill(name, back_after=0.5)
         world.run(4.0)
     world.run(8.0)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
     finish(world)
 
 
@@ -380,20 +380,20 @@
     world.kill(name, back_after=0.05)
     world.state.wipe()
     world.run(0.3)
-    assert world.nodes[name].rebuild.protection.phase is not Phase.UNPROTECTED
+    assert world.nodes[name].rebuild.store.phase is not StorePhase.UNPROTECTED
     finish(world)
 
 
-def test_all_controllers_and_the_store_are_lost_but_a_folder_is_left(tmp_path) -> None:
-    """A small site's folder, and workers' tokens, tell what no process knows any more."""
-    folder = Features(rebuild=RebuildFeature(enabled=True, directory=str(tmp_path), directory_s=1.0))
-    world = loaded_world(12, features=folder)
-    world.run(33.0)  # all were accepted some seconds ago: what is newer than the folder is lost with the processes
+def test_all_controllers_and_the_store_are_lost_but_a_directory_is_left(tmp_path) -> None:
+    """A small site's directory, and workers' tokens, tell what no process knows any more."""
+    directory = Features(rebuild=RebuildFeature(enabled=True, directory=str(tmp_path), directory_s=1.0))
+    world = loaded_world(12, features=directory)
+    world.run(33.0)  # all were accepted some seconds ago: what is newer than the directory is lost with the processes
     for name in world.names:
         world.kill(name, back_after=1.0)
     world.state.wipe()
     finish(world)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
 
 
 def test_tokens_of_workers_show_a_loss_that_no_process_remembers() -> None:
@@ -408,9 +408,9 @@
         machine.token = max(machine.token, 150)  # many changes were made since the leader was elected
     world.state.wipe()
     world.run(45.0)
-    assert phases(world) == {Phase.SOUND}
+    assert phases(world) == {StorePhase.SOUND}
     assert world.nodes[world.leader()].term.token > max(150, tokens)
-    assert undecided_jobs(world)
+    assert unresolved_jobs(world)
 
 
 # -- real processes --------------------------------------------------------------------------------------------------
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a rebuild, each by itself: replicas, snapshots, merging, reconstruction, ends, decisions."""
+"""The parts of a rebuild, each by itself: replicas, snapshots, merging, reconstruction, job outcomes, decisions."""
 
 import json
 from pathlib import Path
@@ -15,15 +15,24 @@
 from stileloft.model.jobs import active_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import Heartbeat, JobSpec, TaskStatus, parse_job
-from stileloft.rebuild import unresolved_tasks as undecided
-from stileloft.rebuild.change_broadcast import InvalidNotesError, parse_notes, take_in
-from stileloft.rebuild.job_outcomes import Ends, InvalidEndsError
-from stileloft.rebuild.reconstruction import ATTEMPT_MARGIN, Evidence, Reconstruction, reconstruct
+from stileloft.rebuild import identity as identities
+from stileloft.rebuild import unresolved_tasks
+from stileloft.rebuild.change_notice import parse_change_notice
+from stileloft.rebuild.errors import (
+    InvalidChangeNoticeError,
+    InvalidDecisionError,
+    InvalidOutcomesError,
+    InvalidSnapshotError,
+)
+from stileloft.rebuild.evidence import ATTEMPT_MARGIN, Evidence
+from stileloft.rebuild.identity import Identity
+from stileloft.rebuild.job_outcomes import JobOutcomes
+from stileloft.rebuild.reconstruction import Reconstruction, reconstruct
 from stileloft.rebuild.replica import Replica
-from stileloft.rebuild.replica_merge import Image, merge
-from stileloft.rebuild.snapshot import Holder, InvalidSnapshotError, Snapshot, from_pieces, read_piece, to_pieces
+from stileloft.rebuild.replica_merge import MergedReplica, merge
+from stileloft.rebuild.snapshot import Holder, Snapshot, from_pieces, read_piece, to_pieces
 from stileloft.rebuild.snapshot_directory import SnapshotDirectory
-from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
+from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
 from tests.simulation.world import World
 
 DEPLOYMENT = "0123456789abcdef"
@@ -59,16 +68,16 @@
     assert {key: record.value() for key, record in replica.records.items()} == {"active/j-1": {"c": 2}}
     replica.apply("images/n-1", ["img"], 13)
     replica.apply("final/j-2", {"phase": "done", "n": 3}, 13)
-    assert set(replica.records) == {"active/j-1"} and replica.ends.get("j-2") == JobOutcome("done", 3)
+    assert set(replica.records) == {"active/j-1"} and replica.outcomes.get("j-2") == JobOutcome("done", 3)
 
 
-def test_notes_of_another_store_change_nothing() -> None:
+def test_change_notices_of_another_store_change_nothing() -> None:
     replica = replica_of({"active/j-1": ({"c": 1}, 5)}, 6, generation=2)
     changes = [["active/j-1", None, 9], ["final/j-1", {"phase": "cancelled", "n": 0}, 9]]
-    take_in(parse_notes({"deployment": DEPLOYMENT, "generation": 1, "changes": changes}), replica)
-    assert "active/j-1" in replica.records and not len(replica.ends)
-    take_in(parse_notes({"deployment": DEPLOYMENT, "generation": 2, "changes": changes}), replica)
-    assert not replica.records and replica.ends.get("j-1") == JobOutcome("cancelled", 0)
+    parse_change_notice({"deployment": DEPLOYMENT, "generation": 1, "changes": changes}).apply_to(replica)
+    assert "active/j-1" in replica.records and not len(replica.outcomes)
+    parse_change_notice({"deployment": DEPLOYMENT, "generation": 2, "changes": changes}).apply_to(replica)
+    assert not replica.records and replica.outcomes.get("j-1") == JobOutcome("cancelled", 0)
 
 
 @pytest.mark.parametrize(
@@ -82,50 +91,52 @@
         [["active/j-1", {}, 1]] * 501,
     ],
 )
-def test_bad_notes_are_refused(changes: Any) -> None:
-    with pytest.raises(InvalidNotesError):
-        parse_notes({"deployment": DEPLOYMENT, "generation": 1, "changes": changes})
+def test_bad_change_notices_are_refused(changes: Any) -> None:
+    with pytest.raises(InvalidChangeNoticeError):
+        parse_change_notice({"deployment": DEPLOYMENT, "generation": 1, "changes": changes})
 
 
-# -- ends ----------------------------------------------------------------------------------------------------------
+# -- job outcomes -----------------------------------------------------------------------------------------------------
 
 JOBS = st.integers(1, 30).flatmap(lambda digits: st.text("0123456789", min_size=digits, max_size=digits))
-ENDS = st.dictionaries(JOBS.map("j-{}".format), st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9)))
+OUTCOMES = st.dictionaries(
+    JOBS.map("j-{}".format), st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9))
+)
 
 
-@given(ENDS, st.integers(400, 4096))
-def test_ends_are_what_was_added_after_any_encoding(ends: dict[str, tuple[str, int]], value_bytes: int) -> None:
-    found = Ends()
-    for job, end in ends.items():
-        found.add(job, JobOutcome(*end))
+@given(OUTCOMES, st.integers(400, 4096))
+def test_outcomes_are_what_was_added_after_any_encoding(expected: dict[str, tuple[str, int]], value_bytes: int) -> None:
+    found = JobOutcomes()
+    for job, outcome in expected.items():
+        found.add(job, JobOutcome(*outcome))
     values = found.to_records(value_bytes)
-    read = Ends()
+    read = JobOutcomes()
     for value in json.loads(json.dumps(values)):
         read.load(value)
-    assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*end) for job, end in ends.items()}
+    assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*outcome) for job, outcome in expected.items()}
     assert all(records.size_of(value) <= value_bytes for value in values)
 
 
-def test_the_first_end_of_a_job_stays() -> None:
-    ends = Ends()
-    ends.add("j-7", JobOutcome("cancelled", 0))
-    ends.add("j-7", JobOutcome("done", 3))
-    assert ends.get("j-7") == JobOutcome("cancelled", 0) and ends.get("j-07") is None and len(ends) == 1
+def test_the_first_outcome_of_a_job_stays() -> None:
+    outcomes = JobOutcomes()
+    outcomes.add("j-7", JobOutcome("cancelled", 0))
+    outcomes.add("j-7", JobOutcome("done", 3))
+    assert outcomes.get("j-7") == JobOutcome("cancelled", 0) and outcomes.get("j-07") is None and len(outcomes) == 1
 
 
 @pytest.mark.parametrize("value", [None, {}, {"groups": [{"phase": "done"}]}, {"groups": 3}])
-def test_unreadable_ends_are_refused(value: Any) -> None:
-    with pytest.raises(InvalidEndsError):
-        Ends().load(value)
+def test_unreadable_outcomes_are_refused(value: Any) -> None:
+    with pytest.raises(InvalidOutcomesError):
+        JobOutcomes().load(value)
 
 
-def test_many_ends_take_few_bytes() -> None:
+def test_many_outcomes_take_few_bytes() -> None:
     """Less than a quarter of what ranges take, for job numbers in no order."""
     numbers = [(7919 * n) % 1_000_003 for n in range(20_000)]
-    ends = Ends()
+    outcomes = JobOutcomes()
     for number in numbers:
-        ends.add(f"j-{number:06d}", JobOutcome("done", 3))
-    size = sum(records.size_of(value) for value in ends.to_records(16 * 1024))
+        outcomes.add(f"j-{number:06d}", JobOutcome("done", 3))
+    size = sum(records.size_of(value) for value in outcomes.to_records(16 * 1024))
     assert size * 4 < records.size_of(records.to_ranges(set(numbers)))
 
 
@@ -135,7 +146,7 @@
 def large_snapshot() -> Snapshot:
     values = {f"active/j-{n:06d}": ({"s": {"nameId": f"j-{n:06d}"}, "pad": "x" * 900}, n + 1) for n in range(300)}
     replica = replica_of(values, 400)
-    replica.ends.add("j-999999", JobOutcome("done", 3))
+    replica.outcomes.add("j-999999", JobOutcome("done", 3))
     return snapshot_of("node-1", replica, led=9, highest=9)
 
 
@@ -145,7 +156,7 @@
     assert len(pieces) > 4 and all(len(piece) < 64 * 1024 for piece in pieces)
     read = from_pieces([read_piece(piece, DEPLOYMENT) for piece in pieces])
     assert read.holder == snapshot.holder and read.replica.records == snapshot.replica.records
-    assert read.replica.ends.get("j-999999") == JobOutcome("done", 3) and read.replica.revision == 400
+    assert read.replica.outcomes.get("j-999999") == JobOutcome("done", 3) and read.replica.revision == 400
 
 
 def damaged(piece: bytes, **changes: Any) -> bytes:
@@ -171,29 +182,42 @@
         from_pieces([read_piece(piece, DEPLOYMENT) for piece in pieces(to_pieces(large_snapshot()))])
 
 
-def test_the_next_snapshot_of_a_folder_is_taken_if_one_is_damaged(
+def test_stored_and_sent_records_keep_the_names_that_other_versions_read() -> None:
+    piece = orjson.loads(to_pieces(large_snapshot())[-1])
+    header = ("format", "holder", "generation", "revision", "complete", "number", "pieces")
+    assert list(piece) == [*header, "records", "ends", "digest"]
+    assert list(piece["holder"]) == ["member", "deployment", "led_token", "led_generation", "highest_token"]
+    identity = Identity(DEPLOYMENT, 2, 7, True, ("node-2",))
+    stored = {"deployment": DEPLOYMENT, "generation": 2, "token_base": 7, "rebuilding": True, "unheard": ["node-2"]}
+    assert orjson.loads(orjson.dumps(identities.to_record(identity))) == stored
+    assert identities.from_record(stored) == identity
+    unresolved = UnresolvedTasks({"0": "reported"}, spec_lost=True)
+    assert unresolved_tasks.to_record(unresolved) == {"evidence": {"0": "reported"}, "unknown": True}
+
+
+def test_the_next_snapshot_of_a_directory_is_taken_if_one_is_damaged(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    folder = SnapshotDirectory(str(tmp_path), "node-1")
-    assert folder.load() is None
+    directory = SnapshotDirectory(str(tmp_path), "node-1")
+    assert directory.load() is None
     for revision in (400, 500, 600):
         snapshot = large_snapshot()
         snapshot.replica.advance(revision)
-        folder.save(snapshot)
+        directory.save(snapshot)
     files = sorted(tmp_path.iterdir())
     assert len(files) == 2  # the oldest is gone
     files[-1].write_bytes(files[-1].read_bytes()[:-500])
-    found = folder.load()
+    found = directory.load()
     assert found is not None and found.replica.revision == 500
-    assert "is passed over" in caplog.text
+    assert "snapshot skipped" in caplog.text
 
 
-def test_a_folder_that_cannot_be_used_is_said_and_changes_nothing(
+def test_a_directory_that_cannot_be_used_is_said_and_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    folder = SnapshotDirectory(str(tmp_path / "none"), "node-1")
-    folder.save(large_snapshot())
-    assert folder.load() is None
+    directory = SnapshotDirectory(str(tmp_path / "none"), "node-1")
+    directory.save(large_snapshot())
+    assert directory.load() is None
     assert "cannot be written" in caplog.text and "cannot be read" in caplog.text
 
 
@@ -203,12 +227,12 @@
 def test_two_replicas_that_differ_give_the_newest_of_each_record() -> None:
     behind = replica_of({"active/j-1": ({"c": 1}, 5), "active/j-2": ({"c": 1}, 6), "active/j-4": ({}, 31)}, 20)
     ahead = replica_of({"active/j-1": ({"c": 2}, 25), "active/j-3": ({}, 28)}, 30)
-    behind.ends.add("j-9", JobOutcome("cancelled", 0))
-    image = merge([snapshot_of("a", behind, highest=3), snapshot_of("b", ahead, led=4, highest=4)], DEPLOYMENT, 0, 9)
+    behind.outcomes.add("j-9", JobOutcome("cancelled", 0))
+    merged = merge([snapshot_of("a", behind, highest=3), snapshot_of("b", ahead, led=4, highest=4)], DEPLOYMENT, 0, 9)
     # j-2 was deleted before revision 30, and j-4 was accepted after it by the controller that is behind.
-    assert image.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
-    assert image.ends.get("j-9") == JobOutcome("cancelled", 0)
-    assert image.leader_heard and image.token == 4 and image.sources == ["b", "a"]
+    assert merged.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
+    assert merged.outcomes.get("j-9") == JobOutcome("cancelled", 0)
+    assert merged.has_last_leader and merged.token == 4 and merged.sources == ["b", "a"]
 
 
 def test_only_the_newest_generation_and_the_same_deployment_count() -> None:
@@ -216,15 +240,15 @@
     newer = replica_of({"active/j-2": ({}, 5)}, 6, generation=2)
     stranger = snapshot_of("c", replica_of({"active/j-3": ({}, 5)}, 900, generation=3))
     stranger.holder = Holder("c", "fedcba9876543210")
-    image = merge([snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), stranger], DEPLOYMENT, 12, 20)
-    assert image.records == {"active/j-2": {}} and not image.leader_heard and image.token == 12
+    merged = merge([snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), stranger], DEPLOYMENT, 12, 20)
+    assert merged.records == {"active/j-2": {}} and not merged.has_last_leader and merged.token == 12
 
 
 def test_a_leader_whose_replica_is_of_an_earlier_store_does_not_know_what_it_placed() -> None:
     """It led in the store that was rebuilt last, and was lost again before its replica was read."""
     replica = replica_of({"active/j-1": ({}, 5)}, 6, generation=1)
     snapshot = Snapshot(Holder("a", DEPLOYMENT, 9, 2, 9), replica)
-    assert not merge([snapshot], DEPLOYMENT, 9, 20).leader_heard
+    assert not merge([snapshot], DEPLOYMENT, 9, 20).has_last_leader
 
 
 # -- reconstruction ------------------------------------------------------------------------------------------------
@@ -239,41 +263,41 @@
     }
 
 
-def report(machine: str, *tasks: TaskStatus, session: int = 1) -> Heartbeat:
+def heartbeat(machine: str, *tasks: TaskStatus, session: int = 1) -> Heartbeat:
     return Heartbeat(machine, f"{machine}:1", "small", "a", session, 5, 7, True, None, list(tasks))
 
 
 def rebuilt(
-    image: Image,
-    reports: list[Heartbeat] | None = None,
+    merged: MergedReplica,
+    heartbeats: list[Heartbeat] | None = None,
     present: dict[str, Any] | None = None,
     once: frozenset[str] = frozenset(),
 ) -> Reconstruction:
-    by_machine = {r.machine: r for r in reports or []}
-    return reconstruct(Evidence(image, present or {}, by_machine, once, 24))
+    by_machine = {r.machine: r for r in heartbeats or []}
+    return reconstruct(Evidence(merged, present or {}, by_machine, once, 24))
 
 
-def test_with_the_last_leaders_word_records_come_back_as_they_were() -> None:
+def test_with_the_last_leaders_replica_records_come_back_as_they_were() -> None:
     job = spec(1, pieces=3)
     values = job_records(job, {"0": [1, "n-1", "a", 1]}, [[1, 2]])
-    image = Image(values | {"settings": {"headroom": 2.0}}, Ends(), True)
-    result = rebuilt(image, [report("n-1")])
-    assert result.puts == image.records and not result.deletes and not result.undecided
+    merged = MergedReplica(values | {"settings": {"headroom": 2.0}}, JobOutcomes(), True)
+    result = rebuilt(merged, [heartbeat("n-1")])
+    assert result.puts == merged.records and not result.deletes and not result.unresolved
     # What is there already, after an attempt that was broken off, is not written again.
-    again = rebuilt(image, [report("n-1")], present=dict(result.puts))
+    again = rebuilt(merged, [heartbeat("n-1")], present=dict(result.puts))
     assert not again.puts and not again.deletes
 
 
-def test_without_it_tasks_are_where_reports_tell_that_they_are() -> None:
-    """0 runs where the image has it, 1 has moved on, 2 is nowhere any more, 3 was started since, 4 has completed."""
+def test_without_it_tasks_are_where_heartbeats_list_them() -> None:
+    """0 runs where the replica has it, 1 has moved on, 2 is nowhere any more, 3 was started since, 4 has completed."""
     job = spec(1, pieces=6)
     placed = {"0": [1, "n-1", "a", 1], "1": [2, "n-1", "a", 1], "2": [3, "n-1", "a", 1]}
-    reports = [
-        report("n-1", TaskStatus("j-000001/0", 1, "running"), TaskStatus("j-000001/1", 2, "exited", "stopped")),
-        report("n-2", TaskStatus("j-000001/1", 4, "running"), TaskStatus("j-000001/3", 5, "fetching")),
-        report("n-3", TaskStatus("j-000001/4", 6, "exited", "done")),
+    heartbeats = [
+        heartbeat("n-1", TaskStatus("j-000001/0", 1, "running"), TaskStatus("j-000001/1", 2, "exited", "stopped")),
+        heartbeat("n-2", TaskStatus("j-000001/1", 4, "running"), TaskStatus("j-000001/3", 5, "fetching")),
+        heartbeat("n-3", TaskStatus("j-000001/4", 6, "exited", "done")),
     ]
-    chunk = rebuilt(Image(job_records(job, placed)), reports).puts[records.chunk_key(job.id, 0)]
+    chunk = rebuilt(MergedReplica(job_records(job, placed)), heartbeats).puts[records.chunk_key(job.id, 0)]
     assert chunk["p"] == {
         "0": [1, "n-1", "a", 1],
         "1": [4, "n-2", "a", 1],
@@ -286,43 +310,43 @@
 def test_a_class_that_runs_once_starts_again_only_what_is_shown_not_to_have_completed() -> None:
     job = spec(1, pieces=4, lane="once")
     placed = {"0": [1, "n-1", "a", 1], "1": [2, "n-9", "a", 1], "2": [3, "n-1", "a", 1]}
-    reports = [report("n-1", TaskStatus("j-000001/2", 3, "exited", "error"))]
-    result = rebuilt(Image(job_records(job, placed)), reports, once=frozenset({"once"}))
-    evidence = result.undecided["j-000001"].evidence
+    heartbeats = [heartbeat("n-1", TaskStatus("j-000001/2", 3, "exited", "error"))]
+    result = rebuilt(MergedReplica(job_records(job, placed)), heartbeats, once=frozenset({"once"}))
+    evidence = result.unresolved["j-000001"].evidence
     assert evidence.keys() == {"0", "1", "3"}
     assert "reports without it" in evidence["0"] and "not heard again" in evidence["1"] and "n-9" in evidence["3"]
     # With every machine heard, what was never placed is known not to have run.
-    heard = rebuilt(Image(job_records(job, placed)), [*reports, report("n-9")], once=frozenset({"once"}))
-    assert heard.undecided["j-000001"].evidence.keys() == {"0", "1"}
-    assert not rebuilt(Image(job_records(job, placed)), reports).undecided
+    heard = rebuilt(MergedReplica(job_records(job, placed)), [*heartbeats, heartbeat("n-9")], once=frozenset({"once"}))
+    assert heard.unresolved["j-000001"].evidence.keys() == {"0", "1"}
+    assert not rebuilt(MergedReplica(job_records(job, placed)), heartbeats).unresolved
 
 
 def test_a_job_that_only_a_worker_knows_stays_known() -> None:
-    result = rebuilt(Image(leader_heard=True), [report("n-1", TaskStatus("j-000005/2", 1, "running"))])
-    assert result.undecided["j-000005"].unknown and "n-1" in result.undecided["j-000005"].evidence["2"]
-    over = Image(leader_heard=True)
-    over.ends.add("j-000005", JobOutcome("cancelled", 0))
-    assert not rebuilt(over, [report("n-1", TaskStatus("j-000005/2", 1, "running"))]).undecided
+    result = rebuilt(MergedReplica(has_last_leader=True), [heartbeat("n-1", TaskStatus("j-000005/2", 1, "running"))])
+    assert result.unresolved["j-000005"].spec_lost and "n-1" in result.unresolved["j-000005"].evidence["2"]
+    over = MergedReplica(has_last_leader=True)
+    over.outcomes.add("j-000005", JobOutcome("cancelled", 0))
+    assert not rebuilt(over, [heartbeat("n-1", TaskStatus("j-000005/2", 1, "running"))]).unresolved
 
 
 def test_what_is_over_stays_over_in_an_older_state() -> None:
     """Its old records go; what may still run of it is kept to be stopped; what was accepted since stays."""
     done, cancelled, accepted = spec(1), spec(2), spec(3)
-    image = Image(job_records(cancelled, {"0": [1, "n-1", "a", 1]}), Ends(), True)
-    image.ends.add(done.id, JobOutcome("done", 3))
-    image.ends.add(cancelled.id, JobOutcome("cancelled", 0))
+    merged = MergedReplica(job_records(cancelled, {"0": [1, "n-1", "a", 1]}), JobOutcomes(), True)
+    merged.outcomes.add(done.id, JobOutcome("done", 3))
+    merged.outcomes.add(cancelled.id, JobOutcome("cancelled", 0))
     present = job_records(done, {"0": [1, "n-1", "a", 1]}) | job_records(accepted, {})
-    result = rebuilt(image, present=present)
+    result = rebuilt(merged, present=present)
     assert sorted(result.deletes) == [records.active_key(done.id), records.chunk_key(done.id, 0)]
     assert list(result.puts) == [records.chunk_key(cancelled.id, 0)]
-    assert dict(result.new_ends.items()).keys() == {done.id, cancelled.id}
+    assert dict(result.new_outcomes.items()).keys() == {done.id, cancelled.id}
 
 
 def test_a_job_that_ended_since_the_loss_is_not_brought_back() -> None:
     job = spec(1)
-    image = Image(job_records(job, {}), Ends(), True)
-    result = rebuilt(image, present={records.final_key(job.id): {"phase": "cancelled", "n": 0}})
-    assert not result.puts.keys() & {records.active_key(job.id)} and not list(result.new_ends.items())
+    merged = MergedReplica(job_records(job, {}), JobOutcomes(), True)
+    result = rebuilt(merged, present={records.final_key(job.id): {"phase": "cancelled", "n": 0}})
+    assert not result.puts.keys() & {records.active_key(job.id)} and not list(result.new_outcomes.items())
 
 
 MACHINES = st.sampled_from(["n-1", "n-2", "n-3", "n-4"])
@@ -336,10 +360,10 @@
     return TaskStatus(f"j-000001/{index}", attempt, "exited" if exited else what, what if exited else None)
 
 
-def plain_place(index: int, reports: list[Heartbeat]) -> list[Any] | None:
+def plain_place(index: int, heartbeats: list[Heartbeat]) -> list[Any] | None:
     """Where a task is, by a plain search: where it completed, else where it is, else where it ended last."""
     name = f"j-000001/{index}"
-    listed = [(r, task) for r in reports for task in r.tasks if task.task == name]
+    listed = [(r, task) for r in heartbeats for task in r.tasks if task.task == name]
     for wanted in (
         [(r, task) for r, task in listed if task.why == "done"],
         [(r, task) for r, task in listed if task.state != "exited"],
@@ -357,37 +381,37 @@
     st.sets(st.integers(0, 7)),
     st.dictionaries(MACHINES, st.lists(REPORTED, max_size=6, unique_by=lambda task: task[0])),
 )
-def test_tasks_are_where_a_plain_search_of_the_reports_finds_them(
+def test_tasks_are_where_a_plain_search_of_the_heartbeats_finds_them(
     placed: dict[int, tuple[int, str]], done: set[int], reported: dict[str, list[tuple[int, int, str]]]
 ) -> None:
     """And what is written for it needs nothing more to be written."""
     job = spec(1, pieces=8)
-    reports = [report(machine, *(reported_task(*task) for task in tasks)) for machine, tasks in reported.items()]
+    heartbeats = [heartbeat(machine, *(reported_task(*task) for task in tasks)) for machine, tasks in reported.items()]
     placements = {str(i): [a, m, "a", 1] for i, (a, m) in placed.items() if i not in done}
-    image = Image(job_records(job, placements, records.to_ranges(done)))
-    result = rebuilt(image, reports)
+    merged = MergedReplica(job_records(job, placements, records.to_ranges(done)))
+    result = rebuilt(merged, heartbeats)
     chunk = result.puts[records.chunk_key(job.id, 0)]
-    expected = {str(i): plain_place(i, reports) for i in range(8) if i not in done}
+    expected = {str(i): plain_place(i, heartbeats) for i in range(8) if i not in done}
     assert chunk["p"] == {text: place for text, place in expected.items() if place is not None}
     assert chunk["a"] > max([p[0] for p in (*placements.values(), *chunk["p"].values())], default=0)
-    again = rebuilt(image, reports, present=dict(result.puts))
+    again = rebuilt(merged, heartbeats, present=dict(result.puts))
     assert not again.puts and not again.deletes
 
 
-# -- undecided tasks -----------------------------------------------------------------------------------------------
+# -- unresolved tasks -------------------------------------------------------------------------------------------------
 
 
 def test_an_operator_decides_tasks_one_by_one_or_together() -> None:
-    found = Undecided({"0": "placed", "1": "placed"})
+    found = UnresolvedTasks({"0": "placed", "1": "placed"})
     one = found.decide(1, Decision.RUN)
     assert one.open_tasks() == {0} and found.open_tasks() == {0, 1}
-    every = undecided.from_record(undecided.to_record(one.decide(None, Decision.DONE)))
+    every = unresolved_tasks.from_record(unresolved_tasks.to_record(one.decide(None, Decision.DONE)))
     assert every.decisions == {"0": "done", "1": "run"} and every.open_tasks() == {0}
     for task, decision in ((5, Decision.RUN), (None, Decision.FORGET)):
         with pytest.raises(InvalidDecisionError):
             found.decide(task, decision)
     with pytest.raises(InvalidDecisionError, match="unknown"):
-        Undecided({"0": "reported"}, unknown=True).decide(None, Decision.RUN)
+        UnresolvedTasks({"0": "reported"}, spec_lost=True).decide(None, Decision.RUN)
 
 
 # -- features ------------------------------------------------------------------------------------------------------
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -97,7 +97,7 @@
     def snapshot_piece(self, number: int) -> bytes | None:
         return b"piece" if number == 0 else None
 
-    def take_notes(self, body: object) -> bool:
+    def receive_change_notice(self, body: object) -> bool:
         return body == "notes"
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict | None:
