--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -1,4 +1,4 @@
-"""The administration API of the feature `rebuild`: its status, replicas for other controllers, and decisions."""
+"""The administration API of the feature `rebuild`: status, replicas, change notices and operators' decisions."""
 
 import re
 from typing import Any, Protocol
@@ -12,8 +12,9 @@
 
 STATUS_PATH = "/rebuild"
 DECISION_PATH = "/rebuild/undecided/"
-JOB = re.compile(JOB_ID)
+JOB_PATTERN = re.compile(JOB_ID)
 MAX_NUMBER_DIGITS = 9
+RETRY_AFTER_S = 1
 FEATURE_OFF = Answer(404, {"error": "the feature rebuild is not enabled"})
 NO_SUCH_PIECE = Answer(404, {"error": "no such piece"})
 INVALID_CHANGE_NOTICE = Answer(400, {"error": "these are no notes of a controller"})
@@ -21,27 +22,39 @@
 
 
 class RebuildAdministered(Protocol):
-    """What a node tells of the feature, and takes from operators."""
+    """The part of a controller that these routes need."""
 
-    def snapshot_piece(self, number: int) -> bytes | None: ...
-    def receive_change_notice(self, body: Any) -> bool: ...
-    def rebuild_status(self) -> dict[str, Any] | None: ...
-    async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None: ...
+    def snapshot_piece(self, number: int) -> bytes | None:
+        """A piece of its replica of the store; None if there is none of this number."""
+        ...
+
+    def receive_change_notice(self, body: Any) -> bool:
+        """Applies another controller's change notice; whether it could be used."""
+        ...
+
+    def rebuild_status(self) -> dict[str, Any] | None:
+        """What is known of the store and of a rebuild; None without the feature."""
+        ...
+
+    async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
+        """Stores an operator's decision about unresolved tasks; None if the job has none."""
+        ...
 
 
 class MalformedDecisionError(Exception):
-    """A decision that does not have the form of one."""
+    """The body of a decision does not have the right form: the text names the field."""
 
 
 class DecisionRequest(Struct, frozen=True):
-    """An operator's word on one task of a job, or on all of them."""
+    """An operator's decision about one task of a job, or about all of them."""
 
     decision: str
     task: int | None
+    """None: all of the job's unresolved tasks."""
 
 
 def parse_decision(body: Any) -> DecisionRequest:
-    """A checked request."""
+    """A checked request; raises `MalformedDecisionError`."""
     if not isinstance(body, dict) or not isinstance(body.get("decision"), str):
         raise MalformedDecisionError("decision: one of run, done and forget is required")
     task = body.get("task")
@@ -57,6 +70,7 @@
         self._controller = controller
 
     def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
+        """The handlers of a path by method, with their arguments; None for paths of others."""
         if path == STATUS_PATH:
             return {"GET": self.status}, {}
         if path.startswith(SNAPSHOT_PATH):
@@ -85,15 +99,17 @@
         return Answer(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
 
     async def decide(self, body: Any, arguments: dict[str, str]) -> Answer:
-        """Takes an operator's word on tasks of which a rebuild could not tell whether they completed."""
+        """Stores an operator's decision about tasks of which a rebuild could not tell whether they completed."""
         job = arguments["job"]
         try:
             request = parse_decision(body)
-            decided = await self._controller.decide(job, request.task, request.decision) if JOB.match(job) else None
+            decided = (
+                await self._controller.decide(job, request.task, request.decision) if JOB_PATTERN.match(job) else None
+            )
         except (MalformedDecisionError, InvalidSettingsError) as error:
             return Answer(400, {"error": str(error)})
         except StaleVersionError:
             return Answer(409, {"error": "the job's record has been changed since; try again"})
         except TemporarilyUnavailableError as error:
-            return retry_later(503, str(error), 1)
+            return retry_later(503, str(error), RETRY_AFTER_S)
         return NO_UNRESOLVED_TASKS if decided is None else Answer(200, decided)
--- a/stileloft/rebuild/change_notice.py
+++ b/stileloft/rebuild/change_notice.py
@@ -40,5 +40,5 @@
         raise InvalidChangeNoticeError(f"more than {MAX_CHANGES} changes")
     for change in notice.changes:
         if not is_announced(change.key) or not (change.value is None or isinstance(change.value, dict)):
-            raise InvalidChangeNoticeError(f"users are not told of a change of {change.key!r}")
+            raise InvalidChangeNoticeError(f"{change.key!r} is not a record that is announced")
     return notice
--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -8,7 +8,7 @@
 from stileloft.protocol.messages import EXITED, Heartbeat, TaskStatus
 from stileloft.rebuild.replica_merge import MergedReplica
 
-# Attempts are counted on from so much above the highest known one: some may have been made that no one tells of.
+# Attempts are counted on from so much above the highest known one: some may have been made that nobody reports.
 ATTEMPT_MARGIN = 1000
 EXITED_DONE = "done"
 
@@ -21,7 +21,7 @@
     present: Mapping[str, Any]
     """Records that are in the store now: of an older state, of a rebuild that was broken off, or accepted since."""
     heartbeats: Mapping[str, Heartbeat]
-    """The newest heartbeat of each machine that was heard since the loss."""
+    """The newest heartbeat of each machine that has sent one since the loss."""
     run_once_classes: frozenset[str]
     first_chunk_size: int
     """Tasks per chunk of jobs whose records don't say."""
--- a/stileloft/rebuild/loss_detector.py
+++ b/stileloft/rebuild/loss_detector.py
@@ -99,10 +99,10 @@
         items, _ = await self._state.first_items("", 2)
         return any(key != records.LEADER for key, _, _ in items)
 
-    def _may_be_new(self, heard: set[str]) -> bool:
+    def _may_be_new(self, answering_members: set[str]) -> bool:
         waited_s = self._environment.clock.seconds() - self._started_at
         longest_s = NEW_STORE_LEASES * self._environment.worker_lease_s
-        return heard >= self._environment.other_members or waited_s > longest_s
+        return answering_members >= self._environment.other_members or waited_s > longest_s
 
     async def _assign_identity(self) -> None:
         """Gives the store an identity, once all controllers say that they protect it."""
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -71,7 +71,7 @@
         identity = self._store.identity
         if identity is not None and identity.unreconciled_members:
             members = ", ".join(identity.unreconciled_members)
-            raise StoreLostError(f"it may be known to {members}, which could not be heard")
+            raise StoreLostError(f"it may be known to {members}, which could not be reached")
 
     def verify_soon(self) -> None:
         """Has the store verified soon: something was not as it should be."""
@@ -97,7 +97,7 @@
         self._tokens.observe(token)
 
     def record_raised_token(self, token: int) -> None:
-        """As the leader, we tell a worker this token, which is above the one of our election."""
+        """As the leader, we issue this token to a worker, which is above the one of our election."""
         self._tokens.record_raised(token)
 
     # -- changes --------------------------------------------------------------------
@@ -105,7 +105,7 @@
     def record_commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
     ) -> None:
-        """This controller has changed the store: its replica follows, and the others are told."""
+        """This controller has changed the store: its replica follows, and the other controllers are notified."""
         identity = self._store.identity
         if self._store.phase is not StorePhase.SOUND or identity is None:
             return
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import StrEnum
 
 import msgspec
@@ -37,40 +38,43 @@
 class RebuildStep(StrEnum):
     """How far a rebuild is."""
 
+    # The values are what `GET /rebuild` shows.
     REPLICAS = "reading the controllers' replicas"
-    HEARTBEATS = "waiting for the workers' reports"
+    HEARTBEATS = "waiting for the workers' heartbeats"
     RECORDS = "writing the records"
 
 
+@dataclass(frozen=True, slots=True)
+class RebuildParts:
+    """The parts of the feature that last as long as the process, and that a rebuild works with."""
+
+    environment: RebuildEnvironment
+    store: StoreStatus
+    tokens: TokenHistory
+    replicas: LocalReplicas
+    snapshots: SnapshotProvider
+    detector: LossDetector
+
+
 class Rebuilder:
     """One attempt to write the records back, by one leader; the next leader begins anew."""
 
-    def __init__(
-        self,
-        environment: RebuildEnvironment,
-        store: StoreStatus,
-        tokens: TokenHistory,
-        replicas: LocalReplicas,
-        snapshots: SnapshotProvider,
-        detector: LossDetector,
-        token: int,
-        when_done: Callable[[], None],
-    ) -> None:
-        self._environment = environment
-        self._store = store
-        self._tokens = tokens
-        self._replicas = replicas
-        self._snapshots = snapshots
-        self._detector = detector
+    def __init__(self, parts: RebuildParts, token: int, when_done: Callable[[], None]) -> None:
+        self._environment = environment = parts.environment
+        self._store = parts.store
+        self._tokens = parts.tokens
+        self._replicas = parts.replicas
+        self._snapshots = parts.snapshots
+        self._detector = parts.detector
         self._token = token
         self._when_done = when_done
         self._started_at = environment.clock.seconds()
         self._active = True
         self._step = RebuildStep.REPLICAS
         self._merged: MergedReplica | None = None
-        self._peers = PeerReplicas(environment, store, tokens)
-        self._heartbeats = HeartbeatCollector(environment, tokens, detector, token)
-        self._writer = RecordWriter(environment, store, lambda: self._active)
+        self._peers = PeerReplicas(environment, parts.store, parts.tokens)
+        self._heartbeats = HeartbeatCollector(environment, parts.tokens, parts.detector, token)
+        self._writer = RecordWriter(environment, parts.store, lambda: self._active)
 
     def stop(self) -> None:
         """Ends the attempt: another leader goes on."""
@@ -149,7 +153,7 @@
         return merged
 
     def _have_unlisted_tasks_ended(self) -> bool:
-        """Whether the leases of workers that were not heard are over: the last leader can't renew them any more."""
+        """Whether leases of workers without a heartbeat are over: the last leader can't renew them any more."""
         lost_at = self._store.lost_at or self._started_at
         latest_lease_s = self._environment.worker_lease_s * (1 + MARGIN_LEASES + 2 * DRIFT)
         ended_at = lost_at + self._environment.renewal_grace_s + latest_lease_s
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -48,7 +48,7 @@
         self._stored_outcomes = _stored_outcomes(evidence.present)
         self._outcomes = JobOutcomes()
         self._outcomes.update(evidence.replica.outcomes)
-        # What ended since the loss was told to a user by the store as it was then, and so it stays.
+        # A user may have been told of what ended since the loss, so it stays.
         self._outcomes.update(self._stored_outcomes)
 
     def run(self) -> Reconstruction:
@@ -136,14 +136,14 @@
                 named |= {placement[1] for placement in placed.values()}
         return sorted(named - set(self._evidence.heartbeats))
 
-    # -- what only heartbeats tell --------------------------------------------------
+    # -- what only heartbeats show --------------------------------------------------
 
     def _add_unresolved(self, job: str, unresolved: UnresolvedTasks) -> None:
         self._result.unresolved[job] = unresolved
         self._wanted[records.UNDECIDED + job] = unresolved_tasks.to_record(unresolved)
 
     def _keep_jobs_without_spec(self) -> None:
-        """Jobs that only heartbeats tell of: a worker has only what was accepted, so they stay known."""
+        """Jobs that only heartbeats name: a worker has only what was accepted, so they stay known."""
         for job, reported in self._reported.items():
             active = records.active_key(job)
             if active in self._wanted or active in self._evidence.present or self._has_ended(job):
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -17,7 +17,7 @@
 from stileloft.rebuild.loss_detector import LossDetector
 from stileloft.rebuild.missed_changes import MissedChangesReconciler
 from stileloft.rebuild.protection import StoreProtection
-from stileloft.rebuild.rebuilder import Rebuilder
+from stileloft.rebuild.rebuilder import Rebuilder, RebuildParts
 from stileloft.rebuild.replica_follower import ReplicaFollower
 from stileloft.rebuild.snapshot_provider import SnapshotProvider
 from stileloft.rebuild.status_report import RebuildReport, ReplicaReport
@@ -64,16 +64,8 @@
 
     def begin(self, token: int) -> None:
         """Begins to write lost records back, as the leader with this token."""
-        self._rebuilder = Rebuilder(
-            self._environment,
-            self.store,
-            self.tokens,
-            self.replicas,
-            self.snapshots,
-            self._detector,
-            token,
-            lambda: self._finish(token),
-        )
+        parts = RebuildParts(self._environment, self.store, self.tokens, self.replicas, self.snapshots, self._detector)
+        self._rebuilder = Rebuilder(parts, token, lambda: self._finish(token))
         defer.ensureDeferred(self._rebuilder.run())
 
     def _finish(self, token: int) -> None:
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -22,7 +22,7 @@
     STARTING = "starting"
     """It was not asked yet, or it may have lost everything before this process began."""
     UNPROTECTED = "unprotected"
-    """It has no identity: not all controllers have the feature, or have been heard."""
+    """It has no identity: not all controllers have the feature, or have been reached."""
     SOUND = "sound"
     """Its records are those that are known."""
     LOST = "lost"
@@ -32,7 +32,7 @@
 
 
 class StoreStatus:
-    """Phase and identity of the store, as they follow from each look at its identity record."""
+    """Phase and identity of the store, as they follow from its identity record and its revisions."""
 
     def __init__(
         self, state: StateClient, clock: Clock, tokens: TokenHistory, forget_record_versions: Callable[[], None]
--- a/stileloft/rebuild/unresolved_tasks.py
+++ b/stileloft/rebuild/unresolved_tasks.py
@@ -26,7 +26,7 @@
     evidence: dict[str, str]
     """By task number."""
     spec_lost: bool = field(default=False, name="unknown")
-    """No controller knows the job's specification: only workers' heartbeats tell of it."""
+    """No controller knows the job's specification: only workers' heartbeats name it."""
     decisions: dict[str, Decision] = field(default_factory=dict)
     """What an operator has decided about tasks, for the leader to carry out."""
 
