--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -70,15 +70,14 @@
 
     def view(self) -> PeerView:
         """What this controller sees, for a peer that doubts its own view."""
-        protection = None if self.rebuild is None else self.rebuild.protection
         return PeerView(
             min(self.clock.seconds() - self.clients.state.served_at, NEVER_SERVED_S),
             self.referrals.recent(),
             self.member,
             records.NEWEST_FORMAT,
-            protects=protection is not None,
-            deployment=protection.deployment if protection else "",
-            highest_token=protection.highest_token if protection else 0,
+            protects=self.rebuild is not None,
+            deployment=self.rebuild.store.deployment if self.rebuild else "",
+            highest_token=self.rebuild.tokens.highest if self.rebuild else 0,
         )
 
     async def read_settings(self) -> tuple[OperatorSettings, int]:
@@ -95,11 +94,11 @@
 
     def snapshot_piece(self, number: int) -> bytes | None:
         """A piece of this controller's replica of the store, for a peer that rebuilds it."""
-        return None if self.rebuild is None else self.rebuild.protection.piece(number)
+        return None if self.rebuild is None else self.rebuild.snapshots.piece(number)
 
-    def take_notes(self, body: Any) -> bool:
-        """Takes in what a peer has just told its users; returns whether it could be read."""
-        return self.rebuild is not None and self.rebuild.take_notes(body)
+    def receive_change_notice(self, body: Any) -> bool:
+        """Applies a peer's change notice; returns whether it could be used."""
+        return self.rebuild is not None and self.rebuild.receive_change_notice(body)
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
         """Takes an operator's word on unresolved tasks; None if the job has none."""
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -73,6 +73,9 @@
         """Tells this process from others that ran as the same member."""
         self.leader: Leader | None = None
         self.invariants = InvariantMonitor()
+        timings = settings.deployment.workers
+        self._leader_lease_s = timings.lease_s * LEADER_LEASE_PART
+        self.renewal_grace_s = renewal_grace(timings, self._leader_lease_s, STATE_TIMEOUT_S)
         self._build_clients(connect)
         self._build_store()
         self._build_election()
@@ -116,20 +119,33 @@
         if not self.features.rebuild.enabled:
             return None
         # Imported here, as its library takes memory that controllers without the feature have no use for.
+        from stileloft.rebuild.environment import RebuildEnvironment
         from stileloft.rebuild.service import Rebuild
 
-        return Rebuild(self)
+        return Rebuild(
+            RebuildEnvironment(
+                clock=self.reactor,
+                sleep=self.sleep,
+                settings=self.settings,
+                feature=self.features.rebuild,
+                state=self.clients.state,
+                peers=self.clients.peers,
+                leader_write_budget=self.budgets.leader_writes,
+                leadership=lambda: self.election,
+                first_chunk_size=self.record_format.first_chunk_size,
+                renewal_grace_s=self.renewal_grace_s,
+                forget_record_versions=self.record_format.forget_record_version,
+                begin_term=self.begin_leading,
+            )
+        )
 
     def _build_election(self) -> None:
-        timings = self.settings.deployment.workers
-        leader_lease_s = timings.lease_s * LEADER_LEASE_PART
-        self.renewal_grace_s = renewal_grace(timings, leader_lease_s, STATE_TIMEOUT_S)
         self.election = Election(
             self.reactor,
             self.clients.state,
             self.settings.member,
             self.nonce,
-            leader_lease_s,
+            self._leader_lease_s,
             self._on_elected,
             self._on_deposed,
             self.integrity,
@@ -276,8 +292,9 @@
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Answer:
         """A worker's heartbeat: answered by the leader, referred to it by the others."""
         self.integrity.observe_token(heartbeat.token)
-        if self.rebuild is not None and self.rebuild.rebuilder is not None:
-            return self.rebuild.rebuilder.on_heartbeat(heartbeat)
+        answer = None if self.rebuild is None else self.rebuild.on_heartbeat(heartbeat)
+        if answer is not None:
+            return answer
         leader = self.leader
         if leader is not None and leader.tokens.is_later(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -95,7 +95,7 @@
 
         If the store has lost its records, nobody else can lead either, and heartbeats are answered for the grace.
         """
-        if not self._integrity.can_be_lost:
+        if not self._integrity.detects_loss:
             self.step_down(reason)
         elif self.token is not None:
             self._confirmed_until = 0.0
@@ -189,7 +189,7 @@
             token = await self._integrity.take_leadership(version)
         except ConflictError as conflict:
             if records.LEADER not in conflict.failed:
-                self._integrity.suspect()
+                self._integrity.verify_soon()
             await self._end_lease(lease)
             return
         except LeaseExpiredError:
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -387,7 +387,7 @@
         defer.ensureDeferred(self.watch.run())
         defer.ensureDeferred(self.images.run())
         defer.ensureDeferred(self.upgrade.run())
-        if self._environment.integrity.can_be_lost:
+        if self._environment.integrity.detects_loss:
             defer.ensureDeferred(self.unresolved.run())
         self._check()
         self.request_scheduling()
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -2,18 +2,14 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
-
-import msgspec
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
-from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks as undecided
-from stileloft.rebuild.unresolved_tasks import Decision, InvalidDecisionError, Undecided
+from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
 from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
@@ -21,16 +17,13 @@
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
 
-if TYPE_CHECKING:
-    from stileloft.controller.controller import Controller
-
 log = logging.getLogger(__name__)
 
 LOOK_S = 1.0
 """How often the leader looks for decisions, while anything is unresolved, in seconds."""
 RETRY = RetryPolicy((ConflictError, UnavailableError, UnknownOutcomeError), LOOK_S, LOOK_S)
 
-Stored = dict[str, tuple[Undecided, int]]
+Stored = dict[str, tuple[UnresolvedTasks, int]]
 """By job: its unresolved tasks, and the version of their record."""
 
 
@@ -57,14 +50,14 @@
 
     async def read(self) -> Stored:
         """All that is unresolved; nothing is asked without the feature."""
-        if not self._integrity.can_be_lost:
+        if not self._integrity.detects_loss:
             return {}
         items, _ = await self._store.client.scan(records.UNDECIDED)
         return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
 
     def apply(self, stored: Stored) -> None:
         """Has no unresolved task started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.unknown)
+        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
@@ -87,13 +80,13 @@
         jobs = list(self._cluster.jobs.values())
         return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
 
-    async def _carry_out_one(self, job_id: str, found: Undecided, version: int) -> None:
+    async def _carry_out_one(self, job_id: str, found: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
-        if job is not None and not found.unknown:
+        if job is not None and not found.spec_lost:
             with self._cluster.lock:
                 if not self._apply_decisions(job, found):
                     return
-        elif found.unknown and Decision.FORGET not in found.decisions.values() and job is None:
+        elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
             return
         # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
         key = records.UNDECIDED + job_id
@@ -103,7 +96,7 @@
             self._jobs.undescribed -= {job_id}
         self._request_scheduling()
 
-    def _apply_decisions(self, job: Job, found: Undecided) -> bool:
+    def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
         """Brings the job in line with the decisions; returns whether all are carried out and stored."""
         open_tasks = found.open_tasks()
         for text, decision in found.decisions.items():
@@ -120,26 +113,3 @@
         self._flush_timer.within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
         return decided and not job.dirty and not job.commit_in_flight
-
-
-async def decide(node: "Controller", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-    """Stores an operator's decision; the leader carries it out."""
-    key = records.UNDECIDED + job
-    try:
-        chosen = Decision(decision)
-        found = await node.clients.state.lookup(key)
-        if found is None:
-            return None
-        value = undecided.to_record(undecided.from_record(found[0]).decide(task, chosen))
-        guards = {key: found[1], **node.integrity.guards()}
-        revision = await node.clients.state.commit(guards, {key: value}, [])
-    except (ValueError, InvalidDecisionError) as error:
-        raise InvalidSettingsError(f"decision: {error}") from None
-    except ConflictError:
-        raise StaleVersionError from None
-    except (UnavailableError, UnknownOutcomeError) as error:
-        raise TemporarilyUnavailableError(f"state service: {error}") from None
-    node.integrity.record_commit({key: value}, [], revision)
-    log.info("an operator has decided: %s of job %s %s", "all" if task is None else f"task {task}", job, decision)
-    answer: dict[str, Any] = msgspec.to_builtins(value)
-    return answer
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -208,7 +208,7 @@
         except UnknownOutcomeError as error:
             self._reload_all(parts, error)
         else:
-            self._integrity.record_commit(puts, deletes, revision, told=False)
+            self._integrity.record_commit(puts, deletes, revision, announce_all=False)
             self._record_executed(parts, revision)
 
     # -- outcomes -------------------------------------------------------------------
