--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -13,7 +13,7 @@
 
 from stileloft.controller.state_service_check import ServiceCheck
 from stileloft.features import Features
-from stileloft.jobs.admission import Admission, InfeasibleJobError, RetryLaterError
+from stileloft.jobs.admission import Admission
 from stileloft.leadership.election import DRIFT, Election
 from stileloft.leadership.invariants import InvariantMonitor
 from stileloft.leadership.leader import Leader
@@ -185,9 +185,7 @@
             self.rebuild.run()
 
     def serve(self) -> None:
-        public = PublicResources(
-            self.admission, self.handle_heartbeat, self.healthy, RetryLaterError, InfeasibleJobError
-        )
+        public = PublicResources(self.admission, self.handle_heartbeat, self.healthy)
         self._listen(
             self.settings.listen,
             Router(
--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -3,6 +3,7 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any, Protocol
 
 from twisted.internet import defer
@@ -11,7 +12,8 @@
 from stileloft.model.chunks import separate_chunk
 from stileloft.model.jobs import active_record
 from stileloft.model.machines import fits_type
-from stileloft.protocol.messages import JobSpec, MachineType, job_from_wire, job_status_message
+from stileloft.protocol.errors import RequestError
+from stileloft.protocol.messages import JobPhase, JobSpec, MachineType, job_from_wire, job_status_message
 from stileloft.protocol.state import (
     PAGE,
     ConflictError,
@@ -48,17 +50,20 @@
     chunk_size: int
 
 
-class RetryLaterError(Exception):
+class RetryLaterError(RequestError):
     """The request cannot be taken now; the user is to come back."""
 
+    status = HTTPStatus.SERVICE_UNAVAILABLE
+
     def __init__(self, reason: str, retry_after_s: float = 1.0) -> None:
-        super().__init__(reason)
-        self.retry_after_s = retry_after_s
+        super().__init__(reason, retry_after_s)
 
 
-class InfeasibleJobError(Exception):
+class InfeasibleJobError(RequestError):
     """The job can never run; the text says why."""
 
+    status = HTTPStatus.UNPROCESSABLE_ENTITY
+
 
 def why_impossible(
     spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType], value_bytes: int
@@ -154,7 +159,7 @@
             raise self._failed(error, self._write_budget, 1.0) from None
         self._integrity.record_commit({active: value}, [], revision)
         log.info("job %s accepted: %d tasks of class %s for %s", spec.id, spec.tasks, spec.job_class, spec.team)
-        return True, job_status_message(spec.id, "queued")
+        return True, job_status_message(spec.id, JobPhase.QUEUED)
 
     async def status(self, job: str) -> dict[str, Any] | None:
         """The job's state, or None if the store says that it was never accepted."""
@@ -173,7 +178,7 @@
                     self._spend(self._read_budget, 1.0)
             if value is not None:
                 done, running = value["c"]
-                return job_status_message(job, "running" if running else "queued", done, running)
+                return job_status_message(job, JobPhase.RUNNING if running else JobPhase.QUEUED, done, running)
             return await self._ended(job)
         except (UnavailableError, UnknownOutcomeError) as error:
             raise self._failed(error, self._read_budget, 1.0) from None
@@ -210,7 +215,7 @@
         known = self._keep_known_end(job)
         if known is not None:
             return known
-        return job_status_message(job, "queued", 0, 0) if self._integrity.is_unknown_job(job) else None
+        return job_status_message(job, JobPhase.QUEUED, 0, 0) if self._integrity.is_unknown_job(job) else None
 
     def _require_sound_store(self) -> None:
         if not self._integrity.is_sound() or not self._integrity.knows_outcomes():
@@ -227,7 +232,7 @@
             raise RetryLaterError("the state service is being verified", 1.0)
 
     def _keep_final(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
-        answer = job_status_message(job, value["phase"], value["n"], 0)
+        answer = job_status_message(job, JobPhase(value["phase"]), value["n"], 0)
         self._final[job] = answer
         if len(self._final) > FINAL_CACHE:
             self._final.popitem(last=False)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -10,7 +10,7 @@
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol.messages import EXITED
+from stileloft.protocol.messages import TaskState
 from stileloft.scheduling import gangs
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         machine.scheduling_view = None
         if machine.placements.get(placement.key) is placement:
             del machine.placements[placement.key]
-        if placement.reported_state == EXITED:
+        if placement.reported_state == TaskState.EXITED:
             self._term.planner.forget_later(machine, placement.task, placement.attempt, placement.done)
         if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
             machine.idle_since = self._term.clock.seconds()
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -99,7 +99,7 @@
 
     async def _end(self, lease: int) -> None:
         with contextlib.suppress(UnavailableError, UnknownOutcomeError):  # it ends by itself
-            await self._state.end_lease(lease)
+            await self._state.revoke_lease(lease)
 
     async def run(self) -> None:
         """Seeks and keeps the leadership for as long as the process lives."""
@@ -162,12 +162,12 @@
             # Only one process runs as this member, so the one that held the key is over.
             log.info("ending the lease of our former process")
         # Or else it is our own acquisition, whose answer was lost or whose key was given up: start anew.
-        await self._state.end_lease(lease)
+        await self._state.revoke_lease(lease)
 
     async def _acquire_lease(self) -> None:
         """Takes the leader key, unless another does so first."""
         sent = self._clock.seconds()
-        lease = await self._state.new_lease(self.lease_s)
+        lease = await self._state.grant_lease(self.lease_s)
         guards = {records.LEADER: 0} | self._integrity.guards()
         try:
             version = await self._state.commit(
@@ -199,7 +199,7 @@
             return
         sent = self._clock.seconds()
         try:
-            await self._state.renew(self._lease, self.lease_s / 3)
+            await self._state.renew_lease(self._lease, self.lease_s / 3)
         except LeaseExpiredError:
             self.suspect("the lease has ended")
             return
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -16,7 +16,8 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine
-from stileloft.protocol.messages import Heartbeat, JobSpec, MachineType, command_message
+from stileloft.protocol.commands import CommandMessage
+from stileloft.protocol.messages import Heartbeat, JobSpec, MachineType
 from stileloft.protocol.state import UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import operator_decisions as decisions
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
@@ -198,12 +199,12 @@
 
     # -- events -------------------------------------------------------------------
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
         """Takes in a worker's report, and answers it."""
         if heartbeat.machine in self.fleet.released_machines:
             # Held back on its way: the cloud has told us that the machine is gone. Believing
             # it would bring the machine back to life here, and place tasks on nothing.
-            return command_message(self.tokens.first, [])
+            return CommandMessage(self.tokens.first, [])
         with self.lock:
             answer = self.dispatcher.on_heartbeat(heartbeat)
         self.after_heartbeat()
--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -7,7 +7,8 @@
 from stileloft.model import records
 from stileloft.model.chunks import Chunk, placements_bytes
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol.messages import RUNNING, SAVING, JobSpec, job_from_wire, job_to_wire
+from stileloft.protocol.messages import JobSpec, TaskState, job_from_wire, job_to_wire
+from stileloft.protocol.state import Item
 
 
 class Job:
@@ -153,7 +154,9 @@
 
     def running(self) -> int:
         return sum(
-            1 for p in self.placements() if p.state == PlacementState.BOUND and p.reported_state in (RUNNING, SAVING)
+            1
+            for p in self.placements()
+            if p.state == PlacementState.BOUND and p.reported_state in (TaskState.RUNNING, TaskState.SAVING)
         )
 
     def record(self, sized: bool) -> dict[str, Any]:
@@ -175,7 +178,7 @@
         self.stored_counts = tuple(value["c"])
         self.started = self.started or any(self.stored_counts)
 
-    def load_chunks(self, items: list[tuple[str, Any, int]]) -> None:
+    def load_chunks(self, items: list[Item]) -> None:
         """Takes the store's word for its chunks, given their keys, values and versions."""
         found: dict[int, dict[int, tuple[Any, int]]] = {}
         for key, value, version in items:
--- a/stileloft/protocol/admin.py
+++ b/stileloft/protocol/admin.py
@@ -2,15 +2,24 @@
 
 import math
 from collections.abc import Awaitable
-from typing import Annotated, Any, Protocol
+from http import HTTPStatus
+from typing import Annotated, Any, NamedTuple, Protocol
 
 import msgspec
 from msgspec import Meta, Struct
 
-from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
-from stileloft.protocol.peers import PeerView
+from stileloft.protocol.admin_errors import (
+    RETRY_AFTER_S,
+    InvalidSettingsError,
+    StaleVersionError,
+    TemporarilyUnavailableError,
+)
+from stileloft.protocol.peers import VIEW_PATH, PeerView
 from stileloft.protocol.rebuild_admin import RebuildAdministered, RebuildResources
-from stileloft.transport.server import Answer, Handler, retry_later
+from stileloft.transport.server import Answer, Arguments, Route, retry_later
+
+STATUS_PATH = "/status"
+SETTINGS_PATH = "/settings"
 
 Factor = Annotated[float, Meta(ge=0, le=100)]
 
@@ -19,75 +28,115 @@
     """What operators may change while the service runs; in force on all nodes."""
 
     headroom: Factor = 1.0
-    """Room kept free for a class that cannot wait for a rental, in jobs of its usual size."""
+    """Room kept free for a class that cannot wait for a machine to boot, in jobs of its usual size."""
     headroom_wait: Factor = 2.0
     """The same for a class with an objective on starting."""
     keep_idle_boots: Factor = 1.0
     """How long an idle spot machine is kept, in boot times of its type."""
     rent_full_price: bool = True
-    """Whether machines other than spot ones may be rented."""
+    """Whether machines other than spot ones may be provisioned."""
     max_machines: Annotated[int, Meta(ge=0, le=100_000)] = 100_000
-    """No rental makes the fleet larger than this."""
+    """No scale-out makes the fleet larger than this."""
+
+
+FACTORS = ("headroom", "headroom_wait", "keep_idle_boots")
 
 
 def parse_operator_settings(value: Any) -> OperatorSettings:
+    """Checked settings from their decoded form; raises `InvalidSettingsError`."""
     try:
         settings = msgspec.convert(value, OperatorSettings)
     except msgspec.ValidationError as error:
         raise InvalidSettingsError(str(error).replace("$.", "")) from None
-    for name in ("headroom", "headroom_wait", "keep_idle_boots"):
+    for name in FACTORS:
         if not math.isfinite(getattr(settings, name)):
             raise InvalidSettingsError(f"{name} is not finite")
     return settings
 
 
+class SettingsChange(NamedTuple):
+    """New settings, and the version that they were made from."""
+
+    settings: OperatorSettings
+    version: int
+
+
+def parse_settings_change(body: Any) -> SettingsChange:
+    """A checked request for other settings; raises `InvalidSettingsError`."""
+    if not isinstance(body, dict) or type(body.get("version")) is not int or body["version"] < 0:
+        raise InvalidSettingsError("version: a whole number, as `GET /settings` gave it, is required")
+    try:
+        settings = parse_operator_settings(body.get("settings"))
+    except InvalidSettingsError as error:
+        raise InvalidSettingsError(f"settings: {error.reason}") from None
+    return SettingsChange(settings, body["version"])
+
+
 class Administered(RebuildAdministered, Protocol):
     """What a node tells its operators, and takes from them."""
 
-    def status(self) -> dict[str, Any]: ...
-    def view(self) -> PeerView: ...
-    async def read_settings(self) -> tuple[OperatorSettings, int]: ...
-    async def change_settings(self, settings: OperatorSettings, version: int) -> int: ...
+    def status(self) -> dict[str, Any]:
+        """The node's state, for people and monitoring."""
+
+    def view(self) -> PeerView:
+        """What the node tells other controllers."""
+
+    async def read_settings(self) -> tuple[OperatorSettings, int]:
+        """The settings in force and their version; raises `TemporarilyUnavailableError`."""
+
+    async def change_settings(self, settings: OperatorSettings, version: int) -> int:
+        """Replaces the settings of a version, and returns the new version.
+
+        Raises `StaleVersionError` or `TemporarilyUnavailableError`.
+        """
 
 
 class AdminResources:
+    """Routes of the peer address: those of the administration API, and what other controllers ask."""
+
     def __init__(self, node: Administered) -> None:
         self._node = node
         self._rebuild = RebuildResources(node)
 
-    def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
-        if path == "/status":
+    def match(self, path: str) -> Route | None:
+        """The handlers of a path, by method, and its arguments."""
+        if path == STATUS_PATH:
             return {"GET": self.status}, {}
-        if path == "/view":
+        if path == VIEW_PATH:
             return {"GET": self.view}, {}
-        if path == "/settings":
-            return {"GET": self.show, "PUT": self.change}, {}
+        if path == SETTINGS_PATH:
+            return {"GET": self.read_settings, "PUT": self.change_settings}, {}
         return self._rebuild.match(path)
 
-    def status(self, _body: Any, _arguments: dict[str, str]) -> Answer | Awaitable[Answer]:
-        return Answer(200, self._node.status())
+    def status(self, _body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+        """Tells the node's state."""
+        return Answer(HTTPStatus.OK, self._node.status())
 
-    def view(self, _body: Any, _arguments: dict[str, str]) -> Answer | Awaitable[Answer]:
-        return Answer(200, msgspec.to_builtins(self._node.view()))
+    def view(self, _body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+        """Tells another controller what this one sees."""
+        return Answer(HTTPStatus.OK, msgspec.to_builtins(self._node.view()))
 
-    async def show(self, _body: Any, _arguments: dict[str, str]) -> Answer:
+    async def read_settings(self, _body: Any, _arguments: Arguments) -> Answer:
+        """Tells the settings and their version."""
         try:
             settings, version = await self._node.read_settings()
         except TemporarilyUnavailableError as error:
-            return retry_later(503, str(error), 1)
-        return Answer(200, {"version": version, "settings": msgspec.to_builtins(settings)})
+            return retry_later(error.status, error.reason, RETRY_AFTER_S)
+        return _settings_answer(settings, version)
 
-    async def change(self, body: Any, _arguments: dict[str, str]) -> Answer:
+    async def change_settings(self, body: Any, _arguments: Arguments) -> Answer:
         """Replaces the settings if they are still those of the version that the caller read."""
-        if not isinstance(body, dict) or type(body.get("version")) is not int or body["version"] < 0:
-            return Answer(400, {"error": "version: a whole number, as `GET /settings` gave it, is required"})
         try:
-            settings = parse_operator_settings(body.get("settings"))
-            version = await self._node.change_settings(settings, body["version"])
+            change = parse_settings_change(body)
+            version = await self._node.change_settings(change.settings, change.version)
         except InvalidSettingsError as error:
-            return Answer(400, {"error": f"settings: {error}"})
-        except StaleVersionError:
-            return Answer(409, {"error": "the settings have been changed since; read them again"})
+            return Answer(error.status, {"error": error.reason})
+        except StaleVersionError as error:
+            return Answer(error.status, {"error": "the settings have been changed since; read them again"})
         except TemporarilyUnavailableError as error:
-            return retry_later(503, str(error), 1)
-        return Answer(200, {"version": version, "settings": msgspec.to_builtins(settings)})
+            return retry_later(error.status, error.reason, RETRY_AFTER_S)
+        return _settings_answer(change.settings, version)
+
+
+def _settings_answer(settings: OperatorSettings, version: int) -> Answer:
+    return Answer(HTTPStatus.OK, {"version": version, "settings": msgspec.to_builtins(settings)})
--- a/stileloft/protocol/messages.py
+++ b/stileloft/protocol/messages.py
@@ -1,57 +1,125 @@
 """Messages of the wire, checked, with the wire's names turned into the field's terms.
 
-The wire says crew, baton, stint, pieces and the like; every other module says
-team, token, session, tasks. This module and its neighbours translate.
+The wire says crew, baton, stint, pieces and the like; every other module says team, token, epoch, tasks. Only this
+package translates.
 """
 
 import math
+from enum import StrEnum
 from typing import Annotated, Any, Literal
 
 import cbor2
 import msgspec
 from msgspec import Meta, Struct, field
 
+from stileloft.protocol.errors import MalformedError
+
 JOB_ID = r"^j-[0-9]{1,30}$"
 MAX_TASKS = 100_000
-# Fields of a submission that the protocol lets be neither null nor left out; the others that it has are checked
-# by their types below.
-NEVER_NULL = ("accelerators", "snapshotS", "stashS", "together", "spread", "loaner")
+REQUIRED_FIELDS = ("accelerators", "snapshotS", "stashS", "together", "spread", "loaner")
+"""Fields of a submission that have a default in stored records, but that a user has to set.
+
+The other required fields are found missing by their types.
+"""
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, Meta(ge=0)]
 PRIORITIES = {"production": 3, "urgent": 2, "standard": 1, "idle": 0}
-PHASES = {"queued": "pending", "running": "running", "done": "done", "cancelled": "aborted"}
-
-
-# A task's states and the reasons of its end, in the field's words; the others are the same on the wire.
-FETCHING, WAITING, RUNNING, SAVING, EXITED = "fetching", "waiting", "running", "saving", "exited"
-STATES = {"gathering": WAITING, "flushing": SAVING}
-STOPPED, PEER_LOST, NOT_COMPLETE, NO_ROOM, BUSY, UNKNOWN = (
-    "stopped",
-    "peer lost",
-    "gang not complete",
-    "no room",
-    "busy",
-    "unknown",
-)
-REASONS = {
-    "halted": STOPPED,
-    "mates_gone": PEER_LOST,
-    "incomplete": NOT_COMPLETE,
-    "full": NO_ROOM,
-    "in_use": BUSY,
-    "no_such": UNKNOWN,
-}
+"""Ranks of the priorities: the higher one goes first."""
 
 
 def encode(value: Any) -> bytes:
-    return cbor2.dumps(value)
+    """A body in CBOR; messages get the wire's names."""
+    return cbor2.dumps(value, default=_encode_struct)
+
+
+def _encode_struct(encoder: Any, value: Any) -> None:
+    encoder.encode(msgspec.to_builtins(value))
 
 
 def decode(data: bytes) -> Any:
+    """A body as plain maps, lists, texts and numbers; raises an error of cbor2 if it is not CBOR."""
     return cbor2.loads(data)
 
 
+class JobPhase(StrEnum):
+    """A job's phase, as records and users' answers tell it."""
+
+    QUEUED = "queued"
+    """No task runs."""
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "cancelled"
+
+
+_WIRE_JOB_PHASES = {
+    JobPhase.QUEUED: "pending",
+    JobPhase.RUNNING: "running",
+    JobPhase.DONE: "done",
+    JobPhase.CANCELLED: "aborted",
+}
+
+
+class TaskState(StrEnum):
+    """What a worker reports of an attempt."""
+
+    FETCHING = "fetching"
+    """It waits for its image."""
+    WAITING = "waiting"
+    """It waits for the other tasks of its gang."""
+    RUNNING = "running"
+    SAVING = "saving"
+    """It was told to stop and saves its progress."""
+    EXITED = "exited"
+    UNRECOGNIZED = "unrecognized"
+    """A state that this version does not know: the attempt is on the machine, and has not exited."""
+
+    @classmethod
+    def _missing_(cls, value: object) -> "TaskState":
+        return _WIRE_TASK_STATES.get(value, cls.UNRECOGNIZED)
+
+
+_WIRE_TASK_STATES: dict[object, TaskState] = {"gathering": TaskState.WAITING, "flushing": TaskState.SAVING}
+"""Those whose name on the wire is another one."""
+
+
+class ExitReason(StrEnum):
+    """Why an attempt has exited, or was refused."""
+
+    DONE = "done"
+    """It has completed."""
+    ERROR = "error"
+    """It has failed."""
+    STOPPED = "stopped"
+    PEER_LOST = "peer lost"
+    """Another task of its gang is gone."""
+    GANG_INCOMPLETE = "gang not complete"
+    """The other tasks of its gang did not come in time."""
+    NO_ROOM = "no room"
+    """Refused: the machine has not enough free resources."""
+    BUSY = "busy"
+    """Refused: another attempt at the task is on the machine."""
+    UNKNOWN_TASK = "unknown"
+    """Refused: the worker cannot find the job or the task."""
+    UNRECOGNIZED = "unrecognized"
+    """A reason that this version does not know."""
+
+    @classmethod
+    def _missing_(cls, value: object) -> "ExitReason":
+        return _WIRE_EXIT_REASONS.get(value, cls.UNRECOGNIZED)
+
+
+_WIRE_EXIT_REASONS: dict[object, ExitReason] = {
+    "halted": ExitReason.STOPPED,
+    "mates_gone": ExitReason.PEER_LOST,
+    "incomplete": ExitReason.GANG_INCOMPLETE,
+    "full": ExitReason.NO_ROOM,
+    "in_use": ExitReason.BUSY,
+    "no_such": ExitReason.UNKNOWN_TASK,
+}
+"""Those whose name on the wire is another one."""
+
+
 class JobSpec(Struct, frozen=True, omit_defaults=True):
     """A job as its user described it."""
 
@@ -88,24 +156,30 @@
 
     @property
     def rank(self) -> int:
+        """Its priority as a number: the higher one goes first."""
         return PRIORITIES[self.priority]
 
 
-class MalformedError(Exception):
-    """A body that breaks the protocol; the text is a short reason."""
-
-
 def parse_job(body: Any) -> JobSpec:
+    """A user's submission, checked; raises `MalformedError`."""
     if not isinstance(body, dict):
         raise MalformedError("the body must be a map")
-    for name in NEVER_NULL:
-        # Stored records leave out what is zero or false; a user has to say it.
+    for name in REQUIRED_FIELDS:
         if body.get(name) is None:
             raise MalformedError(f"{name} is missing")
     try:
         spec = msgspec.convert(body, JobSpec)
     except msgspec.ValidationError as error:
         raise MalformedError(str(error)) from None
+    if not _is_finite(spec):
+        raise MalformedError("an amount is not finite")
+    if spec.cpus == 0 and not spec.gpus:
+        raise MalformedError("a task must take processors or accelerators")
+    return spec
+
+
+def _is_finite(spec: JobSpec) -> bool:
+    """Whether no amount is infinite or not a number; msgspec's bounds let these through."""
     amounts = (
         spec.cpus,
         spec.gpus,
@@ -116,12 +190,7 @@
         spec.save_s,
         spec.deadline_s,
     )
-    # msgspec's bounds let infinities and not-a-number through.
-    if not all(amount is None or math.isfinite(amount) for amount in amounts):
-        raise MalformedError("an amount is not finite")
-    if spec.cpus == 0 and not spec.gpus:
-        raise MalformedError("a task must take processors or accelerators")
-    return spec
+    return all(amount is None or math.isfinite(amount) for amount in amounts)
 
 
 def job_to_wire(spec: JobSpec) -> dict[str, Any]:
@@ -131,45 +200,53 @@
 
 
 def job_from_wire(stored: dict[str, Any]) -> JobSpec:
+    """A job's description from its stored form."""
     return msgspec.convert(stored, JobSpec)
 
 
-def job_status_message(job: str, phase: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    answer: dict[str, Any] = {"nameId": job, "phase": PHASES[phase]}
+def job_status_message(
+    job: str, phase: JobPhase, done: int | None = None, running: int | None = None
+) -> dict[str, Any]:
+    """What users are told of a job: its phase, and how many of its tasks are done and run, where that is known."""
+    message: dict[str, Any] = {"nameId": job, "phase": _WIRE_JOB_PHASES[phase]}
     if done is not None:
-        answer["done"] = done
+        message["done"] = done
     if running is not None:
-        answer["running"] = running
-    return answer
+        message["running"] = running
+    return message
 
 
 class TaskStatus(Struct):
+    """An attempt on a worker's machine."""
+
     task: str = field(name="piece")
     attempt: int = field(name="try")
-    state: str = field(name="phase")
-    why: str | None = field(name="cause", default=None)
+    state: TaskState = field(name="phase")
+    exit_reason: ExitReason | None = field(name="cause", default=None)
     saved: bool | None = field(name="kept", default=None)
-
-    def __post_init__(self) -> None:
-        self.state = STATES.get(self.state, self.state)
-        if self.why is not None:
-            self.why = REASONS.get(self.why, self.why)
+    """Whether an attempt that was stopped has saved its progress."""
 
 
 class Heartbeat(Struct):
+    """A worker's state; the one with the larger (epoch, sequence) is the newer one."""
+
     machine: str = field(name="host")
     address: str = field(name="endpoint")
     type: str = field(name="build")
     zone: str = field(name="yard")
     epoch: int = field(name="stint")
+    """The worker's incarnation: it increases when its lease expires."""
     sequence: int = field(name="tick")
     token: int = field(name="baton")
+    """The highest fencing token that the worker has seen."""
     spot: bool = field(name="loaner", default=False)
     reclaim_in_s: float | None = field(name="warningS", default=None)
+    """When the cloud takes the machine away, if that is announced."""
     tasks: list[TaskStatus] = field(name="pieces", default_factory=list)
 
 
 def parse_heartbeat(body: Any) -> Heartbeat:
+    """A worker's heartbeat, checked; raises `MalformedError`."""
     try:
         return msgspec.convert(body, Heartbeat)
     except msgspec.ValidationError as error:
@@ -177,6 +254,8 @@
 
 
 class MachineType(Struct, frozen=True):
+    """A type of machine that the cloud offers, with its prices and the zones that have it."""
+
     name: str = field(name="label")
     cpus: float = field(name="vcpus")
     memory_gb: float = field(name="memGb")
@@ -190,26 +269,13 @@
 
 
 class ListedMachine(Struct, frozen=True):
+    """A machine in the cloud's list."""
+
     id: str = field(name="nameId")
     address: str = field(name="endpoint")
     type: str = field(name="build")
     zone: str = field(name="yard")
     state: str = field(name="phase")
+    """`starting`, `running` or `failed`."""
     age_s: float = field(name="ageS", default=0.0)
     spot: bool = field(name="loaner", default=False)
-
-
-def start_command(task: str, attempt: int) -> dict[str, Any]:
-    return {"verb": "launch", "piece": task, "try": attempt}
-
-
-def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
-    return {"verb": "stop", "piece": task, "try": attempt, "windDownS": grace_s}
-
-
-def forget_command(task: str, attempt: int) -> dict[str, Any]:
-    return {"verb": "forget", "piece": task, "try": attempt}
-
-
-def command_message(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"baton": token, "orders": commands}
--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -1,27 +1,29 @@
 """What controllers ask each other, on the peer addresses."""
 
 import contextlib
+from http import HTTPStatus
 from typing import Any
 
 import msgspec
 from msgspec import Struct
 from twisted.internet import defer
 
-from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError
+from stileloft.transport.client import Client, TransportError
 
+VIEW_PATH = "/view"
 SNAPSHOT_PATH = "/rebuild/snapshot/"
 NOTES_PATH = "/rebuild/notes"
-# A piece of a replica may take longer to make and to send than a view does.
-SNAPSHOT_TIMEOUTS = 5.0
+SNAPSHOT_TIMEOUT_FACTOR = 5.0
+"""A piece of a replica takes longer to make and to send than a view."""
 
 
 class PeerView(Struct, omit_defaults=True):
-    """What a controller sees of the world, for those that doubt their own view."""
+    """What a controller sees of the cluster, for those that doubt their own view."""
 
     served_ago_s: float
-    """How long ago the state service last executed a request of its."""
+    """How long ago the state service last executed one of its requests."""
     machines: dict[str, tuple[int, int]]
-    """Machines that it has referred to the leader lately, with session and number of their newest report."""
+    """Machines that it has lately referred to the leader, with epoch and number of their newest heartbeat."""
     member: str = ""
     reads: int = 0
     """The newest format of the store's records that it reads; the version before gangs does not say."""
@@ -30,10 +32,12 @@
     deployment: str = ""
     """The identity that it knows of the store."""
     highest_token: int = 0
-    """The highest token that it has seen."""
+    """The highest fencing token that it has seen."""
 
 
 class PeerClient:
+    """Requests to the other controllers; one that does not answer is passed over."""
+
     def __init__(self, client: Client, addresses: list[str], timeout_s: float) -> None:
         self._client = client
         self.addresses = addresses
@@ -41,29 +45,29 @@
 
     async def views(self) -> list[PeerView]:
         """What those of the others that answer see."""
-        asked = [defer.ensureDeferred(self._view(address)) for address in self.addresses]
-        return [view for view in [await one for one in asked] if view is not None]
+        pending = [defer.ensureDeferred(self._view(address)) for address in self.addresses]
+        return [view for view in [await each for each in pending] if view is not None]
 
     async def snapshot_piece(self, address: str, number: int) -> bytes | None:
         """A piece of a controller's replica of the store; None if there is no answer."""
+        timeout_s = SNAPSHOT_TIMEOUT_FACTOR * self._timeout_s
         try:
-            reply: Any = await self._client.request(
-                "GET", address, f"{SNAPSHOT_PATH}{number}", None, SNAPSHOT_TIMEOUTS * self._timeout_s
-            )
-        except (ConnectionFailedError, NoResponseError):
+            reply = await self._client.request("GET", address, f"{SNAPSHOT_PATH}{number}", None, timeout_s)
+        except TransportError:
             return None
-        if reply.status != 200 or not isinstance(reply.body, dict) or not isinstance(reply.body.get("piece"), str):
+        if reply.status != HTTPStatus.OK or not isinstance(reply.body, dict):
             return None
-        return bytes(reply.body["piece"], "utf-8")
+        piece = reply.body.get("piece")
+        return piece.encode() if isinstance(piece, str) else None
 
     async def send_notes(self, address: str, notes: Any) -> None:
-        """Tells a controller what users have just been told; whether it hears that is not asked."""
-        with contextlib.suppress(ConnectionFailedError, NoResponseError):
+        """Tells a controller what users have just been told; whether it hears that is not checked."""
+        with contextlib.suppress(TransportError):
             await self._client.request("POST", address, NOTES_PATH, notes, self._timeout_s)
 
     async def _view(self, address: str) -> PeerView | None:
         try:
-            reply: Any = await self._client.request("GET", address, "/view", None, self._timeout_s)
-            return msgspec.convert(reply.body, PeerView) if reply.status == 200 else None
-        except (ConnectionFailedError, NoResponseError, msgspec.ValidationError):
+            reply = await self._client.request("GET", address, VIEW_PATH, None, self._timeout_s)
+            return msgspec.convert(reply.body, PeerView) if reply.status == HTTPStatus.OK else None
+        except (TransportError, msgspec.ValidationError):
             return None
--- a/stileloft/protocol/users.py
+++ b/stileloft/protocol/users.py
@@ -3,53 +3,57 @@
 import logging
 import re
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any, Protocol
 
-from stileloft.protocol.messages import JOB_ID, Heartbeat, JobSpec, MalformedError, parse_heartbeat, parse_job
-from stileloft.transport.server import Answer, Handler, retry_later
+from stileloft.protocol.errors import MalformedError, RequestError
+from stileloft.protocol.messages import JOB_ID, Heartbeat, JobSpec, parse_heartbeat, parse_job
+from stileloft.transport.server import Answer, Arguments, Handler, Route, retry_later
 
 log = logging.getLogger(__name__)
 
 HEARTBEAT_PATH = "/checkin"
-JOB_PATH = re.compile(r"^/v2/runs/([^/]+)$")
-CANCEL_PATH = re.compile(r"^/v2/runs/([^/]+)/cancel$")
+HEALTH_PATH = "/healthz"
+JOBS_PATH = "/v2/runs"
+JOB_PATH = re.compile(rf"^{JOBS_PATH}/([^/]+)$")
+CANCEL_PATH = re.compile(rf"^{JOBS_PATH}/([^/]+)/cancel$")
 VALID_ID = re.compile(JOB_ID)
+NOT_READY_RETRY_S = 1.0
 
 
-class Service(Protocol):
-    """What the resources ask; errors of this module say what users are told."""
+class JobService(Protocol):
+    """What users ask for; each method may raise a `RequestError`, which its user is told."""
 
-    async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]: ...
-    async def status(self, job: str) -> dict[str, Any] | None: ...
-    async def cancel(self, job: str) -> dict[str, Any] | None: ...
+    async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]:
+        """Accepts a job: whether it is new, and its status."""
+
+    async def status(self, job: str) -> dict[str, Any] | None:
+        """A job's status; None for a job that was never accepted."""
+
+    async def cancel(self, job: str) -> dict[str, Any] | None:
+        """Cancels a job: its final status, or None for a job that was never accepted."""
 
 
 class PublicResources:
     """Routes of the public address."""
 
     def __init__(
-        self,
-        service: Service,
-        heartbeat: Callable[[Heartbeat], Answer],
-        healthy: Callable[[], bool],
-        not_decidable: type[Exception],
-        impossible: type[Exception],
+        self, service: JobService, on_heartbeat: Callable[[Heartbeat], Answer], is_healthy: Callable[[], bool]
     ) -> None:
         self._service = service
-        self._report = heartbeat
-        self._healthy = healthy
-        self._not_decidable = not_decidable
-        self._impossible = impossible
-        self._fixed: dict[str, dict[str, Handler]] = {
-            HEARTBEAT_PATH: {"POST": self.checkin},
-            "/healthz": {"GET": self.health},
-            "/v2/runs": {"POST": self.submit},
+        self._on_heartbeat = on_heartbeat
+        self._is_healthy = is_healthy
+        self._fixed_routes: dict[str, dict[str, Handler]] = {
+            HEARTBEAT_PATH: {"POST": self.heartbeat},
+            HEALTH_PATH: {"GET": self.health},
+            JOBS_PATH: {"POST": self.submit},
         }
 
-    def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
-        fixed = self._fixed.get(path)
-        if fixed is not None:
-            return fixed, {}
+    def match(self, path: str) -> Route | None:
+        """The handlers of a path, by method, and its arguments."""
+        handlers = self._fixed_routes.get(path)
+        if handlers is not None:
+            return handlers, {}
         found = JOB_PATH.match(path)
         if found:
             return {"GET": self.status}, {"job": found.group(1)}
@@ -58,52 +62,61 @@
             return {"POST": self.cancel}, {"job": found.group(1)}
         return None
 
-    def checkin(self, body: Any, _arguments: dict[str, str]) -> Answer:
+    def heartbeat(self, body: Any, _arguments: Arguments) -> Answer:
+        """Takes in a worker's heartbeat."""
         try:
             heartbeat = parse_heartbeat(body)
         except MalformedError as error:
-            return Answer(400, {"error": str(error)})
-        return self._report(heartbeat)
+            return Answer(HTTPStatus.BAD_REQUEST, {"error": error.reason})
+        return self._on_heartbeat(heartbeat)
 
-    def health(self, _body: Any, _arguments: dict[str, str]) -> Answer:
-        if self._healthy():
-            return Answer(200, {"ok": True})
-        return retry_later(503, "not ready", 1)
+    def health(self, _body: Any, _arguments: Arguments) -> Answer:
+        """Tells a load balancer whether users may be sent here."""
+        if self._is_healthy():
+            return Answer(HTTPStatus.OK, {"ok": True})
+        return retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", NOT_READY_RETRY_S)
 
-    async def _asked(self, asked: Awaitable[Answer]) -> Answer:
-        try:
-            return await asked
-        except self._not_decidable as error:
-            log.debug("told to come back: %s", error)
-            return retry_later(503, str(error), getattr(error, "retry_after_s", 1.0))
-        except self._impossible as error:
-            return Answer(422, {"error": str(error)})
-
-    def submit(self, body: Any, _arguments: dict[str, str]) -> Answer | Awaitable[Answer]:
+    def submit(self, body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+        """Accepts a job; a repeated submission is answered with the job's status."""
         try:
             spec = parse_job(body)
         except MalformedError as error:
-            return Answer(400, {"error": str(error)})
+            return Answer(HTTPStatus.BAD_REQUEST, {"error": error.reason})
 
-        async def asked() -> Answer:
-            new, state = await self._service.submit(spec)
-            return Answer(201 if new else 200, state)
+        async def answer() -> Answer:
+            is_new, status = await self._service.submit(spec)
+            return Answer(HTTPStatus.CREATED if is_new else HTTPStatus.OK, status)
 
-        return self._asked(asked())
+        return self._with_errors_told(answer())
 
-    def status(self, _body: Any, arguments: dict[str, str]) -> Answer | Awaitable[Answer]:
-        return self._about(arguments["job"], self._service.status)
+    def status(self, _body: Any, arguments: Arguments) -> Answer | Awaitable[Answer]:
+        """Tells a job's status."""
+        return self._answer_about(arguments["job"], self._service.status)
 
-    def cancel(self, _body: Any, arguments: dict[str, str]) -> Answer | Awaitable[Answer]:
-        return self._about(arguments["job"], self._service.cancel)
+    def cancel(self, _body: Any, arguments: Arguments) -> Answer | Awaitable[Answer]:
+        """Cancels a job, unless it has ended."""
+        return self._answer_about(arguments["job"], self._service.cancel)
 
-    def _about(self, job: str, ask: Callable[[str], Awaitable[dict[str, Any] | None]]) -> Answer | Awaitable[Answer]:
-        unknown = Answer(404, {"error": "no such job"})
+    def _answer_about(
+        self, job: str, request: Callable[[str], Awaitable[dict[str, Any] | None]]
+    ) -> Answer | Awaitable[Answer]:
+        no_such_job = Answer(HTTPStatus.NOT_FOUND, {"error": "no such job"})
         if not VALID_ID.match(job):
-            return unknown  # no job of such a name can have been accepted
+            return no_such_job  # no job of such a name can have been accepted
 
-        async def asked() -> Answer:
-            state = await ask(job)
-            return unknown if state is None else Answer(200, state)
+        async def answer() -> Answer:
+            status = await request(job)
+            return no_such_job if status is None else Answer(HTTPStatus.OK, status)
 
-        return self._asked(asked())
+        return self._with_errors_told(answer())
+
+    @staticmethod
+    async def _with_errors_told(pending: Awaitable[Answer]) -> Answer:
+        """The answer, or what the error that comes instead says to its user."""
+        try:
+            return await pending
+        except RequestError as error:
+            if error.retry_after_s is None:
+                return Answer(error.status, {"error": error.reason})
+            log.debug("user told to retry reason=%s", error.reason)
+            return retry_later(error.status, error.reason, error.retry_after_s)
--- a/stileloft/protocol/workers.py
+++ b/stileloft/protocol/workers.py
@@ -1,20 +1,40 @@
-"""Direct commands to workers."""
+"""Requests to workers."""
 
 from collections.abc import Callable
-from typing import Any
+from http import HTTPStatus
+from typing import NamedTuple
 
-from stileloft.protocol.messages import Heartbeat, MalformedError, command_message, parse_heartbeat
+import msgspec
+
+from stileloft.protocol.commands import Command, CommandMessage
+from stileloft.protocol.errors import MalformedError, RemoteError
+from stileloft.protocol.messages import Heartbeat, parse_heartbeat
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError
 
+COMMANDS_PATH = "/do"
+COMMANDS_OPERATION = f"POST {COMMANDS_PATH}"
+
+
+class DeliveryError(RemoteError):
+    """Commands of which no worker has said whether it executed them."""
+
 
-class NotDeliveredError(Exception):
+class NotDeliveredError(DeliveryError):
     """The commands were certainly not executed."""
 
 
-class UncertainDeliveryError(Exception):
+class UncertainDeliveryError(DeliveryError):
     """The commands may have been executed, or may be later."""
 
 
+class CommandResult(NamedTuple):
+    """A worker's answer to commands."""
+
+    executed: bool
+    """False if the worker dropped them, since it knows a higher token or is in another epoch."""
+    heartbeat: Heartbeat
+
+
 class WorkerClient:
     """Sends commands to workers."""
 
@@ -23,23 +43,26 @@
         self._timeout_s = timeout_s
 
     async def command(
-        self, address: str, token: int, epoch: int, commands: list[dict[str, Any]], is_wanted: Callable[[], bool]
-    ) -> tuple[bool, Heartbeat]:
-        """Whether the commands were executed, and the worker's report.
+        self, address: str, token: int, epoch: int, commands: list[Command], is_wanted: Callable[[], bool]
+    ) -> CommandResult:
+        """Has a worker execute commands; raises `NotDeliveredError` or `UncertainDeliveryError`.
 
         `is_wanted` is asked just before they go out; if they are not wanted any more, they are not delivered.
         """
-        body = command_message(token, commands)
-        body["stint"] = epoch
+        body = msgspec.to_builtins(CommandMessage(token, commands, epoch))
         try:
-            reply = await self._client.request("POST", address, "/do", body, self._timeout_s, is_wanted)
+            reply = await self._client.request("POST", address, COMMANDS_PATH, body, self._timeout_s, is_wanted)
         except ConnectionFailedError as error:
-            raise NotDeliveredError(str(error)) from None
+            raise NotDeliveredError(str(error), operation=COMMANDS_OPERATION, target=address) from None
         except NoResponseError as error:
-            raise UncertainDeliveryError(str(error)) from None
-        if reply.status in (200, 409):
-            try:
-                return reply.status == 200, parse_heartbeat(reply.body)
-            except MalformedError as error:
-                raise UncertainDeliveryError(f"unreadable report: {error}") from None
-        raise NotDeliveredError(f"status {reply.status}")
+            raise UncertainDeliveryError(str(error), operation=COMMANDS_OPERATION, target=address) from None
+        if reply.status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
+            raise NotDeliveredError(
+                f"status {reply.status}", operation=COMMANDS_OPERATION, target=address, status=reply.status
+            )
+        try:
+            return CommandResult(reply.status == HTTPStatus.OK, parse_heartbeat(reply.body))
+        except MalformedError as error:
+            raise UncertainDeliveryError(
+                f"unreadable heartbeat: {error}", operation=COMMANDS_OPERATION, target=address, status=reply.status
+            ) from None
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -10,7 +10,8 @@
 from stileloft.leadership.election import DRIFT
 from stileloft.machines.fleet import MARGIN_LEASES
 from stileloft.model import records
-from stileloft.protocol.messages import Heartbeat, command_message, stop_command
+from stileloft.protocol.commands import CommandMessage, StopCommand
+from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import identity as identities
 from stileloft.rebuild.protection import StoreProtection
@@ -302,13 +303,13 @@
             return retry_later(503, "lost records are being rebuilt", 1)
         known = self._reports.get(heartbeat.machine)
         if known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence):
-            return Answer(200, command_message(0, []))  # a late copy: its worker is to drop this
+            return Answer(200, CommandMessage(0, []))  # a late copy: its worker is to drop this
         if heartbeat.token == self.token:
             # Only a worker that has our token can't be told anything by a former leader any more.
             self._reports[heartbeat.machine] = heartbeat
         ends = self._image.ends
         over = [task for task in heartbeat.tasks if ends.get(records.split_task(task.task)[0]) is not None]
-        return Answer(200, command_message(self.token, [stop_command(task.task, task.attempt, 0.0) for task in over]))
+        return Answer(200, CommandMessage(self.token, [StopCommand(task.task, task.attempt, 0.0) for task in over]))
 
     def status(self) -> dict[str, Any]:
         """What the administration API shows of it."""
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -8,7 +8,7 @@
 from stileloft.model import records
 from stileloft.model.chunks import separate_chunk
 from stileloft.model.records import JobOutcome
-from stileloft.protocol.messages import EXITED, Heartbeat, JobSpec, TaskStatus, job_from_wire
+from stileloft.protocol.messages import ExitReason, Heartbeat, JobSpec, TaskState, TaskStatus, job_from_wire
 from stileloft.rebuild import unresolved_tasks as undecided
 from stileloft.rebuild.job_outcomes import Ends
 from stileloft.rebuild.replica_merge import Image
@@ -288,4 +288,8 @@
 
 def _rank(located: Located) -> tuple[bool, bool, int]:
     task = located.task
-    return task.state == EXITED and task.why == "done", task.state != EXITED, task.attempt
+    return (
+        task.state == TaskState.EXITED and task.exit_reason == ExitReason.DONE,
+        task.state != TaskState.EXITED,
+        task.attempt,
+    )
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -1,12 +1,12 @@
 """What a machine has to be told: the starts, stops and forgets that are due, as far as they are allowed now."""
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from stileloft.leadership.authority import Refusal
 from stileloft.model.inflight_starts import AttemptKey
 from stileloft.model.machines import Machine, PendingForget
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol import messages
+from stileloft.protocol.commands import Command, ForgetCommand, StopCommand
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
@@ -43,7 +43,7 @@
             return []
         return [p for p in unseen if authority.check_start(p, machine) is None]
 
-    def stops(self, machine: Machine, most: int, renewing: bool = False) -> list[dict[str, Any]]:
+    def stops(self, machine: Machine, most: int, renewing: bool = False) -> list[Command]:
         """What the machine has to stop, at most so many.
 
         `renewing`: for an answer that renews its lease, in which the tasks of all jobs that are over come first.
@@ -58,13 +58,13 @@
                 required.append(placement)  # whatever became of the stops before
             elif now >= placement.stop_sent_at + REPEAT_STOP * self.heartbeat_s and not self._was_never_sent(placement):
                 others.append(placement)
-        commands = []
+        commands: list[Command] = []
         for placement in (required + others)[:most]:
             # It paces the repeats, and must be the clock of nothing else: it moves for as long as the machine reports.
             placement.stop_sent_at = now
-            commands.append(messages.stop_command(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
+            commands.append(StopCommand(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
         orphaned_tasks = [
-            messages.stop_command(task, stray.attempt, 0.0)
+            StopCommand(task, stray.attempt, 0.0)
             for task, stray in machine.orphaned_tasks.items()
             if self.term.authority.check_stop_task(task) is None
         ]
@@ -74,7 +74,7 @@
     def _was_never_sent(placement: Placement) -> bool:
         return placement.reported_state is None and placement.sent_epoch is None
 
-    def pending_forgets(self, machine: Machine, most: int) -> list[dict[str, Any]]:
+    def pending_forgets(self, machine: Machine, most: int) -> list[Command]:
         """Exited tasks that the store no longer places here, at most so many.
 
         None of which a start may still be executed: it would run a forgotten attempt again.
@@ -90,7 +90,7 @@
         for task, attempt in allowed:
             del machine.pending_forgets[task]  # what is reported again is forgotten again
             machine.inflight_starts.drop(task, attempt)
-        return [messages.forget_command(task, attempt) for task, attempt in allowed]
+        return [ForgetCommand(task, attempt) for task, attempt in allowed]
 
     def forget_later(self, machine: Machine, task: str, attempt: int, done: bool) -> None:
         """Has an exited task forgotten that the store no longer places there.
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -9,7 +9,7 @@
 from stileloft.machines.fleet import UNANSWERED_S
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement
-from stileloft.protocol import messages
+from stileloft.protocol.commands import Command, CommandMessage, StartCommand
 from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.workers import NotDeliveredError, UncertainDeliveryError
 from stileloft.workers.command_planner import MAX_COMMANDS
@@ -62,7 +62,7 @@
 
     # -- reports --------------------------------------------------------------
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
         """Takes in a report that a worker sent, and answers it."""
         term = self.term
         now = term.clock.seconds()
@@ -72,7 +72,7 @@
         if (machine.epoch, machine.sequence) == (epoch, sequence):
             # A copy that comes late must show no sign of life. If it is the report itself, overtaken by the
             # answer to a command, its worker is to drop this answer: it must renew no lease that we don't count.
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         if machine.epoch != epoch:
             machine.last_reachable_at = float("-inf")  # its tasks were lost though we answered: ask whether it hears us
         elif claimed and now - before < UNANSWERED_S:
@@ -85,7 +85,7 @@
             self.send(machine)
         return answer
 
-    def _renewal(self, machine: Machine, now: float) -> dict[str, Any]:
+    def _renewal(self, machine: Machine, now: float) -> CommandMessage:
         """An answer that renews a worker's lease, or one that its worker drops if that would break the bound.
 
         A worker that does not know our token learns it with this answer. So it has to tell of all that is cancelled:
@@ -98,14 +98,14 @@
             self.metrics.withheld_renewals += 1
             log.info("the lease of %s is not renewed: its answer cannot bar and stop all that is cancelled", machine.id)
             self.send(machine)
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         commands = term.planner.stops(machine, MOST_IN_ANSWER, renewing=True)
-        told = {(command["piece"], command["try"]) for command in commands} if required else set()
+        told = {(command.task, command.attempt) for command in commands} if required else set()
         if not self.fencing.check_renewal(machine, told):
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         machine.lease_renewed_at = now
         commands += term.planner.pending_forgets(machine, MOST_IN_ANSWER - len(commands))
-        return messages.command_message(machine.token, commands)
+        return CommandMessage(machine.token, commands)
 
     # -- commands ---------------------------------------------------------------
 
@@ -132,7 +132,7 @@
         if claim and self.claims >= self.most_claims:
             return
         commands += term.planner.pending_forgets(machine, MAX_COMMANDS - len(commands))
-        commands += [messages.start_command(p.task, p.attempt) for p in starts]
+        commands += [StartCommand(p.task, p.attempt) for p in starts]
         machine.command_in_flight = True
         epoch = machine.epoch or 1
         for placement in starts:
@@ -169,7 +169,7 @@
         return True
 
     async def _send(
-        self, machine: Machine, epoch: int, commands: list[dict[str, Any]], starts: list[Placement], claim: bool
+        self, machine: Machine, epoch: int, commands: list[Command], starts: list[Placement], claim: bool
     ) -> None:
         term, token = self.term, machine.token
         if starts and log.isEnabledFor(logging.DEBUG):
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -7,7 +7,7 @@
 from stileloft.model.jobs import Job
 from stileloft.model.machines import Machine, OrphanedTask
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol.messages import BUSY, EXITED, NO_ROOM, RUNNING, UNKNOWN, WAITING, Heartbeat, TaskStatus
+from stileloft.protocol.messages import ExitReason, Heartbeat, TaskState, TaskStatus
 
 if TYPE_CHECKING:
     from stileloft.leadership.leader import Leader
@@ -100,8 +100,8 @@
                 unseen.pop(key, None)
                 if placement.state != PlacementState.ENDED:
                     self._take_state(machine, placement, task, now)
-            elif task.state == EXITED:
-                self.term.planner.forget_later(machine, task.task, task.attempt, task.why == "done")
+            elif task.state == TaskState.EXITED:
+                self.term.planner.forget_later(machine, task.task, task.attempt, task.exit_reason == ExitReason.DONE)
             else:
                 orphaned_tasks[task.task] = self._stray(key[0], task)
         self._take_strays(machine, orphaned_tasks)
@@ -144,16 +144,16 @@
         return OrphanedTask(task.attempt, spec.cpus, spec.gpus or 0.0, spec.memory_gb, spec.team)
 
     def _take_state(self, machine: Machine, placement: Placement, task: TaskStatus, now: float) -> None:
-        if task.state == EXITED:
-            self._take_exit(machine, placement, task.why, now)
+        if task.state == TaskState.EXITED:
+            self._take_exit(machine, placement, task.exit_reason, now)
         elif placement.reported_state != task.state:
             placement.reported_state = task.state
             machine.scheduling_view = None
             job = self.term.jobs.get(placement.job)
-            if job is not None and task.state in (WAITING, RUNNING):
+            if job is not None and task.state in (TaskState.WAITING, TaskState.RUNNING):
                 # One that waits for the others of its gang has its image too, but has not begun.
                 self.term.fleet.images.record_use(machine, job.spec.image)
-            if task.state == RUNNING:
+            if task.state == TaskState.RUNNING:
                 self._take_running(placement, job, now)
 
     def _take_running(self, placement: Placement, job: Job | None, now: float) -> None:
@@ -167,22 +167,22 @@
         self.term.cluster.mark_counts(job)
         self.term.commit_queue.flush_within(COUNTS_FLUSH_S)
 
-    def _take_exit(self, machine: Machine, placement: Placement, why: str | None, now: float) -> None:
+    def _take_exit(self, machine: Machine, placement: Placement, why: ExitReason | None, now: float) -> None:
         """What follows from a task's end; of a gang that lost a task the whole comes again, at once."""
         tasks = self.term.tasks
-        placement.reported_state = EXITED
-        if why == "done":
+        placement.reported_state = TaskState.EXITED
+        if why == ExitReason.DONE:
             tasks.completed(machine, placement, now)
             return
-        if why == "error":
+        if why == ExitReason.ERROR:
             tasks.failed(machine, placement)
-        elif why == NO_ROOM:
+        elif why == ExitReason.NO_ROOM:
             log.info("task %s did not fit on %s", placement.task, machine.id)
             tasks.avoid(placement, machine.id, 2 * self.heartbeat_s)
-        elif why == UNKNOWN:
+        elif why == ExitReason.UNKNOWN_TASK:
             log.info("task %s is not known to %s", placement.task, machine.id)
             tasks.delay(placement.job, self.heartbeat_s / 2)
-        elif why == BUSY:
+        elif why == ExitReason.BUSY:
             # The other attempt is listed too, and is stopped as a stray; meanwhile go elsewhere.
             log.info("task %s is on %s with another attempt", placement.task, machine.id)
             tasks.avoid(placement, machine.id, self.term.settings.workers.lease_s)
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -16,6 +16,7 @@
 from stileloft.leadership.leader import Leader
 from stileloft.machines.fleet import Fleet
 from stileloft.protocol import messages
+from stileloft.protocol.commands import CommandMessage
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.server import Answer, Router, make_site
 from stileloft.workers.dispatcher import CommandDispatcher
@@ -107,7 +108,7 @@
 
 def measure_report_requests(connections_kept: bool) -> None:
     """A report through the real server, with an answer that has nothing to say."""
-    handlers = {"POST": lambda _body, _arguments: Answer(200, messages.command_message(7, []))}
+    handlers = {"POST": lambda _body, _arguments: Answer(200, CommandMessage(7, []))}
     router = Router(
         lambda _path: (handlers, {}), messages.encode, messages.decode, "application/cbor", lambda _: connections_kept
     )
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -3,6 +3,7 @@
 import logging
 from typing import Any
 
+import msgspec
 import orjson
 import pytest
 from hypothesis import given
@@ -19,6 +20,7 @@
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
+from stileloft.protocol.commands import CommandMessage, StartCommand
 from stileloft.transport.client import Client, ConnectionFailedError
 from stileloft.workers.dispatcher import MOST_IN_ANSWER, NO_TOKEN
 from stileloft.workers.fencing import MachineFencing
@@ -111,9 +113,9 @@
     machine, worker = term.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
-    late = messages.command_message(token, [messages.start_command(placement.task, placement.attempt)]) | {
-        "stint": worker.epoch
-    }
+    late = msgspec.to_builtins(
+        CommandMessage(token, [StartCommand(placement.task, placement.attempt)], epoch=worker.epoch)
+    )
     assert term.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
     assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is None
     machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -318,7 +318,7 @@
             {"piece": "j-1/2", "try": 1, "phase": "exited", "cause": "incomplete"},
         ],
     }
-    assert [(t.state, t.why) for t in parse_heartbeat(body).tasks] == [
+    assert [(t.state, t.exit_reason) for t in parse_heartbeat(body).tasks] == [
         ("waiting", None),
         ("exited", "peer lost"),
         ("exited", "gang not complete"),
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -341,7 +341,7 @@
     name = f"j-000001/{index}"
     listed = [(r, task) for r in reports for task in r.tasks if task.task == name]
     for wanted in (
-        [(r, task) for r, task in listed if task.why == "done"],
+        [(r, task) for r, task in listed if task.exit_reason == "done"],
         [(r, task) for r, task in listed if task.state != "exited"],
         listed,
     ):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
+import msgspec
 import pytest
 
 from stileloft.controller.controller import renewal_grace
@@ -10,6 +11,7 @@
 from stileloft.machines.fleet import Fleet
 from stileloft.model.jobs import Job
 from stileloft.protocol import messages
+from stileloft.protocol.commands import CommandMessage, StartCommand
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.settings import Workers
 from stileloft.transport.client import Reply
@@ -486,9 +488,7 @@
     term = world.nodes[world.leader()].term
     (name,) = {m.name for m in world.rules.where.values()}
     placement = next(iter(term.machines[name].placements.values()))
-    start = messages.command_message(term.token, [messages.start_command(placement.task, placement.attempt)]) | {
-        "stint": 1
-    }
+    start = msgspec.to_builtins(CommandMessage(term.token, [StartCommand(placement.task, placement.attempt)], epoch=1))
     term.machines[name].drain_reason = "a test"
     term.tasks.stop(placement, 0.0)
     world.run(30)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 import pytest
@@ -14,6 +15,8 @@
 from stileloft.protocol import messages
 from stileloft.protocol.admin import OperatorSettings, parse_operator_settings
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError
+from stileloft.protocol.errors import RequestError
+from stileloft.protocol.messages import JobPhase
 from stileloft.protocol.rebuild_admin import RebuildResources
 from stileloft.protocol.state import TokenBucket
 from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
@@ -174,12 +177,12 @@
 # -- HTTP ----------------------------------------------------------------------------
 
 
-class TemporarilyUnavailableError(Exception):
-    retry_after_s = 2.0
+class LaterError(RequestError):
+    status = HTTPStatus.SERVICE_UNAVAILABLE
 
 
-class NeverError(Exception):
-    pass
+class NeverError(RequestError):
+    status = HTTPStatus.UNPROCESSABLE_ENTITY
 
 
 class Service:
@@ -187,24 +190,22 @@
 
     async def submit(self, spec):
         if spec.id == "j-503":
-            raise TemporarilyUnavailableError("later")
+            raise LaterError("later", retry_after_s=2.0)
         if spec.id == "j-422":
             raise NeverError("too large")
-        return spec.id == "j-201", messages.job_status_message(spec.id, "queued")
+        return spec.id == "j-201", messages.job_status_message(spec.id, JobPhase.QUEUED)
 
     async def status(self, job):
         if job == "j-500":
             raise RuntimeError("a defect")
-        return None if job == "j-404" else messages.job_status_message(job, "running", 1, 2)
+        return None if job == "j-404" else messages.job_status_message(job, JobPhase.RUNNING, 1, 2)
 
     async def cancel(self, job):
-        return messages.job_status_message(job, "cancelled")
+        return messages.job_status_message(job, JobPhase.CANCELLED)
 
 
 def exchange(data: bytes, keep: Callable[[str], bool] = lambda _: True) -> tuple[int, dict[str, str], bytes]:
-    public = PublicResources(
-        Service(), lambda _: Answer(421, {"steward": "node-1"}), lambda: True, TemporarilyUnavailableError, NeverError
-    )
+    public = PublicResources(Service(), lambda _: Answer(421, {"steward": "node-1"}), lambda: True)
     site = make_site(Router(public.match, messages.encode, messages.decode, "application/cbor", keep), 60.0)
     channel = site.buildProtocol(None)
     transport = StringTransport()
@@ -476,5 +477,5 @@
     world.cloud.machines.pop(machine.name).die()
     world.run(20)
     assert machine.name in term.fleet.released_machines
-    assert term.on_heartbeat(late)["orders"] == []
+    assert term.on_heartbeat(late).commands == []
     assert machine.name not in term.machines
