--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -9,48 +9,94 @@
 from stileloft import __version__
 
 USAGE_ERROR = 2
+"""The exit code when a file, an argument or a request can't be carried out as it stands."""
+FAILURE = 1
 ADMIN_TIMEOUT_S = 10
+REQUEST_REFUSED = (400, 404)
+"""HTTP statuses that tell of a request that can't be carried out as it stands."""
 
 
-def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="stileloft", description="A cluster scheduler.")
-    top.add_argument("--version", action="version", version=f"stileloft {__version__}")
-    top.add_argument("--features", metavar="FILE", help="which features are on (TOML); all are off without it")
-    top.add_argument("--config", metavar="FILE", help="the same as `serve --config FILE`")
-    commands = top.add_subparsers(dest="command", metavar="COMMAND")
-    serve_command = commands.add_parser("serve", help="run a controller")
-    serve_command.add_argument("--config", metavar="FILE", required=True, dest="serve_config", help="settings (TOML)")
+class UsageError(Exception):
+    """An argument that can't be used; `reason` names it."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+def main(arguments: list[str] | None = None) -> int:
+    """Runs a command, and returns the process's exit code."""
+    parser = _build_parser()
+    options = parser.parse_args(arguments)
+    if options.command == "check-config":
+        return _check_config(options.file, options.features)
+    if options.command == "settings":
+        return _administer(options.node, lambda: _change_settings(options.node, getattr(options, "changes", None)))
+    if options.command == "rebuild":
+        return _administer(options.node, lambda: _administer_rebuild(options))
+    path = options.serve_config if options.command == "serve" else options.config
+    if not path:
+        parser.error("a command or --config FILE is needed")
+    return _serve(path, options.features)
+
+
+# -- arguments -----------------------------------------------------------------
+
+
+def _build_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(prog="stileloft", description="A cluster scheduler.")
+    parser.add_argument("--version", action="version", version=f"stileloft {__version__}")
+    parser.add_argument("--features", metavar="FILE", help="which features are on (TOML); all are off without it")
+    parser.add_argument("--config", metavar="FILE", help="the same as `serve --config FILE`")
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND")
+    serve = commands.add_parser("serve", help="run a controller")
+    serve.add_argument("--config", metavar="FILE", required=True, dest="serve_config", help="settings (TOML)")
     check = commands.add_parser("check-config", help="check a settings file and exit")
     check.add_argument("file", metavar="FILE")
     settings = commands.add_parser("settings", help="read or change the operators' settings of a running service")
-    settings.add_argument("--node", metavar="ADDRESS", required=True, help="a controller's peer address, host:port")
-    actions = settings.add_subparsers(dest="action", metavar="ACTION", required=True)
+    rebuild = commands.add_parser("rebuild", help="the rebuild of lost state, and what it left undecided")
+    _add_settings_arguments(settings)
+    _add_rebuild_arguments(rebuild)
+    return parser
+
+
+def _add_settings_arguments(parser: argparse.ArgumentParser) -> None:
+    _add_node_argument(parser)
+    actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
     actions.add_parser("show", help="print the settings")
     change = actions.add_parser("set", help="change some of them, on all nodes")
     change.add_argument("changes", metavar="NAME=VALUE", nargs="+", help="the value as JSON, such as headroom=1.5")
-    rebuild = commands.add_parser("rebuild", help="the rebuild of lost state, and what it left undecided")
-    rebuild.add_argument("--node", metavar="ADDRESS", required=True, help="a controller's peer address, host:port")
-    steps = rebuild.add_subparsers(dest="action", metavar="ACTION", required=True)
-    steps.add_parser("show", help="print whether the store is sound, how far a rebuild is, and what is undecided")
-    decide = steps.add_parser("decide", help="decide what is undecided of a job")
+
+
+def _add_rebuild_arguments(parser: argparse.ArgumentParser) -> None:
+    _add_node_argument(parser)
+    actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
+    actions.add_parser("show", help="print whether the store is sound, how far a rebuild is, and what is undecided")
+    decide = actions.add_parser("decide", help="decide what is undecided of a job")
     decide.add_argument("job", metavar="JOB")
     decide.add_argument("decision", choices=["run", "done", "forget"])
     decide.add_argument("--task", type=int, metavar="NUMBER", help="this task only; else all that are undecided")
-    return top
 
 
-def serve(path: str, features_path: str | None) -> int:
+def _add_node_argument(parser: argparse.ArgumentParser) -> None:
+    parser.add_argument("--node", metavar="ADDRESS", required=True, help="a controller's peer address, host:port")
+
+
+# -- running a controller -----------------------------------------------------------
+
+
+def _serve(path: str, features_path: str | None) -> int:
     # Imported here, since the other commands have no use for the network.
     from stileloft import features, logs, settings
 
     try:
         loaded = settings.load(path)
     except settings.SettingsError as error:
-        return refuse(path, error)
+        return _refuse_file(path, error)
     try:
         enabled = features.Features() if features_path is None else features.load(features_path)
     except features.FeaturesError as error:
-        return refuse(str(features_path), error)
+        return _refuse_file(str(features_path), error)
     logs.configure()
     from twisted.internet import error as net_error
     from twisted.internet import reactor as installed
@@ -60,66 +106,72 @@
 
     raise_open_files_limit(loaded.deployment.quota.max_sockets)
     reactor: Any = installed
-    node = Controller(reactor, loaded, features=enabled)
+    controller = Controller(reactor, loaded, features=enabled)
     try:
-        node.start()
+        controller.start()
     except net_error.CannotListenError as error:
-        return cannot_start(error)
+        return _fail_to_start(error)
     reactor.run()
     return 0
 
 
-def cannot_start(error: Exception) -> int:
+def _fail_to_start(error: Exception) -> int:
     """Logs why the controller cannot run; its text says all that an operator needs, so no trace is printed."""
     logging.getLogger(__name__).error("%s", error)
-    return 1
+    return FAILURE
 
 
-def refuse(path: str, error: Exception) -> int:
+def _refuse_file(path: str, error: Exception) -> int:
     print(f"stileloft: {path}: {error}", file=sys.stderr)
     return USAGE_ERROR
 
 
-def check_config(path: str, features_path: str | None) -> int:
+def _check_config(path: str, features_path: str | None) -> int:
     from stileloft import features, settings
 
     try:
         settings.load(path)
     except settings.SettingsError as error:
-        return refuse(path, error)
+        return _refuse_file(path, error)
     if features_path is not None:
         try:
             features.load(features_path)
         except features.FeaturesError as error:
-            return refuse(features_path, error)
+            return _refuse_file(features_path, error)
         print(f"{features_path}: the features are valid")
     print(f"{path}: the settings are valid")
     return 0
 
 
-class UsageError(Exception):
-    """A call that can't be carried out as it stands."""
+# -- the administration API ------------------------------------------------------------
 
 
-def ask(node: str, path: str, body: Any = None) -> Any:
-    """What a controller's administration API answers."""
-    import urllib.request
+def _administer(node: str, request: Callable[[], Any]) -> int:
+    """Prints what a controller answers to a request, and returns the exit code."""
+    import urllib.error
 
     import orjson
 
-    request = urllib.request.Request(f"http://{node}{path}")
-    if body is not None:
-        headers = {"Content-Type": "application/json"}
-        request = urllib.request.Request(f"http://{node}{path}", orjson.dumps(body), headers, method="PUT")
-    with urllib.request.urlopen(request, timeout=ADMIN_TIMEOUT_S) as response:
-        return orjson.loads(response.read())
+    try:
+        answer = request()
+    except UsageError as error:
+        print(f"stileloft: {error}", file=sys.stderr)
+        return USAGE_ERROR
+    except urllib.error.HTTPError as error:
+        print(f"stileloft: {node}: {error.code}: {error.read().decode('utf-8', 'replace')}", file=sys.stderr)
+        return USAGE_ERROR if error.code in REQUEST_REFUSED else FAILURE
+    except (OSError, ValueError) as error:
+        print(f"stileloft: {node}: {error}", file=sys.stderr)
+        return FAILURE
+    print(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
+    return 0
 
 
-def change_settings(node: str, changes: list[str] | None) -> Any:
+def _change_settings(node: str, changes: list[str] | None) -> Any:
     """The settings, after the changes if there are any."""
     import orjson
 
-    current = ask(node, "/settings")
+    current = _request_admin(node, "/settings")
     for change in changes or ():
         name, equals, text = change.partition("=")
         if not equals:
@@ -128,48 +180,26 @@
             current["settings"][name] = orjson.loads(text)
         except orjson.JSONDecodeError:
             raise UsageError(f"{name}: {text!r} is not a JSON value") from None
-    return ask(node, "/settings", current) if changes else current
+    return _request_admin(node, "/settings", current) if changes else current
 
 
-def rebuild(options: argparse.Namespace) -> Any:
+def _administer_rebuild(options: argparse.Namespace) -> Any:
     """The state of a rebuild, or what is left undecided of a job after a decision."""
     if options.action == "show":
-        return ask(options.node, "/rebuild")
+        return _request_admin(options.node, "/rebuild")
     path = f"/rebuild/undecided/{options.job}"
-    return ask(options.node, path, {"task": options.task, "decision": options.decision})
+    return _request_admin(options.node, path, {"task": options.task, "decision": options.decision})
 
 
-def administer(node: str, carry_out: Callable[[], Any]) -> int:
-    """Prints what a controller answers."""
-    import urllib.error
+def _request_admin(node: str, path: str, body: Any = None) -> Any:
+    """What a controller's administration API answers; a body is sent with PUT."""
+    import urllib.request
 
     import orjson
 
-    try:
-        answer = carry_out()
-    except UsageError as error:
-        print(f"stileloft: {error}", file=sys.stderr)
-        return USAGE_ERROR
-    except urllib.error.HTTPError as error:
-        print(f"stileloft: {node}: {error.code}: {error.read().decode('utf-8', 'replace')}", file=sys.stderr)
-        return USAGE_ERROR if error.code in (400, 404) else 1
-    except (OSError, ValueError) as error:
-        print(f"stileloft: {node}: {error}", file=sys.stderr)
-        return 1
-    print(orjson.dumps(answer, option=orjson.OPT_INDENT_2).decode())
-    return 0
-
-
-def main(arguments: list[str] | None = None) -> int:
-    top = parser()
-    options = top.parse_args(arguments)
-    if options.command == "check-config":
-        return check_config(options.file, options.features)
-    if options.command == "settings":
-        return administer(options.node, lambda: change_settings(options.node, getattr(options, "changes", None)))
-    if options.command == "rebuild":
-        return administer(options.node, lambda: rebuild(options))
-    path = options.serve_config if options.command == "serve" else options.config
-    if not path:
-        top.error("a command or --config FILE is needed")
-    return serve(path, options.features)
+    request = urllib.request.Request(f"http://{node}{path}")
+    if body is not None:
+        headers = {"Content-Type": "application/json"}
+        request = urllib.request.Request(f"http://{node}{path}", orjson.dumps(body), headers, method="PUT")
+    with urllib.request.urlopen(request, timeout=ADMIN_TIMEOUT_S) as response:
+        return orjson.loads(response.read())
--- a/stileloft/features.py
+++ b/stileloft/features.py
@@ -1,14 +1,14 @@
 """Which features are on: a checked file of its own, beside the settings that the platform hands over."""
 
-import tomllib
 from typing import Annotated
 
-import msgspec
 from msgspec import Meta, Struct
 
+from stileloft.config_file import ConfigError, parse_as, read_text
 
-class FeaturesError(Exception):
-    """A features file that cannot be used; the text names the field."""
+
+class FeaturesError(ConfigError):
+    """A features file that cannot be used."""
 
 
 class RebuildFeature(Struct, frozen=True, forbid_unknown_fields=True):
@@ -32,19 +32,10 @@
 
 
 def parse(text: str) -> Features:
-    """Checked features from the file's text."""
-    try:
-        return msgspec.convert(tomllib.loads(text), Features)
-    except tomllib.TOMLDecodeError as error:
-        raise FeaturesError(f"not TOML: {error}") from None
-    except msgspec.ValidationError as error:
-        raise FeaturesError(str(error).replace("$.", "")) from None
+    """Checked features from the file's text; raises `FeaturesError`."""
+    return parse_as(Features, text, FeaturesError)
 
 
 def load(path: str) -> Features:
-    """Checked features from a file."""
-    try:
-        with open(path, encoding="utf-8") as file:
-            return parse(file.read())
-    except (OSError, UnicodeDecodeError) as error:
-        raise FeaturesError(f"cannot be read: {error}") from None
+    """Checked features from a file; raises `FeaturesError`."""
+    return parse(read_text(path, FeaturesError))
--- a/stileloft/logs.py
+++ b/stileloft/logs.py
@@ -4,11 +4,13 @@
 import os
 import sys
 
+LEVEL_VARIABLE = "LOG_LEVEL"
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def configure() -> None:
-    level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
+    """Sets up the root logger; a level that is not known counts as `info`."""
+    level = LEVELS.get(os.environ.get(LEVEL_VARIABLE, "info").lower(), logging.INFO)
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(logging.Formatter("%(levelname)s %(name)s: %(message)s"))
     root = logging.getLogger()
