--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,34 +1,55 @@
 """What happens in a soak run: drawn from a seed, or read from a file, and checked."""
 
 import random
+from enum import StrEnum
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
 import msgspec
 from msgspec import Meta, Struct
 
-Kind = Literal[
-    "kill",
-    "kill_leader",
-    "leaders_in_series",
-    "pause",
-    "pause_leader",
-    "cut",
-    "refuse_leader",
-    "store_out",
-    "store_slow",
-    "writes_lost",
-    "cloud_out",
-    "hold_commands",
-    "hold_reports",
-    "copies",
-    "hang",
-    "deaf",
-    "mute",
-    "spot_wave",
-    "cancel_running",
-    "cancel_fresh",
-]
+
+class Kind(StrEnum):
+    """The kinds of troubles.
+
+    Each has its weight among the troubles that are drawn to meet a cancellation; 0 for those that are drawn otherwise.
+    Those that end or change leaders, and cuts, come more often.
+    """
+
+    weight: int
+
+    def __new__(cls, value: str, weight: int) -> "Kind":
+        kind = str.__new__(cls, value)
+        kind._value_ = value
+        kind.weight = weight
+        return kind
+
+    KILL = "kill", 1
+    KILL_LEADER = "kill_leader", 2
+    LEADERS_IN_SERIES = "leaders_in_series", 1
+    PAUSE = "pause", 1
+    PAUSE_LEADER = "pause_leader", 1
+    CUT = "cut", 3
+    REFUSE_LEADER = "refuse_leader", 1
+    STORE_OUT = "store_out", 1
+    STORE_SLOW = "store_slow", 1
+    WRITES_LOST = "writes_lost", 1
+    CLOUD_OUT = "cloud_out", 1
+    HOLD_COMMANDS = "hold_commands", 0
+    HOLD_REPORTS = "hold_reports", 1
+    COPIES = "copies", 0
+    HANG = "hang", 1
+    DEAF = "deaf", 1
+    MUTE = "mute", 1
+    SPOT_WAVE = "spot_wave", 1
+    CANCEL_RUNNING = "cancel_running", 0
+    CANCEL_FRESH = "cancel_fresh", 0
+
+
+WEIGHTED_KINDS = tuple(kind for kind in Kind for _ in range(kind.weight))
+KINDS_WITH_COUNT = (Kind.CANCEL_FRESH, Kind.CANCEL_RUNNING, Kind.LEADERS_IN_SERIES)
+KINDS_OF_ONE_CONTROLLER = (Kind.KILL, Kind.PAUSE)
+
 Seconds = Annotated[float, Meta(ge=0.0, le=600.0)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
@@ -99,13 +120,15 @@
     for _ in range(MEETINGS):
         at_s = rng.uniform(4.0, BEGIN_PART * troubles_s)
         found.append(
-            Trouble(rng.choice(["cancel_fresh", "cancel_fresh", "cancel_running"]), at_s, count=rng.randint(4, 10))
+            Trouble(
+                rng.choice([Kind.CANCEL_FRESH, Kind.CANCEL_FRESH, Kind.CANCEL_RUNNING]), at_s, count=rng.randint(4, 10)
+            )
         )
         held = [rng.uniform(*HELD_PARTS) * cancel_s for _ in range(2)]
         verb = rng.choice([None, None, "launch", "launch", "stop", "forget"])
         found.append(
             Trouble(
-                "hold_commands",
+                Kind.HOLD_COMMANDS,
                 max(0.0, at_s - rng.uniform(0.0, MEETING_S)),
                 rng.uniform(2.0, 8.0),
                 share=rng.choice([1.0, 0.6, 0.3]),
@@ -118,55 +141,31 @@
         met_at = [max(0.0, at_s + rng.uniform(-MEETING_S, MEETING_S)) for _ in range(rng.randint(1, 2))]
         found += [_draw_trouble(rng, moment, cancel_s) for moment in met_at]
     if rng.random() < 0.5:
-        found.append(Trouble("copies", 0.0, troubles_s, share=0.05, least_s=0.5, most_s=1.5 * cancel_s))
+        found.append(Trouble(Kind.COPIES, 0.0, troubles_s, share=0.05, least_s=0.5, most_s=1.5 * cancel_s))
     machines = MANY_MACHINES if rng.random() < MANY_PART else SMALL_MACHINES
     found.sort(key=lambda trouble: trouble.at_s)
     return Plan(seed, found, troubles_s, machines=machines, rebuild=rng.random() < REBUILD_PART)
 
 
-# Those that end or change leaders, and cuts, come more often.
-MET: tuple[Kind, ...] = (
-    "kill",
-    "kill_leader",
-    "kill_leader",
-    "leaders_in_series",
-    "pause",
-    "pause_leader",
-    "cut",
-    "cut",
-    "cut",
-    "refuse_leader",
-    "store_out",
-    "store_slow",
-    "writes_lost",
-    "cloud_out",
-    "hold_reports",
-    "hang",
-    "deaf",
-    "mute",
-    "spot_wave",
-)
-
-
 def _draw_trouble(rng: random.Random, at_s: float, cancel_s: float) -> Trouble:
     """A trouble that meets a cancellation; short, within a lease, or longer."""
-    kind = rng.choice(MET)
+    kind = rng.choice(WEIGHTED_KINDS)
     node = f"node-{rng.randrange(3)}"
     for_s = rng.choice([rng.uniform(0.3, 3.0), rng.uniform(3.0, 10.0), rng.uniform(10.0, 20.0)])
     held_s = rng.uniform(1.0, 2.0 * cancel_s)
-    particular: dict[str, dict[str, Any]] = {
-        "kill": {"for_s": min(for_s, 8.0), "target": node},
-        "pause": {"for_s": min(for_s, 8.0), "target": node},
-        "leaders_in_series": {"for_s": rng.uniform(0.5, 3.0), "count": rng.randint(2, 6)},
-        "hold_reports": {
+    particular: dict[Kind, dict[str, Any]] = {
+        Kind.KILL: {"for_s": min(for_s, 8.0), "target": node},
+        Kind.PAUSE: {"for_s": min(for_s, 8.0), "target": node},
+        Kind.LEADERS_IN_SERIES: {"for_s": rng.uniform(0.5, 3.0), "count": rng.randint(2, 6)},
+        Kind.HOLD_REPORTS: {
             "for_s": min(for_s, 8.0),
             "share": rng.uniform(0.1, 0.6),
             "least_s": 0.5,
             "most_s": held_s + 0.5,
         },
-        "store_slow": {"most_s": rng.uniform(0.2, 1.2)},
-        "writes_lost": {"for_s": min(for_s, 10.0), "share": rng.uniform(0.1, 0.5)},
-        "cut": _draw_cut(rng, node) | {"least_s": held_s / 4, "most_s": held_s},
+        Kind.STORE_SLOW: {"most_s": rng.uniform(0.2, 1.2)},
+        Kind.WRITES_LOST: {"for_s": min(for_s, 10.0), "share": rng.uniform(0.1, 0.5)},
+        Kind.CUT: _draw_cut(rng, node) | {"least_s": held_s / 4, "most_s": held_s},
     }
     usual: dict[str, Any] = {"for_s": for_s, "share": rng.choice([0.2, 0.5, 1.0])}
     return Trouble(kind, at_s, **(usual | particular.get(kind, {})))
@@ -204,9 +203,9 @@
             raise InvalidPlanError(f"plan: troubles[{number}].most_s is less than least_s")
         if trouble.at_s > plan.troubles_s:
             raise InvalidPlanError(f"plan: troubles[{number}].at_s is after troubles_s")
-        if trouble.kind in ("cancel_fresh", "cancel_running", "leaders_in_series") and trouble.count == 0:
+        if trouble.kind in KINDS_WITH_COUNT and trouble.count == 0:
             raise InvalidPlanError(f"plan: troubles[{number}].count must be 1 or more")
-        if trouble.kind in ("kill", "pause") and not trouble.target.startswith("node-"):
+        if trouble.kind in KINDS_OF_ONE_CONTROLLER and not trouble.target.startswith("node-"):
             raise InvalidPlanError(f"plan: troubles[{number}].target names no controller")
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -32,7 +32,7 @@
         file.write_text(plans.write(plan))
         assert plans.read(file) == plan
     kinds = {trouble.kind for plan in drawn for trouble in plan.troubles}
-    assert kinds == {*plans.MET, "cancel_fresh", "cancel_running", "hold_commands", "copies"}
+    assert kinds == set(plans.Kind)
     assert any(plan.machines for plan in drawn)
     assert any(plan.rebuild for plan in drawn)
 
