--- a/stileloft/machines/fleet.py
+++ b/stileloft/machines/fleet.py
@@ -10,7 +10,7 @@
 from stileloft.model import records
 from stileloft.model.machines import Machine
 from stileloft.protocol.cloud import PROVISION_LIMIT, RELEASE_LIMIT, CloudError, NoCapacityError
-from stileloft.protocol.messages import ListedMachine
+from stileloft.protocol.messages import ListedMachine, MachineState
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.scheduling.autoscaling import InstanceOffer, ScalingPlan
 
@@ -131,7 +131,7 @@
                 machine.address = machine.address or item.address
             if not machine.provisioned_at:
                 machine.provisioned_at = now - item.age_s - self.lag_s
-            if item.state == "failed":
+            if item.state == MachineState.FAILED:
                 self.release(machine, "it failed")
 
     # -- watching over machines ---------------------------------------------------
--- a/stileloft/protocol/messages.py
+++ b/stileloft/protocol/messages.py
@@ -268,6 +268,20 @@
     gpus: float = field(name="accelerators", default=0.0)
 
 
+class MachineState(StrEnum):
+    """What the cloud says of a machine."""
+
+    STARTING = "starting"
+    RUNNING = "running"
+    FAILED = "failed"
+    UNRECOGNIZED = "unrecognized"
+    """A state that this version does not know."""
+
+    @classmethod
+    def _missing_(cls, _value: object) -> "MachineState":
+        return cls.UNRECOGNIZED
+
+
 class ListedMachine(Struct, frozen=True):
     """A machine in the cloud's list."""
 
@@ -275,7 +289,6 @@
     address: str = field(name="endpoint")
     type: str = field(name="build")
     zone: str = field(name="yard")
-    state: str = field(name="phase")
-    """`starting`, `running` or `failed`."""
+    state: MachineState = field(name="phase")
     age_s: float = field(name="ageS", default=0.0)
     spot: bool = field(name="loaner", default=False)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 import cbor2
+import msgspec
 import pytest
 from twisted.internet import defer
 
@@ -12,6 +13,8 @@
 from stileloft.protocol.messages import (
     ExitReason,
     JobPhase,
+    ListedMachine,
+    MachineState,
     TaskState,
     encode,
     job_from_wire,
@@ -181,6 +184,20 @@
     assert job_status_message("j-1", phase) == {"nameId": "j-1", "phase": wire}
 
 
+@pytest.mark.parametrize(
+    ("wire", "state"),
+    [
+        ("starting", MachineState.STARTING),
+        ("running", MachineState.RUNNING),
+        ("failed", MachineState.FAILED),
+        ("of a later version", MachineState.UNRECOGNIZED),
+    ],
+)
+def test_states_of_machines(wire: str, state: MachineState) -> None:
+    listed = {"nameId": "n-1", "endpoint": "1:1", "build": "small", "yard": "a", "phase": wire}
+    assert msgspec.convert(listed, ListedMachine).state is state
+
+
 # -- errors --------------------------------------------------------------------------------------------------------
 
 
