--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -54,15 +54,15 @@
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 
 SMALL_MACHINES, MANY_MACHINES = 0, 200
-MANY_PART = 0.1
-REBUILD_PART = 0.25
-# Troubles begin within this part of a run's time for them; those that meet a cancellation, within so many seconds of
-# it.
-BEGIN_PART = 0.75
-MEETINGS = 2
-MEETING_S = 3.0
-# Commands are held from this to that, as parts of the time for a cancellation.
-HELD_PARTS = (0.05, 3.0)
+MANY_MACHINES_SHARE = 0.1
+REBUILD_SHARE = 0.25
+# Cancellations begin within this share of the time for troubles.
+LATEST_BEGIN_SHARE = 0.75
+CANCELLATIONS = 2
+# How far the troubles that meet a cancellation begin from it.
+MAX_OFFSET_S = 3.0
+# Commands are held for this to that, in multiples of the time that a cancellation may take.
+HOLD_RANGE = (0.05, 3.0)
 
 
 class InvalidPlanError(Exception):
@@ -117,19 +117,19 @@
     """
     rng = random.Random(f"soak {seed}")
     found: list[Trouble] = []
-    for _ in range(MEETINGS):
-        at_s = rng.uniform(4.0, BEGIN_PART * troubles_s)
+    for _ in range(CANCELLATIONS):
+        at_s = rng.uniform(4.0, LATEST_BEGIN_SHARE * troubles_s)
         found.append(
             Trouble(
                 rng.choice([Kind.CANCEL_FRESH, Kind.CANCEL_FRESH, Kind.CANCEL_RUNNING]), at_s, count=rng.randint(4, 10)
             )
         )
-        held = [rng.uniform(*HELD_PARTS) * cancel_s for _ in range(2)]
+        held = [rng.uniform(*HOLD_RANGE) * cancel_s for _ in range(2)]
         verb = rng.choice([None, None, "launch", "launch", "stop", "forget"])
         found.append(
             Trouble(
                 Kind.HOLD_COMMANDS,
-                max(0.0, at_s - rng.uniform(0.0, MEETING_S)),
+                max(0.0, at_s - rng.uniform(0.0, MAX_OFFSET_S)),
                 rng.uniform(2.0, 8.0),
                 share=rng.choice([1.0, 0.6, 0.3]),
                 mode=rng.choice(["hold", "hold", "hold", "hold_answer"]),
@@ -138,13 +138,13 @@
                 verb=verb,
             )
         )
-        met_at = [max(0.0, at_s + rng.uniform(-MEETING_S, MEETING_S)) for _ in range(rng.randint(1, 2))]
+        met_at = [max(0.0, at_s + rng.uniform(-MAX_OFFSET_S, MAX_OFFSET_S)) for _ in range(rng.randint(1, 2))]
         found += [_draw_trouble(rng, moment, cancel_s) for moment in met_at]
     if rng.random() < 0.5:
         found.append(Trouble(Kind.COPIES, 0.0, troubles_s, share=0.05, least_s=0.5, most_s=1.5 * cancel_s))
-    machines = MANY_MACHINES if rng.random() < MANY_PART else SMALL_MACHINES
+    machines = MANY_MACHINES if rng.random() < MANY_MACHINES_SHARE else SMALL_MACHINES
     found.sort(key=lambda trouble: trouble.at_s)
-    return Plan(seed, found, troubles_s, machines=machines, rebuild=rng.random() < REBUILD_PART)
+    return Plan(seed, found, troubles_s, machines=machines, rebuild=rng.random() < REBUILD_SHARE)
 
 
 def _draw_trouble(rng: random.Random, at_s: float, cancel_s: float) -> Trouble:
