--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -17,7 +17,7 @@
 from stileloft.controller.operator_settings import OperatorSettingsStore
 from stileloft.controller.state_service_check import StateServiceCheck
 from stileloft.features import Features
-from stileloft.jobs.admission import Admission, InfeasibleJobError, RetryLaterError
+from stileloft.jobs.admission import Admission
 from stileloft.leadership.election import Election
 from stileloft.leadership.fencing_tokens import FencingTokens
 from stileloft.leadership.invariants import InvariantMonitor
@@ -187,9 +187,7 @@
 
     def serve(self) -> None:
         """Listens on the public and on the peer address."""
-        public = PublicResources(
-            self.admission, self.handle_heartbeat, self.healthy, RetryLaterError, InfeasibleJobError
-        )
+        public = PublicResources(self.admission, self.handle_heartbeat, self.healthy)
         self._listen(
             self.settings.listen,
             Router(
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -14,7 +14,7 @@
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol.messages import EXITED
+from stileloft.protocol.messages import TaskState
 from stileloft.scheduling.workload import Workload
 from stileloft.settings import Workers
 from stileloft.store.flush_timer import FlushTimer
@@ -114,7 +114,7 @@
         machine.scheduling_view = None
         if machine.placements.get(placement.key) is placement:
             del machine.placements[placement.key]
-        if placement.reported_state == EXITED:
+        if placement.reported_state == TaskState.EXITED:
             self._forgets.schedule(machine, placement.task, placement.attempt, placement.done)
         if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
             machine.idle_since = self._clock.seconds()
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -31,7 +31,8 @@
 from stileloft.model.machines import Machine
 from stileloft.protocol.admin import OperatorSettings
 from stileloft.protocol.cloud import CloudClient
-from stileloft.protocol.messages import Heartbeat, command_message
+from stileloft.protocol.commands import CommandMessage
+from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import StateClient
 from stileloft.protocol.workers import WorkerClient
@@ -417,12 +418,12 @@
         """Whether an answer of ours may renew a worker's lease."""
         return self.authority.check_renewal() is None
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
         """Takes in a worker's heartbeat, and answers it."""
         if heartbeat.machine in self.releaser.released:
             # Held back on its way: the cloud has told us that the machine is gone. Believing
             # it would bring the machine back to life here, and place tasks on nothing.
-            return command_message(self.tokens.first, [])
+            return CommandMessage(self.tokens.first, [])
         with self.cluster.lock:
             answer = self.dispatcher.on_heartbeat(heartbeat)
         self._after_heartbeat()
--- a/stileloft/machines/inventory.py
+++ b/stileloft/machines/inventory.py
@@ -8,7 +8,7 @@
 from stileloft.machines.scale_in import MachineReleaser
 from stileloft.model.cluster import ClusterState
 from stileloft.protocol.cloud import CloudClient, CloudError
-from stileloft.protocol.messages import ListedMachine
+from stileloft.protocol.messages import ListedMachine, MachineState
 from stileloft.transport.clock import Clock
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
@@ -90,5 +90,5 @@
                 machine.address = machine.address or item.address
             if not machine.provisioned_at:
                 machine.provisioned_at = now - item.age_s - self._list_lag_s
-            if item.state == "failed":
+            if item.state == MachineState.FAILED:
                 self._releaser.release(machine, "it failed")
--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -5,12 +5,11 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.protocol.messages import EXITED, Heartbeat, TaskStatus
+from stileloft.protocol.messages import ExitReason, Heartbeat, TaskState, TaskStatus
 from stileloft.rebuild.replica_merge import MergedReplica
 
 # Attempts are counted on from so much above the highest known one: some may have been made that nobody reports.
 ATTEMPT_MARGIN = 1000
-EXITED_DONE = "done"
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +43,11 @@
     def precedence(self) -> tuple[bool, bool, int]:
         """Of several attempts of a task, the one that counts has the highest: done, else not exited, else newest."""
         task = self.task
-        return task.state == EXITED and task.why == EXITED_DONE, task.state != EXITED, task.attempt
+        return (
+            task.state == TaskState.EXITED and task.exit_reason == ExitReason.DONE,
+            task.state != TaskState.EXITED,
+            task.attempt,
+        )
 
 
 def locate_tasks(heartbeats: Mapping[str, Heartbeat]) -> dict[str, dict[int, ReportedTask]]:
--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -1,7 +1,8 @@
 """Answers the workers' heartbeats during a rebuild, and keeps them as evidence."""
 
 from stileloft.model import records
-from stileloft.protocol.messages import Heartbeat, command_message, stop_command
+from stileloft.protocol.commands import Command, CommandMessage, StopCommand
+from stileloft.protocol.messages import Heartbeat
 from stileloft.rebuild.environment import RebuildEnvironment
 from stileloft.rebuild.job_outcomes import JobOutcomes
 from stileloft.rebuild.loss_detector import LossDetector
@@ -42,17 +43,17 @@
         if self.outcomes is None or not leadership.holds_lease():
             return retry_later(503, "lost records are being rebuilt", RETRY_AFTER_S)
         if self._is_late_copy(heartbeat):
-            return Answer(200, command_message(DROPPED_TOKEN, []))
+            return Answer(200, CommandMessage(DROPPED_TOKEN, []))
         if heartbeat.token == self._token:
             # Only a worker that has our token can't be told anything by a former leader any more.
             self.newest[heartbeat.machine] = heartbeat
-        return Answer(200, command_message(self._token, self._stop_commands(heartbeat, self.outcomes)))
+        return Answer(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
 
     def _is_late_copy(self, heartbeat: Heartbeat) -> bool:
         known = self.newest.get(heartbeat.machine)
         return known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence)
 
-    def _stop_commands(self, heartbeat: Heartbeat, outcomes: JobOutcomes) -> list[dict[str, object]]:
+    def _stop_commands(self, heartbeat: Heartbeat, outcomes: JobOutcomes) -> list[Command]:
         """Commands that stop the tasks of jobs that are over."""
         over = [task for task in heartbeat.tasks if outcomes.get(records.split_task(task.task)[0]) is not None]
-        return [stop_command(task.task, task.attempt, 0.0) for task in over]
+        return [StopCommand(task.task, task.attempt, 0.0) for task in over]
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -14,7 +14,7 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.model.placements import Placement
-from stileloft.protocol import messages
+from stileloft.protocol.commands import Command, CommandMessage, StartCommand
 from stileloft.protocol.messages import Heartbeat
 from stileloft.protocol.workers import NotDeliveredError, UncertainDeliveryError, WorkerClient
 from stileloft.store.integrity import StoreIntegrity
@@ -95,7 +95,7 @@
 
     # -- reports --------------------------------------------------------------
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> dict[str, Any]:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
         """Takes in a report that a worker sent, and answers it."""
         now = self._clock.seconds()
         machine = self._machines.get_or_create(heartbeat.machine)
@@ -104,7 +104,7 @@
         if (machine.epoch, machine.sequence) == (epoch, sequence):
             # A copy that comes late must show no sign of life. If it is the report itself, overtaken by the
             # answer to a command, its worker is to drop this answer: it must renew no lease that we don't count.
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         if machine.epoch != epoch:
             machine.last_reachable_at = float("-inf")  # its tasks were lost though we answered: ask whether it hears us
         elif claimed and now - before < UNANSWERED_S:
@@ -117,7 +117,7 @@
             self.send(machine)
         return answer
 
-    def _renewal(self, machine: Machine, now: float) -> dict[str, Any]:
+    def _renewal(self, machine: Machine, now: float) -> CommandMessage:
         """An answer that renews a worker's lease, or one that its worker drops if that would break the bound.
 
         A worker that does not know our token learns it with this answer. So it has to tell of all that is cancelled:
@@ -129,14 +129,14 @@
             self.metrics.withheld_renewals += 1
             log.info("the lease of %s is not renewed: its answer cannot bar and stop all that is cancelled", machine.id)
             self.send(machine)
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         commands = self._planner.stops(machine, MOST_IN_ANSWER, renewing=True)
-        told = {(command["piece"], command["try"]) for command in commands} if required else set()
+        told = {(command.task, command.attempt) for command in commands} if required else set()
         if not self.fencing.check_renewal(machine, told):
-            return messages.command_message(NO_TOKEN, [])
+            return CommandMessage(NO_TOKEN, [])
         machine.lease_renewed_at = now
         commands += self._planner.pending_forgets(machine, MOST_IN_ANSWER - len(commands))
-        return messages.command_message(machine.token, commands)
+        return CommandMessage(machine.token, commands)
 
     # -- commands ---------------------------------------------------------------
 
@@ -162,7 +162,7 @@
         if claim and self.claims >= self.most_claims:
             return
         commands += self._planner.pending_forgets(machine, MAX_COMMANDS - len(commands))
-        commands += [messages.start_command(p.task, p.attempt) for p in starts]
+        commands += [StartCommand(p.task, p.attempt) for p in starts]
         machine.command_in_flight = True
         epoch = machine.epoch or 1
         for placement in starts:
@@ -199,7 +199,7 @@
         return True
 
     async def _send(
-        self, machine: Machine, epoch: int, commands: list[dict[str, Any]], starts: list[Placement], claim: bool
+        self, machine: Machine, epoch: int, commands: list[Command], starts: list[Placement], claim: bool
     ) -> None:
         token = machine.token
         if starts and log.isEnabledFor(logging.DEBUG):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
+import msgspec
 import pytest
 
 from stileloft.controller.clients import STATE_TIMEOUT_S
@@ -11,6 +12,7 @@
 from stileloft.machines.worker_leases import WorkerLeases
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.protocol import messages
+from stileloft.protocol.commands import CommandMessage, StartCommand
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.settings import Workers
 from stileloft.transport.client import Reply
@@ -487,9 +489,8 @@
     term = world.nodes[world.leader()].leader
     (name,) = {m.name for m in world.rules.where.values()}
     placement = next(iter(term.cluster.machines[name].placements.values()))
-    start = messages.command_message(term.tokens.first, [messages.start_command(placement.task, placement.attempt)]) | {
-        "stint": 1
-    }
+    commands = [StartCommand(placement.task, placement.attempt)]
+    start = msgspec.to_builtins(CommandMessage(term.tokens.first, commands, epoch=1))
     term.cluster.machines[name].drain_reason = "a test"
     term.lifecycle.stop(placement, 0.0)
     world.run(30)
