--- a/stileloft/model/quota.py
+++ b/stileloft/model/quota.py
@@ -55,7 +55,10 @@
 
     def usage_of(self, team: str) -> QuotaUsage:
         """The team's usage, to be read or added to."""
-        return self.usage.setdefault(team, QuotaUsage())
+        found = self.usage.get(team)
+        if found is None:
+            found = self.usage[team] = QuotaUsage()
+        return found
 
     def within_limit(self, spec: JobSpec, count: int = 1) -> bool:
         """Whether `count` more tasks of a job keep its team within its limit."""
--- a/stileloft/scheduling/candidates.py
+++ b/stileloft/scheduling/candidates.py
@@ -1,26 +1,22 @@
 """The machines that have room for a job's tasks, the best first."""
 
 import heapq
-from collections.abc import Iterable, Sequence
-from typing import NamedTuple
+from collections.abc import Iterable
 
 from stileloft.model.nominations import Nomination
-from stileloft.model.resources import EPSILON
+from stileloft.model.resources import EPSILON, requested
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
 from stileloft.scheduling.machine_scoring import placement_cost
 from stileloft.scheduling.machine_view import MachineView
-from stileloft.scheduling.preemption import fits_beside_nominations
+from stileloft.scheduling.preemption import room_needed
 from stileloft.scheduling.scheduling_cycle import SchedulingCycle
 from stileloft.scheduling.snapshot import PendingJob
 
+ScoredMachine = tuple[float, str, int]
+"""An entry of the heap: cost, machine, and which time the machine was scored.
 
-class ScoredMachine(NamedTuple):
-    """An entry of the heap."""
-
-    cost: float
-    machine_id: str
-    version: int
-    """The entry is out of date if the machine was scored again since."""
+A plain tuple, of which the interpreter reuses the memory: a cycle makes one for each machine and job.
+"""
 
 
 class Candidates:
@@ -33,6 +29,7 @@
         self._job = job
         self._cycle = cycle
         self._machines = cycle.snapshot.machines
+        self._requested = requested(job.spec)
         self._heap: list[ScoredMachine] = []
         self._versions: dict[str, int] = {}
         for machine in cycle.open_machine_views() if among is None else among:
@@ -49,24 +46,25 @@
             or not machine_allowed(spec, machine)
         ):
             return
-        nominated: Sequence[Nomination] = cycle.nominations_by_machine.get(machine.id, ())
+        needed = self._requested
+        nominated = cycle.nominations_by_machine.get(machine.id)
         if nominated:
-            nominated = nominations_to_respect(job, nominated)
-        if not fits_beside_nominations(spec, machine, nominated):
+            needed = room_needed(spec, nominations_to_respect(job, nominated))
+        if not machine.has_room(needed):
             return
         reservation = cycle.snapshot.reservations.get(machine.id)
         if reservation is not None and not reservation.admits(spec, job.estimate_s, job.starving):
             return
         cost = placement_cost(spec, machine, cycle.sizes, job.start_objective_s)
-        self._heap.append(ScoredMachine(cost, machine.id, version))
+        self._heap.append((cost, machine.id, version))
 
     def best(self) -> MachineView | None:
         """The machine of least cost that has room, if there is one."""
         while self._heap:
-            entry = self._heap[0]
-            machine = self._machines[entry.machine_id]
+            _, machine_id, version = self._heap[0]
+            machine = self._machines[machine_id]
             # A zone that is full for the job stays so in this cycle.
-            if entry.version == self._versions.get(machine.id, 0) and zone_allowed(
+            if version == self._versions.get(machine_id, 0) and zone_allowed(
                 self._job.spec, self._job.placed_by_zone, machine.zone
             ):
                 return machine
--- a/stileloft/scheduling/gang_reservations.py
+++ b/stileloft/scheduling/gang_reservations.py
@@ -21,7 +21,7 @@
 
 def reserve_gang_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps the room that a gang will have first, so that small tasks don't fill each hole before it can begin."""
-    candidates = [machine for machine in snapshot.machines.values() if may_reserve(job, machine, snapshot)]
+    candidates = [machine for machine in snapshot.schedulable_machines() if may_reserve(job, machine, snapshot)]
     best: tuple[float, str] | None = None
     chosen: list[FutureSlot] = []
     for zone, machines in machines_by_zone(job.spec, candidates).items():
@@ -73,10 +73,9 @@
 
 def _machines_for_expected(spec: JobSpec, count: int, snapshot: Snapshot, taken: Counter[str]) -> list[str]:
     """A machine for each task that there is room for, in the zone that has room for most of them."""
-    schedulable = (machine for machine in snapshot.machines.values() if machine.schedulable)
     slots_by_zone = {
         zone: [(free_slots(spec, machine) - taken[machine.id], machine) for machine in machines]
-        for zone, machines in machines_by_zone(spec, schedulable).items()
+        for zone, machines in machines_by_zone(spec, snapshot.schedulable_machines()).items()
     }
     if not slots_by_zone:
         return []
--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -148,6 +148,7 @@
 
     def has_room(self, needed: Resources) -> bool:
         """Whether so much is free."""
+        # Written out, as it is asked for each machine and job.
         return (
             needed.cpus <= self.free_cpus + EPSILON
             and needed.gpus <= self.free_gpus + EPSILON
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -16,7 +16,7 @@
 from stileloft.scheduling.snapshot import ExpectedTasks, Snapshot
 
 # Machines provisioned by one plan: at least so many, or this share of the fleet or of what the waiting tasks would
-# fill. An empty fleet would else take half a minute to grow to some hundreds.
+# fill, so that an empty fleet grows to some hundreds quickly.
 MIN_PROVISION_LIMIT = 8
 PROVISION_SHARE = 0.25
 PLANNED_PREFIX = "new-"
--- a/stileloft/scheduling/queue_order.py
+++ b/stileloft/scheduling/queue_order.py
@@ -20,7 +20,7 @@
 def latest_start(job: PendingJob, snapshot: Snapshot) -> float:
     """When the job is to begin at the latest; without a deadline, when its share of the machines would be done.
 
-    Else one array of tens of thousands of tasks would go before all small jobs that come while it is served.
+    Otherwise one array of tens of thousands of tasks would go before all small jobs that come while it is served.
     """
     if job.spec.deadline_s is None:
         return job.submitted_at + max(job.estimate_s, standalone_run_time_s(job, snapshot))
@@ -42,8 +42,8 @@
 def promote_aged_jobs(snapshot: Snapshot) -> None:
     """Priority aging: each old job begins with a task; then the oldest go on, within the share for such work.
 
-    What is beyond that share is served in the ordinary order: else an old job of thousands of tasks would be held to
-    it while machines stand empty.
+    What is beyond that share is served in the ordinary order, so that an old job of thousands of tasks is not
+    limited to it while machines stand empty.
     """
     room = _cpus_for_aged_jobs(snapshot)
     aged = [job for job in snapshot.pending_jobs if job.aged]
@@ -59,7 +59,7 @@
 
 def _cpus_for_aged_jobs(snapshot: Snapshot) -> float:
     """Processors that promoted jobs may still take beside what runs of such jobs."""
-    machines = [machine for machine in snapshot.machines.values() if machine.schedulable]
+    machines = snapshot.schedulable_machines()
     allowed = AGED_CPU_SHARE * sum(machine.type.cpus for machine in machines)
     return allowed - sum(
         task.cpus for machine in machines for task in machine.tasks if task.rank == PREEMPTION_EXEMPT_RANK
--- a/stileloft/scheduling/reservations.py
+++ b/stileloft/scheduling/reservations.py
@@ -10,8 +10,8 @@
 
 
 def may_reserve(job: PendingJob, machine: MachineView, snapshot: Snapshot) -> bool:
-    """Whether room may be kept for the job on a machine, whatever runs there now."""
-    return machine.schedulable and machine.id not in snapshot.reservations and machine.id not in job.excluded_machines
+    """Whether room may be kept for the job on a schedulable machine, whatever runs there now."""
+    return machine.id not in snapshot.reservations and machine.id not in job.excluded_machines
 
 
 def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
@@ -20,7 +20,7 @@
         return
     spec = job.spec
     best: tuple[float, str] | None = None
-    for machine in snapshot.machines.values():
+    for machine in snapshot.schedulable_machines():
         if (
             spec.cpus > machine.type.cpus
             or not may_reserve(job, machine, snapshot)
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -78,7 +78,7 @@
         self.reclaimable = ReclaimableRoomIndex(snapshot.machines)
         self.teams_saving_quota: set[str] = set()
         """Teams at their limit, of which a promoted job is to have what becomes free."""
-        self._open_machines = [machine.id for machine in snapshot.machines.values() if machine.schedulable]
+        self._open_machines = [machine.id for machine in snapshot.schedulable_machines()]
         """Machines on which something may have room."""
         self._least_request = LeastRequest(
             min((spec.cpus for spec in specs), default=0.0), min((spec.memory_gb for spec in specs), default=0.0)
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -105,6 +105,7 @@
     copied: set[str] = field(default_factory=set)
     """Machines that this cycle has a copy of."""
     _total_cpus: float | None = None
+    _schedulable_ids: list[str] | None = None
 
     @property
     def quotas(self) -> TeamQuotas:
@@ -117,6 +118,12 @@
             self._total_cpus = sum(machine.type.cpus for machine in self.machines.values())
         return self._total_cpus
 
+    def schedulable_machines(self) -> list[MachineView]:
+        """The machines that are up and take tasks, which stay the same ones during the cycle."""
+        if self._schedulable_ids is None:
+            self._schedulable_ids = [machine.id for machine in self.machines.values() if machine.schedulable]
+        return [self.machines[machine_id] for machine_id in self._schedulable_ids]
+
     def writable(self, machine_id: str) -> MachineView:
         """The machine's copy that may be changed."""
         machine = self.machines[machine_id]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -38,7 +38,7 @@
     return JobSpec(id=f"j-{number}", job_class="batch", team=team, kind=kind, priority=priority, cpus=cpus, **fields)
 
 
-def machine(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
+def make_machine(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
     made = MachineView(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
     made.recompute_free()
     return made
@@ -108,14 +108,14 @@
                     remaining_s=5.0,
                 )
             )
-        machines.append(machine(f"n-{number}", kind, tasks))
+        machines.append(make_machine(f"n-{number}", kind, tasks))
     return machines
 
 
 def used(machines: list[MachineView]) -> dict[str, QuotaUsage]:
     usage = {name: QuotaUsage() for name in TEAMS}
-    for one in machines:
-        for task in one.tasks:
+    for machine in machines:
+        for task in machine.tasks:
             usage[task.team].cpus += task.cpus
     return usage
 
@@ -169,10 +169,10 @@
 @st.composite
 def snapshots(draw: st.DrawFn) -> Snapshot:
     machines = draw(fleets())
-    for one in machines:
-        one.zone = draw(st.sampled_from(["a", "b"]))
-        one.spot = draw(st.booleans())
-        one.ready = draw(st.integers(0, 4)) > 0
+    for machine in machines:
+        machine.zone = draw(st.sampled_from(["a", "b"]))
+        machine.spot = draw(st.booleans())
+        machine.ready = draw(st.integers(0, 4)) > 0
     waiting = []
     for number in range(draw(st.integers(0, 5))):
         tasks = draw(st.integers(1, 5))
@@ -206,8 +206,8 @@
     taken = {name: entry[3] for name, entry in before.items()}
     assert len({key for key, _ in decision.placed}) == len(decision.placed)
     for (job_id, _), name in decision.placed:
-        job, (kind, zone, ready, _, one) = jobs[job_id], before[name]
-        assert ready and machine_allowed(job, one)
+        job, (kind, zone, ready, _, machine) = jobs[job_id], before[name]
+        assert ready and machine_allowed(job, machine)
         taken[name] += job.cpus
         usage[job.team] += job.cpus
         assert taken[name] <= kind.cpus
@@ -228,9 +228,9 @@
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
 def test_decisions_are_those_of_the_plain_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
     """Whole rounds, with room held, nominations of earlier rounds, images and tasks that leave."""
-    for one in snapshot.machines.values():
-        one.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
-        one.mark_stopping([task for task in one.tasks if random.random() < 0.2])
+    for machine in snapshot.machines.values():
+        machine.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
+        machine.mark_stopping([task for task in machine.tasks if random.random() < 0.2])
     for job in snapshot.pending_jobs:
         job.start_objective_s = random.choice([None, 2.0])
         job.aged, job.started = random.random() < 0.3, random.random() < 0.5
@@ -244,13 +244,13 @@
         for i, priority in enumerate(random.sample(["idle", "standard", "urgent"], 2))
     ]
     expected = plain.decide(copy.deepcopy(snapshot), 6, max_preemptions)
-    before = {name: (one, one.free_cpus, list(one.tasks)) for name, one in snapshot.machines.items()}
+    before = {name: (machine, machine.free_cpus, list(machine.tasks)) for name, machine in snapshot.machines.items()}
     decision = decide(snapshot, 6, max_preemptions)
     assert decision.placed == expected[0]
     assert [(key, e.machine_id, sorted(v.key for v in e.victims)) for key, e in decision.preemptions] == expected[1]
     assert {job.spec.id: left for job, left in decision.unmet} == expected[2]
     # The machines as they were handed in serve other rounds too.
-    assert all(one.free_cpus == cpus and one.tasks == tasks for one, cpus, tasks in before.values())
+    assert all(machine.free_cpus == cpus and machine.tasks == tasks for machine, cpus, tasks in before.values())
 
 
 def crowd(draw: random.Random) -> Snapshot:
@@ -272,17 +272,17 @@
     left = {job.id: float(draw.randint(1, 40)) for job in running}
     machines, serial = [], itertools.count()
     for number in range(draw.randint(3, 6)):
-        one = machine(
+        machine = make_machine(
             f"n-{number}",
             draw.choice([SMALL, LARGE]),
             [],
             images=frozenset(draw.sample(["img", "img-2"], draw.randint(0, 2))),
         )
-        one.zone, one.spot = draw.choice("ab"), draw.random() < 0.3
-        one.ready = draw.random() < 0.9
+        machine.zone, machine.spot = draw.choice("ab"), draw.random() < 0.3
+        machine.ready = draw.random() < 0.9
         for job in draw.choices(running, k=draw.randint(0, 6)):
-            if job.cpus <= one.free_cpus:
-                one.add_task(
+            if job.cpus <= machine.free_cpus:
+                machine.add_task(
                     RunningTask(
                         (job.id, next(serial)),
                         job,
@@ -299,7 +299,7 @@
                         recently_started=left[job.id] < 15,
                     )
                 )
-        machines.append(one)
+        machines.append(machine)
     waits = []
     for number in range(draw.randint(2, 5)):
         kind, tasks = draw.choice(["array", "gang", "gang"]), draw.randint(2, 6)
@@ -381,18 +381,18 @@
 
 def test_nominated_room_is_not_given_away() -> None:
     busy = RunningTask(("j-9", 0), spec(9, 8.0), "core", 1, 8.0, 0.0, 1.0, remaining_s=100.0)
-    one = machine("n-0", SMALL, [busy])
+    machine = make_machine("n-0", SMALL, [busy])
     urgent, other = spec(1, 6.0, "urgent", tasks=1), spec(2, 4.0, tasks=1)
 
     def snapshot(nominations: dict) -> Snapshot:
         waiting = [PendingJob(urgent, 0.0, 1, [0], {}, 10.0), PendingJob(other, 0.0, 1, [0], {}, 10.0)]
-        return Snapshot(0.0, {"n-0": one}, waiting, TEAMS, used([one]), nominations, {"small": SMALL})
+        return Snapshot(0.0, {"n-0": machine}, waiting, TEAMS, used([machine]), nominations, {"small": SMALL})
 
     first = decide(snapshot({}), 10, 8)
     assert [(key, e.machine_id, [v.key for v in e.victims]) for key, e in first.preemptions] == [
         (("j-1", 0), "n-0", [("j-9", 0)])
     ]
-    one.remove_task(busy)
+    machine.remove_task(busy)
     nomination = Nomination(("j-1", 0), "n-0", 2, urgent, 10.0)
     waiting_urgent_last = snapshot({("j-1", 0): nomination})
     waiting_urgent_last.pending_jobs.pop(0)
@@ -403,7 +403,7 @@
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
     gang = spec(1, 4.0, "urgent", tasks=3, kind="gang")
     for count, expected in ((1, 0), (2, 3)):
-        machines = [machine(f"n-{i}", SMALL, []) for i in range(count)]
+        machines = [make_machine(f"n-{i}", SMALL, []) for i in range(count)]
         waits = [PendingJob(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
         snapshot = Snapshot(0.0, {n.id: n for n in machines}, waits, TEAMS, used(machines), {}, {"small": SMALL})
         decision = decide(snapshot, 10, 8)
@@ -413,12 +413,12 @@
 
 
 def test_room_beside_counts_equal_and_higher_nominations_only() -> None:
-    one = machine("n-0", SMALL, [])
+    machine = make_machine("n-0", SMALL, [])
     lower = Nomination(("j-5", 0), "n-0", 0, spec(5, 8.0, "idle"), 1.0)
     equal = Nomination(("j-6", 0), "n-0", 1, spec(6, 5.0), 1.0)
-    assert fits_beside_nominations(spec(1, 8.0), one, [lower])
-    assert not fits_beside_nominations(spec(1, 4.0), one, [equal])
-    assert candidates(spec(1, 4.0), one, TeamQuotas(TEAMS, used([]))) == []
+    assert fits_beside_nominations(spec(1, 8.0), machine, [lower])
+    assert not fits_beside_nominations(spec(1, 4.0), machine, [equal])
+    assert candidates(spec(1, 4.0), machine, TeamQuotas(TEAMS, used([]))) == []
 
 
 def waiting(job: JobSpec, count: int) -> PendingJob:
@@ -460,7 +460,7 @@
 
 def test_room_kept_for_gangs_is_no_room_for_others() -> None:
     """Else a job that the kept room is closed to would wait for it, and nothing would be rented."""
-    kept = machine("n-0", SMALL, [])
+    kept = make_machine("n-0", SMALL, [])
     expected = [ExpectedTasks(spec(9, 4.0, kind="gang", one_zone=True), 2)]
     for keep, placed in (([], 2), (expected, 0)):
         job = waiting(spec(1, 4.0), 2)
@@ -480,10 +480,10 @@
 
 
 def test_machines_on_the_way_count_and_idle_ones_go_back() -> None:
-    coming = machine("n-1", SMALL, [])
+    coming = make_machine("n-1", SMALL, [])
     coming.up = False
     assert scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
-    idle = machine("n-2", SMALL, [], idle_s=100.0)
+    idle = make_machine("n-2", SMALL, [], idle_s=100.0)
     assert scale([], [idle]).release == ["n-2"]
     assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
 
@@ -499,7 +499,7 @@
 
 def test_an_old_job_of_many_tasks_is_not_held_to_the_part_of_the_old() -> None:
     """A quarter of the machines goes to it first; what else is free it gets in the ordinary order."""
-    machines = [machine(f"n-{number}", SMALL, []) for number in range(4)]
+    machines = [make_machine(f"n-{number}", SMALL, []) for number in range(4)]
     old = waiting(spec(1, 1.0), 28)
     old.aged = True
     snapshot = Snapshot(0.0, {n.id: n for n in machines}, [old], TEAMS, used(machines), {}, {"small": SMALL})
