--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,7 +16,7 @@
 
 
 def test_work_grows_with_what_changes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Not with machines times tasks: machines are weighed once a job, and copied when they have changed.
+    """Not with machines times tasks: machines are scored once a job, and copied when they have changed.
 
     How often machines are tried varies by half with the draw of the network's delays; so three days are played, and
     their mean is held to less than a single day is.
@@ -26,7 +26,7 @@
 
 
 def count_work(seed: int, monkeypatch: pytest.MonkeyPatch) -> dict[str, int]:
-    counts = {"rounds": 0, "copies": 0, "weighed": 0, "tried": 0, "changes": 0, "transactions": 0, "releases": 0}
+    counts = {"rounds": 0, "copies": 0, "scored": 0, "tried": 0, "changes": 0, "transactions": 0, "releases": 0}
 
     def counted(owner: object, name: str, what: str) -> None:
         plain = getattr(owner, name)
@@ -39,7 +39,7 @@
 
     counted(SchedulingLoop, "_decide", "rounds")
     counted(SnapshotBuilder, "_node", "copies")
-    counted(placement.Candidates, "_score", "weighed")
+    counted(placement.Candidates, "_score", "scored")
     counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
@@ -79,8 +79,8 @@
     tasks = JOBS * TASKS
     # Each machine is copied anew once a second, and when it has changed; not in each round.
     assert counts["copies"] < 0.5 * counts["rounds"] * MACHINES
-    # Weighed once for each job in a round, and once more for each task placed; tried once for each job that waits.
-    assert counts["weighed"] < 0.1 * tasks * MACHINES
+    # Scored once for each job in a round, and once more for each task placed; tried once for each job that waits.
+    assert counts["scored"] < 0.1 * tasks * MACHINES
     # Placing, completing and counting a task share their changes with those of its job.
     assert counts["changes"] < 0.85 * tasks
     # Machines that nobody needs go back many at a time.
