--- a/stileloft/rebuild/job_settlement.py
+++ b/stileloft/rebuild/job_settlement.py
@@ -8,41 +8,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
-from stileloft.protocol.messages import job_from_wire
 from stileloft.rebuild.evidence import ATTEMPT_MARGIN, Evidence, ReportedTask
-
-NO_TASKS: dict[str, Any] = {"a": 0, "d": [], "p": {}}
-"""The stored form of a chunk of which nothing is known."""
-
-
-@dataclass(slots=True)
-class StoredChunk:
-    """A chunk's record: the highest attempt, its finished tasks, and placements by task number."""
-
-    attempt: int
-    done: set[int]
-    placements: dict[str, list[Any]]
-
-    @classmethod
-    def from_value(cls, value: Mapping[str, Any]) -> "StoredChunk":
-        """The chunk that a stored value holds."""
-        return cls(value["a"], records.from_ranges(value["d"]), dict(value["p"]))
-
-    def to_value(self) -> dict[str, Any]:
-        """The chunk as it is stored."""
-        return {"a": self.attempt, "d": records.to_ranges(self.done), "p": self.placements}
+from stileloft.rebuild.stored_jobs import StoredChunk, StoredJob
 
 
 @dataclass(slots=True)
 class SettledJob:
-    """A job's records, with each task where a heartbeat says that it is."""
+    """A job, with each task where a heartbeat lists it."""
 
-    value: dict[str, Any]
-    """The job's own record."""
-    chunks: dict[str, Any] = field(default_factory=dict)
-    """Records of its chunks, by key."""
+    job: StoredJob
     unresolved: dict[str, str] = field(default_factory=dict)
     """By task number: tasks that may have completed unseen and must not run twice, with the evidence."""
 
@@ -50,66 +24,38 @@
 class JobSettlement:
     """Settles one job."""
 
-    def __init__(
-        self,
-        evidence: Evidence,
-        job: str,
-        value: dict[str, Any],
-        chunks: Mapping[str, Any],
-        reported: Mapping[int, ReportedTask],
-    ) -> None:
+    def __init__(self, evidence: Evidence, job: StoredJob, reported: Mapping[int, ReportedTask]) -> None:
         self._evidence = evidence
         self._job = job
-        self._value = value
-        self._chunks = chunks
         self._reported = reported
-        self._spec = job_from_wire(value["s"])
-        self._chunk_size: int = value.get("n", evidence.first_chunk_size)
-        self._is_inline = records.INLINE_CHUNK in value
+        self._spec = job.spec
+        self._chunk_size = job.chunk_size or evidence.first_chunk_size
         self.runs_once = self._spec.job_class in evidence.run_once_classes
         """Whether its tasks are not repeated unless it is shown that they did not complete."""
 
     def settle(self, silent_machines: Sequence[str]) -> SettledJob:
-        """The settled job; `silent_machines` may have run some of its tasks, and have not been heard since."""
-        settled = SettledJob(self._value)
+        """The settled job; `silent_machines` may have run some of its tasks, and have sent no heartbeat since."""
+        settled = SettledJob(StoredJob(self._job.id, self._job.value))
         for number in self._open_chunks():
-            chunk = self._chunk(number)
+            chunk = self._job.chunk(number)
             settled.unresolved |= self._settle_chunk(chunk, number)
-            if self._is_inline:
-                settled.value = settled.value | {records.INLINE_CHUNK: chunk.to_value()}
-            else:
-                length = self._chunk_size if "n" in self._value else None
-                key = records.chunk_key(self._job, number)
-                settled.chunks[key] = separate_chunk(self._spec, chunk.to_value(), length)
+            settled.job.store_chunk(number, chunk)
         if self.runs_once and silent_machines:
             settled.unresolved |= self._possibly_run_tasks(settled, silent_machines[0])
         return settled
 
     def _open_chunks(self) -> list[int]:
         """Numbers of the chunks of which something is known, and that are not finished."""
-        numbers = {records.split_chunk_key(key)[1] for key in self._chunks}
-        numbers |= {index // self._chunk_size for index in self._reported}
-        if self._is_inline:
-            numbers.add(0)
-        return sorted(numbers - records.from_ranges(self._value["f"]))
+        reported = {index // self._chunk_size for index in self._reported}
+        return sorted((self._job.chunk_numbers() | reported) - self._job.finished_chunks)
 
-    def _chunk(self, number: int) -> StoredChunk:
-        """A chunk as the replica has it, its further records included."""
-        if self._is_inline:
-            own = self._value[records.INLINE_CHUNK]
-        else:
-            own = self._chunks.get(records.chunk_key(self._job, number), NO_TASKS)
-        chunk = StoredChunk.from_value(own)
-        for key, further in self._chunks.items():
-            _, found, part = records.split_chunk_key(key)
-            if found == number and part:
-                chunk.placements |= further["p"]
-        return chunk
+    def _tasks_of_chunk(self, number: int) -> range:
+        return range(number * self._chunk_size, (number + 1) * self._chunk_size)
 
     def _settle_chunk(self, chunk: StoredChunk, number: int) -> dict[str, str]:
         """Places the chunk's tasks where heartbeats list them; returns those that are unresolved."""
         before = chunk.placements
-        tasks = range(number * self._chunk_size, (number + 1) * self._chunk_size)
+        tasks = self._tasks_of_chunk(number)
         chunk.placements = {
             str(index): reported.placement
             for index, reported in self._reported.items()
@@ -122,20 +68,18 @@
     def _unlisted_tasks(self, chunk: StoredChunk, before: Mapping[str, list[Any]]) -> dict[str, str]:
         """Tasks that were placed, and that no heartbeat lists."""
         unlisted: dict[str, str] = {}
-        for text, (attempt, machine, *_) in before.items():
-            if int(text) in self._reported or int(text) in chunk.done:
+        for index, (attempt, machine, *_) in before.items():
+            if int(index) in self._reported or int(index) in chunk.done:
                 continue
             heard = "reports without it" if machine in self._evidence.heartbeats else "was not heard again"
-            unlisted[text] = f"attempt {attempt} was placed on {machine}, which {heard}"
+            unlisted[index] = f"attempt {attempt} was placed on {machine}, which {heard}"
         return unlisted
 
     def _possibly_run_tasks(self, settled: SettledJob, silent_machine: str) -> dict[str, str]:
-        """Tasks that were waiting, but may have run since on a machine that is not heard any more."""
-        known = {int(text) for text in settled.unresolved}
-        for number in records.from_ranges(self._value["f"]):
-            known |= set(range(number * self._chunk_size, (number + 1) * self._chunk_size))
-        for chunk in (*settled.chunks.values(), settled.value.get(records.INLINE_CHUNK, NO_TASKS)):
-            known |= records.from_ranges(chunk["d"]) | {int(text) for text in chunk["p"]}
+        """Tasks that were waiting, but may have run since on a machine that sends no heartbeat any more."""
+        known = settled.job.known_tasks() | {int(index) for index in settled.unresolved}
+        for number in self._job.finished_chunks:
+            known |= set(self._tasks_of_chunk(number))
         waiting = [str(index) for index in range(self._spec.tasks) if index not in known]
         evidence = f"it waited, and may have run on {silent_machine}, which was not heard again"
         return dict.fromkeys(waiting, evidence)
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -19,6 +19,7 @@
 from stileloft.rebuild.loss_detector import LossDetector
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.store_status import StoreStatus
+from stileloft.rebuild.stored_jobs import StoredJob
 
 log = logging.getLogger(__name__)
 
@@ -83,12 +84,14 @@
     async def _record_accepted_job(self, job: str, value: dict[str, Any]) -> None:
         """Records an accepted job, none of whose tasks are placed: where they were is not known any more."""
         active, final = records.active_key(job), records.final_key(job)
-        inline = value.get(records.INLINE_CHUNK)
-        if inline is not None:
-            attempt = inline["a"] + ATTEMPT_MARGIN
-            value = value | {records.INLINE_CHUNK: {"a": attempt, "d": inline["d"], "p": {}}}
+        stored = StoredJob(job, value)
+        if stored.inline_chunk is not None:
+            chunk = stored.chunk(0)
+            chunk.attempt += ATTEMPT_MARGIN
+            chunk.placements = {}
+            stored.store_chunk(0, chunk)
         try:
-            await self._state.commit({active: 0, final: 0, **self._store.guards()}, {active: value}, [])
+            await self._state.commit({active: 0, final: 0, **self._store.guards()}, {active: stored.value}, [])
             log.info("missed job recorded job=%s", job)
         except ConflictError:
             return  # it was submitted again meanwhile
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -8,11 +8,11 @@
 from stileloft.model import records
 from stileloft.model.chunks import separate_chunk
 from stileloft.model.records import JobOutcome
-from stileloft.protocol.messages import job_from_wire
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.evidence import Evidence, locate_tasks
 from stileloft.rebuild.job_outcomes import JobOutcomes
 from stileloft.rebuild.job_settlement import JobSettlement
+from stileloft.rebuild.stored_jobs import StoredJob
 from stileloft.rebuild.unresolved_tasks import UnresolvedTasks
 
 
@@ -80,39 +80,35 @@
     def _restore_jobs(self) -> None:
         chunks = self._chunks_by_job()
         for key, value in self._records(records.ACTIVE):
-            job = key[len(records.ACTIVE) :]
-            if self._has_ended(job):
-                self._restore_inline_chunk(job, value)
+            job_id = key[len(records.ACTIVE) :]
+            job = StoredJob(job_id, value, chunks.get(job_id, {}))
+            if self._has_ended(job_id):
+                self._restore_inline_chunk(job)
             else:
-                self._restore_job(job, value, chunks.get(job, {}))
+                self._restore_job(job)
 
-    def _restore_job(self, job: str, value: dict[str, Any], chunks: dict[str, Any]) -> None:
+    def _restore_job(self, job: StoredJob) -> None:
         """An unfinished job: as the replica has it, or in line with the heartbeats where it may be behind."""
         if not self._replica.has_last_leader:
-            value, chunks = self._settle_job(job, value, chunks)
-        self._wanted[records.active_key(job)] = value
-        self._wanted.update(chunks)
-        placed = [c["p"] for c in (*chunks.values(), value.get(records.INLINE_CHUNK, {"p": {}}))]
-        if any(placed):
+            job = self._settle_job(job)
+        self._wanted[records.active_key(job.id)] = job.value
+        self._wanted.update(job.chunks)
+        if job.has_placements():
             self._result.running += 1
         else:
             self._result.pending += 1
 
-    def _settle_job(
-        self, job: str, value: dict[str, Any], chunks: dict[str, Any]
-    ) -> tuple[dict[str, Any], dict[str, Any]]:
-        settlement = JobSettlement(self._evidence, job, value, chunks, self._reported.get(job, {}))
+    def _settle_job(self, job: StoredJob) -> StoredJob:
+        settlement = JobSettlement(self._evidence, job, self._reported.get(job.id, {}))
         settled = settlement.settle(self._silent_machines if settlement.runs_once else [])
         if settled.unresolved:
-            self._add_unresolved(job, UnresolvedTasks(settled.unresolved))
-        return settled.value, settled.chunks
+            self._add_unresolved(job.id, UnresolvedTasks(settled.unresolved))
+        return settled.job
 
-    def _restore_inline_chunk(self, job: str, value: dict[str, Any]) -> None:
+    def _restore_inline_chunk(self, job: StoredJob) -> None:
         """A job that is over: what may still run of it stays known, so that it is stopped and counted."""
-        inline = value.get(records.INLINE_CHUNK)
-        if inline is not None and inline["p"]:
-            spec = job_from_wire(value["s"])
-            self._wanted[records.chunk_key(job, 0)] = separate_chunk(spec, inline, value["n"])
+        if job.inline_chunk is not None and job.inline_chunk["p"]:
+            self._wanted[records.chunk_key(job.id, 0)] = separate_chunk(job.spec, job.inline_chunk, job.chunk_size)
 
     def _restore_chunks_of_ended_jobs(self) -> None:
         for key, value in self._records(records.TASKS):
