--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -9,7 +9,7 @@
 
 from stileloft.machines.catalog import MachineCatalog
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
+from stileloft.model.chunks import detached_chunk_record
 from stileloft.model.jobs import active_record
 from stileloft.model.machines import fits_type
 from stileloft.protocol.messages import JobSpec, MachineType, job_from_wire, job_status_message
@@ -71,7 +71,7 @@
         zones = {zone for kind in types.values() if fits_type(spec, kind) for zone in kind.zones}
         if spec.one_zone or spec.zone is not None or len(zones) < 2:
             return "half of its tasks would have to be in another zone, and all of them run at once"
-    if records.size_of(active_record(spec, 0.0, spec.tasks)) + records.COURSE_BYTES > value_bytes:
+    if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.COURSE_BYTES > value_bytes:
         return "its description is too long to be stored"
     return None
 
@@ -257,7 +257,7 @@
         inline = value.get(records.INLINE_CHUNK)
         if inline is not None and inline["p"]:
             # What may still run somewhere stays known until it is gone: it takes room, and has to be stopped.
-            puts[records.chunk_key(job, 0)] = separate_chunk(job_from_wire(value["s"]), inline, value["n"])
+            puts[records.chunk_key(job, 0)] = detached_chunk_record(job_from_wire(value["s"]), inline, value["n"])
             self._write_budget.overdraw(1.0)
         guards = {active: version, final: 0, **self._integrity.guards()}
         revision = await self._state.commit(guards, puts, [active])
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -137,7 +137,7 @@
         """Takes in a job that is new to this leader."""
         with self._cluster.lock:
             job = job_from_record(value, version, self._first_chunk_size)
-            job.recount()
+            job.refresh_counts()
             self._jobs.adopt(job)
             for placement in job.placements():
                 self._lifecycle.attach(placement)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -84,7 +84,7 @@
             urgent = job.urgent
             self._cluster.mark_dirty(job)
             if placement.done:
-                job.coalesce_write(self._clock.seconds(), urgent)
+                job.coalesce_completions(self._clock.seconds(), urgent)
             if job.spec.is_gang:
                 self._clock.callLater(0, self._reconcile_gang_later, job)
         self._flush_timer.within(0.0)
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -106,7 +106,7 @@
             return Refusal.NOT_STORED
         if placement.reported_state is not None:
             return Refusal.ALREADY_REPORTED
-        if self._cluster.is_blocked(placement.job):
+        if self._cluster.blocks_starts(placement.job):
             return Refusal.JOB_ENDED
         if placement.stop_grace_s is not None:
             return None if placement.sent_epoch == machine.epoch else Refusal.STOPPING
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -11,7 +11,7 @@
 from stileloft.machines.provision_records import ProvisionRecords
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
-from stileloft.model.jobs import EndPhase, Job, job_from_record, orphan_spec
+from stileloft.model.jobs import EndPhase, Job, job_from_record, placeholder_spec
 from stileloft.protocol.state import Item, UnavailableError, UnknownOutcomeError
 from stileloft.store.access import LeaderStore
 from stileloft.store.format_upgrade import FormatUpgrade
@@ -124,7 +124,7 @@
 
     def _resume(self, job: Job) -> None:
         """Goes on with a job where the former leader left it."""
-        job.recount()
+        job.refresh_counts()
         for placement in job.placements():
             self._lifecycle.attach(placement)
         if self._store.format.has_chunk_sizes:
@@ -140,6 +140,6 @@
 def _orphaned_job(job_id: str, items: list[Item], first_chunk_size: int) -> Job:
     """A job of which only chunks are left, as it was cancelled."""
     whole = next((value for _, value, _ in items if "r" in value), UNKNOWN_CHUNK)
-    job = Job(orphan_spec(job_id, whole["r"]), 0.0, whole.get("n", first_chunk_size))
+    job = Job(placeholder_spec(job_id, whole["r"]), 0.0, whole.get("n", first_chunk_size))
     job.end_phase = EndPhase.CANCELLED
     return job
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -445,14 +445,14 @@
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
-        machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.bound)
+        machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
         machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
         with self.cluster.lock:
             for machine_id in machine_ids:
                 machine = self.cluster.machines.get(machine_id)
                 if machine is not None:
                     self.dispatcher.send(machine)
-        if any(part.ended for part in parts):
+        if any(part.cleared_placements for part in parts):
             self.request_scheduling()
 
     def _send_commands(self, machine: Machine) -> None:
--- a/stileloft/machines/boot_monitor.py
+++ b/stileloft/machines/boot_monitor.py
@@ -52,7 +52,7 @@
         """Whether a machine that is not up, and on which nothing is placed, will not come up any more."""
         limit_s = ABANDONED_BOOTS * self.boot_s(machine.type) + self._list_lag_s
         unused = machine.cloud_state != "running" and not machine.placements
-        return unused and now - (machine.provisioned_at or machine.first_seen) > limit_s
+        return unused and now - (machine.provisioned_at or machine.first_seen_at) > limit_s
 
     def record_boot(self, machine: Machine) -> None:
         """A machine is up; one that is in time shows that its offer can be relied on."""
@@ -79,7 +79,7 @@
         """
         if machine.cloud_state == "running" or now - self._lease.began_at < self._failure_timeout_s:
             return False
-        return now - (machine.provisioned_at or machine.first_seen) > OVERDUE_BOOTS * self.boot_s(machine.type)
+        return now - (machine.provisioned_at or machine.first_seen_at) > OVERDUE_BOOTS * self.boot_s(machine.type)
 
     def _record_overdue(self, machine: Machine, now: float) -> None:
         """It does not count as coming any more: others are provisioned for what waits for it."""
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -96,6 +96,6 @@
     def _recorded_images(self, machine: Machine) -> list[str]:
         """The images that a machine has, the ones used last, as far as a value holds them."""
         images = list(machine.images)
-        while records.size_of(images) > self._store.limits.value_bytes:
+        while records.json_bytes(images) > self._store.limits.value_bytes:
             images = images[1 + len(images) // 8 :]
         return images
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -39,7 +39,7 @@
         """Records machines, as far as the write budget allows; an error of the store is logged only."""
         now = self._wall_clock()
         record = {"t": round(now, 1), "o": list(offer), "m": machines}
-        if len(machines) > 1 and records.size_of(record) > self._store.limits.value_bytes:
+        if len(machines) > 1 and records.json_bytes(record) > self._store.limits.value_bytes:
             for half in (machines[: len(machines) // 2], machines[len(machines) // 2 :]):
                 await self.write(offer, half)
             return
--- a/stileloft/machines/registry.py
+++ b/stileloft/machines/registry.py
@@ -20,7 +20,7 @@
         """The machine of this name, new or known."""
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
-            machine = Machine(machine_id, first_seen=self._clock.seconds(), token=self._tokens.first)
+            machine = Machine(machine_id, first_seen_at=self._clock.seconds(), token=self._tokens.first)
             machine.images = dict.fromkeys(self._images.of_former_leader(machine_id))
             self._cluster.machines[machine_id] = machine
         return machine
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -1,4 +1,4 @@
-"""The leader's picture of the cluster: jobs, machines, nominations, and what has to be written of them."""
+"""The leader's state of the cluster: jobs, machines, nominations, and what has to be written of them."""
 
 import itertools
 import threading
@@ -34,7 +34,7 @@
         job.dirty = job.urgent = True
         self.dirty[job.id] = None
 
-    def mark_counts(self, job: Job) -> None:
+    def mark_counts_dirty(self, job: Job) -> None:
         """The counts that users see of the job may have changed."""
         if job.id not in self.dirty:
             job.write_order = next(self._turns)
@@ -51,12 +51,12 @@
                 found.append(job)
         return found
 
-    def is_blocked(self, job_id: str) -> bool:
+    def blocks_starts(self, job_id: str) -> bool:
         """Whether nothing of the job may be started, as it has ended or is being read again."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None or job.reload_pending
 
-    def has_ended(self, job_id: str) -> bool:
+    def job_has_ended(self, job_id: str) -> bool:
         """Whether the job is known to be over: whatever may still run or start of it must not."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None
@@ -70,12 +70,12 @@
         return {task for machine in self.machines.values() if machine.orphaned_tasks for task in machine.orphaned_tasks}
 
     def usage(self, teams: Iterable[str]) -> dict[str, Usage]:
-        """What each team's tasks take, placed ones and strays."""
+        """What each team's tasks take, placed and orphaned ones."""
         usage = {name: Usage() for name in teams}
         for machine in self.machines.values():
-            for stray in machine.orphaned_tasks.values():
-                if stray.team in usage:
-                    usage[stray.team].add(stray.cpus, stray.gpus)
+            for orphan in machine.orphaned_tasks.values():
+                if orphan.team in usage:
+                    usage[orphan.team].add(orphan.cpus, orphan.gpus)
         for job in self.jobs.values():
             spec = job.spec
             usage.setdefault(spec.team, Usage()).add(spec.cpus * job.placed, (spec.gpus or 0.0) * job.placed)
--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -53,18 +53,13 @@
         """The highest token under which any of these was sent; 0 if none of them is open."""
         return max((self.by_attempt[key].token for key in keys if key in self.by_attempt), default=0)
 
-    def drop_fenced(self, epoch: int, acknowledged_token: int) -> list[tuple[AttemptKey, InflightStart]]:
-        """Takes off what a worker in this session, which has seen this token, does not execute any more."""
-        if not self.by_attempt:
-            return []
+    def drop_fenced(self, epoch: int, acknowledged_token: int) -> None:
+        """Removes the starts that a worker in this epoch, which has seen this token, does not execute any more."""
         refused = [
-            (key, start)
-            for key, start in self.by_attempt.items()
-            if start.epoch < epoch or start.token < acknowledged_token
+            key for key, start in self.by_attempt.items() if start.epoch < epoch or start.token < acknowledged_token
         ]
-        for key, _ in refused:
+        for key in refused:
             del self.by_attempt[key]
-        return refused
 
     def in_doubt(self) -> list[tuple[AttemptKey, InflightStart]]:
         """Those of which a message got no answer."""
--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.model.chunks import Chunk, placements_bytes
+from stileloft.model.chunks import Chunk, max_placements_bytes
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import RUNNING, SAVING, JobSpec, job_from_wire, job_to_wire
 
@@ -32,7 +32,7 @@
         """Time of day of acceptance, in seconds."""
         self.chunk_size = size
         """Tasks per chunk, which the keys of its chunks depend on: never changed."""
-        self.chunk_size_stored = False
+        self.stores_chunk_size = False
         """Its record says so. If not, it follows from the store's limit when the job was accepted."""
         self.max_placed_per_chunk: int | None = None
         """So many tasks of a chunk may be placed, while a chunk must have one record."""
@@ -136,14 +136,14 @@
     @functools.cached_property
     def _empty_record_bytes(self) -> int:
         """No less than its record takes without a chunk."""
-        return records.size_of(self.record(True)) + records.COURSE_BYTES
+        return records.json_bytes(self.record(True)) + records.COURSE_BYTES
 
-    def inline_record_bytes(self) -> int:
+    def max_inline_record_bytes(self) -> int:
         """No less than its record takes with its only chunk in it, found without encoding either."""
         placements = self.chunks[0].placements.values() if 0 in self.chunks else ()
         finished = len(self.chunks[0].done) if 0 in self.chunks else 0
         ranges = records.RANGE_BYTES * (finished + len(placements))
-        return self._empty_record_bytes + placements_bytes(placements) + ranges
+        return self._empty_record_bytes + max_placements_bytes(placements) + ranges
 
     def add(self, placement: Placement) -> None:
         self.chunk_of(placement.index).placements[placement.index] = placement
@@ -161,7 +161,7 @@
         for chunk in self.chunks.values():
             yield from chunk.placements.values()
 
-    def coalesce_write(self, now: float, urgent: bool) -> None:
+    def coalesce_completions(self, now: float, urgent: bool) -> None:
         """A task is done. Many such share a write, unless it is the last one or something else is urgent."""
         ended = [p for p in self.placements() if p.state == PlacementState.ENDED]
         left = self.spec.tasks - self.done - sum(1 for p in ended if p.done)
@@ -177,7 +177,7 @@
     def record(self, sized: bool) -> dict[str, Any]:
         """Its record; from format 1 on (`sized`) with the length of its chunks."""
         return active_record(
-            self.spec, self.submitted, self.chunk_size if sized or self.chunk_size_stored else None
+            self.spec, self.submitted, self.chunk_size if sized or self.stores_chunk_size else None
         ) | {
             "f": records.to_ranges(self.finished_chunks),
             "c": [self.done, self.running()],
@@ -186,7 +186,7 @@
 
     def load_active(self, value: dict[str, Any], version: int) -> None:
         self.version = version
-        self.chunk_size_stored = "n" in value
+        self.stores_chunk_size = "n" in value
         self.inline_value = value.get(records.INLINE_CHUNK)
         self.finished_chunks = records.from_ranges(value["f"])
         self.preemption_count = max(self.preemption_count, value.get("e", 0))
@@ -216,7 +216,7 @@
             attempt=value["a"],
             done=records.from_ranges(value["d"]),
             stored=True,
-            parts={part: (part_version, further) for part, (further, part_version) in parts.items()},
+            overflow={part: (part_version, further) for part, (further, part_version) in parts.items()},
         )
         placed = dict(value["p"])
         for further, _ in parts.values():
@@ -232,7 +232,7 @@
                 chunk.placements[index] = Placement(self.id, index, attempt, machine, zone, bool(spot))
         return chunk
 
-    def recount(self) -> None:
+    def refresh_counts(self) -> None:
         self._free = None
         self.placed = sum(len(chunk.placements) for chunk in self.chunks.values())
         self.zones = {}
@@ -256,7 +256,7 @@
     return job
 
 
-def orphan_spec(job: str, resources: list[Any]) -> JobSpec:
+def placeholder_spec(job: str, resources: list[Any]) -> JobSpec:
     """Enough of a cancelled job's description to count what is left of it."""
     team, cpus, gpus, memory_gb = resources
     return JobSpec(
--- a/stileloft/model/machines.py
+++ b/stileloft/model/machines.py
@@ -52,7 +52,7 @@
     """When a report of its own last came here. An answer to a command is none: its lease is not renewed by that."""
     last_reachable_at: float = float("-inf")
     """When it was last known to hear us."""
-    first_seen: float = 0.0
+    first_seen_at: float = 0.0
     up_since: float | None = None
     provisioned_at: float = 0.0
     boot_overdue: bool = False
--- a/stileloft/model/records.py
+++ b/stileloft/model/records.py
@@ -52,14 +52,14 @@
 
 # A placement is at most some 70 characters of JSON, a finished range 16.
 BYTES_PER_TASK = 90
-LEAST_PER_CHUNK = 8
-MOST_PER_CHUNK = 256
-MOST_PER_SIZED_CHUNK = 96
+MIN_TASKS_PER_CHUNK = 8
+MAX_TASKS_PER_UNSIZED_CHUNK = 256
+MAX_TASKS_PER_CHUNK = 96
 
 
 def chunk_size(value_kb: float) -> int:
     """Tasks per chunk such that a chunk's record stays within half of the limit."""
-    return max(LEAST_PER_CHUNK, min(MOST_PER_CHUNK, int(value_kb * 1024 / 2 / BYTES_PER_TASK)))
+    return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_UNSIZED_CHUNK, int(value_kb * 1024 / 2 / BYTES_PER_TASK)))
 
 
 # The same as seen, and what a chunk's record usually takes beside its placements.
@@ -78,13 +78,13 @@
 COURSE_BYTES = 256
 
 
-def tasks_in(value_bytes: int) -> int:
+def max_placements_in(value_bytes: int) -> int:
     """Placements of the usual length that a chunk's record has room for."""
     return _placements_in(value_bytes, USUAL_BYTES_PER_TASK)
 
 
 def _placements_in(value_bytes: int, bytes_per_task: int) -> int:
-    return max(LEAST_PER_CHUNK, (value_bytes - CHUNK_BYTES) // bytes_per_task)
+    return max(MIN_TASKS_PER_CHUNK, (value_bytes - CHUNK_BYTES) // bytes_per_task)
 
 
 def sized_chunk_size(value_bytes: int) -> int:
@@ -93,21 +93,21 @@
     Each chunk that is written is a change of the store, however many of its tasks have changed. But it must not take
     more records than a transaction has changes if the store's limits become lower than was announced.
     """
-    return min(MOST_PER_SIZED_CHUNK, _placements_in(value_bytes, LONG_BYTES_PER_TASK))
+    return min(MAX_TASKS_PER_CHUNK, _placements_in(value_bytes, LONG_BYTES_PER_TASK))
 
 
-def size_of(value: Any) -> int:
+def json_bytes(value: Any) -> int:
     """Bytes of a value as JSON, in its longest form: with spaces, and all but ASCII escaped."""
     return len(json.dumps(value))
 
 
-def most_bytes_of_text(text: str) -> int:
+def max_text_bytes(text: str) -> int:
     """No less than a text takes as JSON, without its quotes. A character beyond the basic plane takes two escapes."""
     units = len(text) if text.isascii() else len(text.encode("utf-16-le", "surrogatepass")) // 2
     return ESCAPED_BYTES * units
 
 
-def most_compact_bytes(value: Any) -> int:
+def max_compact_bytes(value: Any) -> int:
     """No less than a value takes as JSON without spaces, with all but ASCII escaped; faster than encoding it so."""
     data = orjson.dumps(value)
     return len(data) if data.isascii() else ESCAPED_GROWTH * len(data)
@@ -125,13 +125,10 @@
     return FINAL + job
 
 
-def chunk_key(job: str, chunk: int) -> str:
-    return f"{TASKS}{job}/{chunk:06d}"
-
-
-def part_key(job: str, chunk: int, part: int) -> str:
-    """The key of a chunk's own record (part 0) or of a further one."""
-    return f"{chunk_key(job, chunk)}+{part}" if part else chunk_key(job, chunk)
+def chunk_key(job: str, chunk: int, overflow: int = 0) -> str:
+    """The key of a chunk's main record, or of an overflow record."""
+    key = f"{TASKS}{job}/{chunk:06d}"
+    return f"{key}+{overflow}" if overflow else key
 
 
 def split_chunk_key(key: str) -> tuple[str, int, int]:
--- a/stileloft/rebuild/job_outcomes.py
+++ b/stileloft/rebuild/job_outcomes.py
@@ -91,10 +91,10 @@
         found: list[dict[str, Any]] = []
         room = 0
         for encoded in self._encoded_groups(value_bytes // 2):
-            size = records.size_of(encoded) + 2
+            size = records.json_bytes(encoded) + 2
             if not found or size > room:
                 found.append({"groups": []})
-                room = value_bytes - records.size_of(found[-1])
+                room = value_bytes - records.json_bytes(found[-1])
             found[-1]["groups"].append(encoded)
             room -= size
         return found
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -116,7 +116,7 @@
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
         job.tasks_awaiting_operator = frozenset(open_tasks)
-        job.recount()
+        job.refresh_counts()
         self._flush_timer.within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
         return decided and not job.dirty and not job.commit_in_flight
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -220,7 +220,7 @@
         size = 0
         # Ends come first: until they are there, a job that is over would look as if it had never been.
         for key in sorted(puts, key=lambda key: (not key.startswith(records.ENDED), key)):
-            length = records.most_compact_bytes(puts[key]) + len(key)
+            length = records.max_compact_bytes(puts[key]) + len(key)
             if batch and (len(batch) >= most or size + length > MAX_TRANSACTION_BYTES):
                 yield batch, []
                 batch, size = {}, 0
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
+from stileloft.model.chunks import detached_chunk_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import EXITED, Heartbeat, JobSpec, TaskStatus, job_from_wire
 from stileloft.rebuild import unresolved_tasks as undecided
@@ -144,7 +144,7 @@
         inline = value.get(records.INLINE_CHUNK)
         if inline is not None and inline["p"]:
             spec = job_from_wire(value["s"])
-            self._wanted[records.chunk_key(job, 0)] = separate_chunk(spec, inline, value["n"])
+            self._wanted[records.chunk_key(job, 0)] = detached_chunk_record(spec, inline, value["n"])
 
     def _settle_job(
         self, job: str, value: dict[str, Any], chunks: dict[str, Any]
@@ -170,7 +170,7 @@
                 value = value | {records.INLINE_CHUNK: inline}
             else:
                 length = size if "n" in value else None
-                settled[records.chunk_key(job, number)] = separate_chunk(spec, inline, length)
+                settled[records.chunk_key(job, number)] = detached_chunk_record(spec, inline, length)
         if spec.job_class in self._evidence.run_once_classes:
             undecided_tasks |= self._unshown_tasks(spec, value, settled, undecided_tasks)
         if undecided_tasks:
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -23,11 +23,11 @@
         job.commit_in_flight = False
         self._settle_placements(part)
         self._settle_chunks(part, revision)
-        if part.final:
+        if part.ends_job:
             job.done = job.spec.tasks
             self._lifecycle.end_job(job, EndPhase.DONE)
-        elif part.active:
-            job.chunk_size_stored = "n" in part.puts[records.active_key(job.id)]
+        elif part.writes_job_record:
+            job.stores_chunk_size = "n" in part.puts[records.active_key(job.id)]
             job.version = revision
             job.stored_counts = part.counts
             job.counts_stored_at = self._clock.seconds()
@@ -37,10 +37,10 @@
     def _settle_placements(self, part: JobTransaction) -> None:
         """Planned placements are bound now, and ended ones are no longer stored."""
         job = part.job
-        for placement in part.bound:
+        for placement in part.new_placements:
             if placement.state == PlacementState.PLANNED:
                 placement.state = PlacementState.BOUND
-        for placement in part.ended:
+        for placement in part.cleared_placements:
             chunk = job.chunk_of(placement.index)
             if placement.done and not job.end_phase and placement.index not in chunk.done:
                 chunk.done.add(placement.index)
@@ -53,19 +53,19 @@
     def _settle_chunks(part: JobTransaction, revision: int) -> None:
         """Takes down where the store holds each chunk, and in which version."""
         job = part.job
-        for number in part.written:
+        for number in part.written_chunks:
             chunk = job.chunks[number]
-            chunk.inline, chunk.stored = part.inline, not part.inline
-            if part.inline:
+            chunk.inline, chunk.stored = part.is_inline, not part.is_inline
+            if part.is_inline:
                 continue
             chunk.version = revision
-            before = chunk.parts
-            chunk.parts = {}
-            for index, value in enumerate(part.parts.get(number, ()), 1):
+            before = chunk.overflow
+            chunk.overflow = {}
+            for index, value in enumerate(part.overflow.get(number, ()), 1):
                 version, stored = before.get(index, (0, None))
-                chunk.parts[index] = (version if stored == value else revision, value)
-        for number in part.finished:
+                chunk.overflow[index] = (version if stored == value else revision, value)
+        for number in part.folded_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
-        for number in part.dropped:
+        for number in part.removed_chunks:
             del job.chunks[number]
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -162,7 +162,7 @@
             return
         self._cluster.dirty.pop(job.id, None)
         if not job.end_phase and (job.done, job.running()) != job.stored_counts:
-            self._cluster.mark_counts(job)
+            self._cluster.mark_counts_dirty(job)
             self._flush_timer.within(COUNTS_INTERVAL_S / 2)
 
     def _take_budget(self, batch: TransactionBatch) -> bool:
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -81,7 +81,7 @@
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
                 job.max_placed_per_chunk = None
-                if not job.end_phase and not job.chunk_size_stored:
+                if not job.end_phase and not job.stores_chunk_size:
                     self._cluster.dirty[job.id] = None
                 self.split_large_records(job)
         self._request_scheduling()
@@ -90,8 +90,8 @@
         """Has records beyond the limit to come written in pieces, before an end or a cancellation needs it."""
         for chunk in job.chunks.values():
             if (
-                not chunk.parts
-                and records.size_of(chunk.record(job.spec, job.chunk_size)) > self._store.limits.value_bytes
+                not chunk.overflow
+                and records.json_bytes(chunk.record(job.spec, job.chunk_size)) > self._store.limits.value_bytes
             ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -121,7 +121,7 @@
         else:
             job.inline_value = None  # whoever removed the record gave its chunk one of its own
         job.load_chunks(stored.chunks)
-        job.recount()
+        job.refresh_counts()
         job.commit_in_flight = job.reload_pending = job.has_unresolved_commit = False
         self._reconcile_placements(job, before)
         if any(chunk.dirty for chunk in job.chunks.values()):
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -26,7 +26,7 @@
         First fewer changes are tried. Smaller values make records of more pieces, and so transactions of more changes:
         tried first, they could come to be refused for their changes for good.
         """
-        largest = max((records.size_of(value) for value in values), default=0)
+        largest = max((records.json_bytes(value) for value in values), default=0)
         if changes > MIN_OPS and self.ops > MIN_OPS:
             self.ops = max(MIN_OPS, min(self.ops, changes) // 2)
         elif largest > MIN_VALUE_BYTES // 2 or changes <= MIN_OPS:
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -32,7 +32,7 @@
 
     def add(self, part: JobTransaction) -> bool:
         """Adds a job's part, unless the transaction would become too large; returns whether it did."""
-        size = records.most_compact_bytes([part.puts, part.guards])
+        size = records.max_compact_bytes([part.puts, part.guards])
         guards = self._guards + len(part.guards)
         if self.parts and (
             self.changes + part.changes > self.max_changes
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -55,7 +55,7 @@
         for placement in machine.placements.values():
             if placement.stop_grace_s is None or placement.state != PlacementState.BOUND:
                 continue
-            if renewing and self._cluster.has_ended(placement.job):
+            if renewing and self._cluster.job_has_ended(placement.job):
                 required.append(placement)  # whatever became of the stops before
             elif now >= placement.stop_sent_at + REPEAT_STOP * self.heartbeat_s and not self._was_never_sent(placement):
                 others.append(placement)
@@ -98,5 +98,5 @@
         return {
             (p.task, p.attempt)
             for p in machine.placements.values()
-            if p.state == PlacementState.BOUND and self._cluster.has_ended(p.job)
+            if p.state == PlacementState.BOUND and self._cluster.job_has_ended(p.job)
         }
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -58,7 +58,7 @@
             if p.reported_state is None
             and p.state == PlacementState.BOUND
             and p.sent_epoch is not None
-            and cluster.has_ended(p.job)
+            and cluster.job_has_ended(p.job)
         ]
         if not unwanted or machine.inflight_starts.highest_token(unwanted) < machine.token:
             return True
@@ -124,7 +124,7 @@
         self.waiting[machine.id] = None
         for placement in unseen:
             job = cluster.jobs.get(placement.job)
-            if job is not None and not cluster.is_blocked(job.id):
+            if job is not None and not cluster.blocks_starts(job.id):
                 if not job.commit_in_flight:
                     job.chunk_of(placement.index).dirty = True
                     cluster.mark_dirty(job)
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -198,7 +198,7 @@
         if not job.started:
             log.info("job %s begins, %.1f s after acceptance", job.id, self._wall_clock() - job.submitted)
         job.started = True
-        self._cluster.mark_counts(job)
+        self._cluster.mark_counts_dirty(job)
         self._flush_timer.within(COUNTS_FLUSH_S)
 
     def _take_exit(self, machine: Machine, placement: Placement, why: str | None, now: float) -> None:
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -89,10 +89,10 @@
     began = time.process_time()
     ranges = records.to_ranges(set(numbers))
     ranges_s = time.process_time() - began
-    size = sum(map(records.size_of, values))
+    size = sum(map(records.json_bytes, values))
     print(f"{ENDED_JOBS} ends of forty kinds: bitmaps {size} bytes in {len(values)} records, ", end="")
     print(f"added in {1000 * added_s:.0f} ms, encoded in {1000 * encoded_s:.0f} ms; ", end="")
-    print(f"ranges of the numbers alone {records.size_of(ranges)} bytes, {1000 * ranges_s:.0f} ms")
+    print(f"ranges of the numbers alone {records.json_bytes(ranges)} bytes, {1000 * ranges_s:.0f} ms")
 
 
 def main() -> None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -84,9 +84,12 @@
     starts.record_sent("j-1/0", 1, 12.0, 6, 1)  # sent again: when it was first sent stays
     first = starts.get("j-1/0", 1)
     assert first is not None and (first.first_sent_at, first.token) == (10.0, 6)
-    assert starts.drop_fenced(1, 6) == [] and starts.highest_token([("j-1/0", 1), ("j-9/9", 1)]) == 6
-    assert [key for key, _ in starts.drop_fenced(1, 7)] == [("j-1/0", 1)]
-    assert [key for key, _ in starts.drop_fenced(2, 7)] == [("j-1/1", 1)]
+    starts.drop_fenced(1, 6)
+    assert set(starts.by_attempt) == {("j-1/0", 1), ("j-1/1", 1)}
+    assert starts.highest_token([("j-1/0", 1), ("j-9/9", 1)]) == 6
+    starts.drop_fenced(1, 7)
+    assert set(starts.by_attempt) == {("j-1/1", 1)}
+    starts.drop_fenced(2, 7)
     assert starts.by_attempt == {}
 
 
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -164,7 +164,7 @@
     job.add(Placement("j-1", 2, 3, "n-000002", "b", False))
     value = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
     again = job_from_record(json.loads(json.dumps(value)), 9, 5)
-    again.recount()
+    again.refresh_counts()
     assert (again.done, again.placed, again.version, again.chunk_size) == (2, 2, 9, 22)
     read = again.chunks[0]
     assert (read.attempt, read.done, read.inline, read.stored) == (3, {0, 4}, True, False)
@@ -234,7 +234,7 @@
         name = names[index % len(names)]
         job.add(Placement(job.id, index, attempts, name, name[::-1], index % 2 == 0))
     record = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
-    assert records.size_of(record) <= job.inline_record_bytes()
+    assert records.json_bytes(record) <= job.max_inline_record_bytes()
 
 
 NAMES = st.text(min_size=1, max_size=60)
@@ -252,7 +252,7 @@
         name = names[index % len(names)]
         job.add(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
     values = job.chunk_of(0).records(job.spec, job.chunk_size, value_bytes)
-    assert all(records.size_of(value) <= value_bytes for value in values)
+    assert all(records.json_bytes(value) <= value_bytes for value in values)
     assert sum(len(value["p"]) for value in values) == placed
 
 
@@ -265,5 +265,5 @@
 def test_a_transactions_size_is_not_reckoned_too_small(value: Any) -> None:
     """In UTF-8 a text takes a third of what it takes with all but ASCII escaped."""
     escaped = json.dumps(value, separators=(",", ":"))
-    assert len(escaped) <= records.most_compact_bytes(value)
-    assert records.size_of(value) <= 2 * records.most_compact_bytes(value)
+    assert len(escaped) <= records.max_compact_bytes(value)
+    assert records.json_bytes(value) <= 2 * records.max_compact_bytes(value)
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -11,7 +11,7 @@
 
 from stileloft.features import FeaturesError, parse
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
+from stileloft.model.chunks import detached_chunk_record
 from stileloft.model.jobs import active_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import Heartbeat, JobSpec, TaskStatus, parse_job
@@ -103,7 +103,7 @@
     for value in json.loads(json.dumps(values)):
         read.load(value)
     assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*end) for job, end in ends.items()}
-    assert all(records.size_of(value) <= value_bytes for value in values)
+    assert all(records.json_bytes(value) <= value_bytes for value in values)
 
 
 def test_the_first_end_of_a_job_stays() -> None:
@@ -125,8 +125,8 @@
     ends = Ends()
     for number in numbers:
         ends.add(f"j-{number:06d}", JobOutcome("done", 3))
-    size = sum(records.size_of(value) for value in ends.to_records(16 * 1024))
-    assert size * 4 < records.size_of(records.to_ranges(set(numbers)))
+    size = sum(records.json_bytes(value) for value in ends.to_records(16 * 1024))
+    assert size * 4 < records.json_bytes(records.to_ranges(set(numbers)))
 
 
 # -- snapshots -----------------------------------------------------------------------------------------------------
@@ -235,7 +235,7 @@
     chunk = {"a": max([p[0] for p in placed.values()], default=0), "d": done or [], "p": placed}
     return {
         records.active_key(job.id): active_record(job, 0.0, 24),
-        records.chunk_key(job.id, 0): separate_chunk(job, chunk, 24),
+        records.chunk_key(job.id, 0): detached_chunk_record(job, chunk, 24),
     }
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -289,7 +289,7 @@
     for numbers in (set(), {0}, {0, 1, 2, 7, 9, 10}):
         assert records.from_ranges(records.to_ranges(numbers)) == numbers
     assert records.split_chunk_key(records.chunk_key("j-000412", 17)) == ("j-000412", 17, 0)
-    assert records.split_chunk_key(records.part_key("j-000412", 17, 2)) == ("j-000412", 17, 2)
+    assert records.split_chunk_key(records.chunk_key("j-000412", 17, 2)) == ("j-000412", 17, 2)
     assert records.split_task("j-000412/3") == ("j-000412", 3)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -42,7 +42,7 @@
                     number = version.records.split_chunk_key(chunk_key)[1]
                     if number not in job.done_chunks:
                         job.load_chunk(number, chunk, 1)
-            job.recount()
+            version.part(job, "refresh_counts")()
             found[job.id] = {
                 "spec": version.messages.job_to_wire(job.spec),
                 "done": job.done,
@@ -295,20 +295,20 @@
 def test_a_chunk_in_pieces_is_the_same_chunk(placed: int, done: int, name: str) -> None:
     job, chunk = chunk_of(placed, done, name)
     values = chunk.records(job.spec, job.chunk_size, 2048)
-    assert all(records.size_of(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
+    assert all(records.json_bytes(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
     again = Job(job.spec, 0.0, 256)
     again.load_chunks(
         [
-            (records.part_key("j-1", 0, part), json.loads(json.dumps(value)), part + 5)
+            (records.chunk_key("j-1", 0, part), json.loads(json.dumps(value)), part + 5)
             for part, value in enumerate(values)
         ]
     )
-    again.recount()
+    again.refresh_counts()
     assert again.chunks[0].done == chunk.done and again.chunks[0].attempt == 999
     assert [(p.index, p.attempt, p.machine) for p in again.placements()] == [
         (p.index, p.attempt, p.machine) for p in job.placements()
     ]
-    assert {part: version for part, (version, _) in again.chunks[0].parts.items()} == {
+    assert {part: version for part, (version, _) in again.chunks[0].overflow.items()} == {
         part: part + 5 for part in range(1, len(values))
     }
     assert all(p.state != PlacementState.ENDED for p in again.placements())
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -24,6 +24,7 @@
     "parse_heartbeat": "parse_report",
     "holds_lease": "confirmed",
     "chunk_size": "size",
+    "refresh_counts": "recount",
 }
 """What earlier versions call the parts that the fakes use, where this version has another name."""
 
