--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -9,8 +9,8 @@
 
 from stileloft.machines.catalog import MachineCatalog
 from stileloft.model import records
-from stileloft.model.chunks import detached_chunk_record
-from stileloft.model.jobs import active_record
+from stileloft.model.chunk_records import detached_chunk_record
+from stileloft.model.job_records import active_record
 from stileloft.model.machines import fits_type
 from stileloft.protocol.messages import JobSpec, MachineType, job_from_wire, job_status_message
 from stileloft.protocol.state import (
@@ -71,7 +71,7 @@
         zones = {zone for kind in types.values() if fits_type(spec, kind) for zone in kind.zones}
         if spec.one_zone or spec.zone is not None or len(zones) < 2:
             return "half of its tasks would have to be in another zone, and all of them run at once"
-    if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.COURSE_BYTES > value_bytes:
+    if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.JOB_PROGRESS_BYTES > value_bytes:
         return "its description is too long to be stored"
     return None
 
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -9,7 +9,8 @@
 from stileloft.leadership.lease import LeaderLease
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
-from stileloft.model.jobs import EndPhase, Job, job_from_record
+from stileloft.model.job_records import job_from_record
+from stileloft.model.jobs import EndPhase, Job
 from stileloft.protocol.state import CompactedError, StateClient, UnavailableError, UnknownOutcomeError
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.clock import Clock
@@ -122,7 +123,7 @@
     def _is_unexplained(self, key: str) -> bool:
         """Whether a record that is gone belongs to a job that goes on as far as we know."""
         job = self._cluster.jobs.get(key[len(records.ACTIVE) :])
-        return job is not None and job.end_phase is None and not job.commit_in_flight
+        return job is not None and job.end_phase is None and not job.write.commit_in_flight
 
     def on_change(self, job_id: str, value: Any, version: int) -> None:
         """A job's record was written (`value`) or deleted (None) by somebody, perhaps by us."""
@@ -137,7 +138,6 @@
         """Takes in a job that is new to this leader."""
         with self._cluster.lock:
             job = job_from_record(value, version, self._first_chunk_size)
-            job.refresh_counts()
             self._jobs.adopt(job)
             for placement in job.placements():
                 self._lifecycle.attach(placement)
@@ -152,7 +152,7 @@
         with self._cluster.lock:
             # With no transaction in flight it was none of ours, and we know all that the store holds of it, unless
             # its record held a chunk, which has one of its own now.
-            unsettled = job.commit_in_flight or job.has_inline_chunk
+            unsettled = job.write.commit_in_flight or job.has_inline_chunk
             log.info("job record deleted job=%s revision=%d", job.id, version)
             self._lifecycle.end_job(job, EndPhase.UNSETTLED if unsettled else EndPhase.CANCELLED)
         self._settle(job)
@@ -162,7 +162,7 @@
         known = self._cluster.jobs.get(job.id) is job
         if not self._lease.active or not known or job.end_phase is not EndPhase.UNSETTLED:
             return
-        if job.commit_in_flight:
+        if job.write.commit_in_flight:
             self._clock.callLater(SETTLE_RETRY_S, self._settle, job)
         else:
             self._reload(job)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -81,10 +81,10 @@
         job = self._cluster.jobs.get(placement.job)
         if job is not None:
             job.chunk_of(placement.index).dirty = True
-            urgent = job.urgent
+            flush_now = job.write.flush_now
             self._cluster.mark_dirty(job)
             if placement.done:
-                job.coalesce_completions(self._clock.seconds(), urgent)
+                job.coalesce_completions(self._clock.seconds(), flush_now)
             if job.spec.is_gang:
                 self._clock.callLater(0, self._reconcile_gang_later, job)
         self._flush_timer.within(0.0)
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -11,7 +11,8 @@
 from stileloft.machines.provision_records import ProvisionRecords
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
-from stileloft.model.jobs import EndPhase, Job, job_from_record, placeholder_spec
+from stileloft.model.job_records import apply_chunk_records, cancelled_job, job_from_record
+from stileloft.model.jobs import Job
 from stileloft.protocol.state import Item, UnavailableError, UnknownOutcomeError
 from stileloft.store.access import LeaderStore
 from stileloft.store.format_upgrade import FormatUpgrade
@@ -24,8 +25,6 @@
 """Pause after the store refused to be read, in seconds."""
 DEFECT_RETRY_S = 1.0
 """Pause after any other error, in seconds."""
-UNKNOWN_CHUNK: dict[str, Any] = {"r": ["-", 0.0, 0.0, 0.0]}
-"""In place of a chunk's own record, when only further ones are left of it."""
 
 
 class UnresolvedTasks(Protocol):
@@ -119,12 +118,11 @@
         for job_id, items in by_job.items():
             found = self._cluster.jobs.get(job_id)
             if found is None:
-                found = self._cluster.jobs[job_id] = _orphaned_job(job_id, items, first_chunk_size)
-            found.load_chunks(items)
+                found = self._cluster.jobs[job_id] = cancelled_job(job_id, items, first_chunk_size)
+            apply_chunk_records(found, items)
 
     def _resume(self, job: Job) -> None:
         """Goes on with a job where the former leader left it."""
-        job.refresh_counts()
         for placement in job.placements():
             self._lifecycle.attach(placement)
         if self._store.format.has_chunk_sizes:
@@ -135,11 +133,3 @@
                 self._lifecycle.mark_all_dirty(job)
         elif job.spec.is_gang:
             self._lifecycle.reconcile_gang(job)
-
-
-def _orphaned_job(job_id: str, items: list[Item], first_chunk_size: int) -> Job:
-    """A job of which only chunks are left, as it was cancelled."""
-    whole = next((value for _, value, _ in items if "r" in value), UNKNOWN_CHUNK)
-    job = Job(placeholder_spec(job_id, whole["r"]), 0.0, whole.get("n", first_chunk_size))
-    job.end_phase = EndPhase.CANCELLED
-    return job
--- /dev/null
+++ b/stileloft/model/chunk_records.py
@@ -0,0 +1,142 @@
+"""Chunks to and from their stored forms."""
+
+from collections.abc import Iterable, Mapping
+
+import msgspec
+
+from stileloft.model.chunks import Chunk, ChunkStorage, OverflowRecord
+from stileloft.model.placements import Placement, PlacementState
+from stileloft.model.records.forms import (
+    ChunkOverflow,
+    ChunkRecord,
+    InlineChunk,
+    StoredPlacement,
+    StoredValue,
+    TaskResources,
+    read_chunk,
+    read_overflow,
+    to_stored,
+)
+from stileloft.model.records.ranges import from_ranges, to_ranges
+from stileloft.model.records.sizes import MAX_RANGE_BYTES, json_bytes, max_placement_bytes
+from stileloft.protocol.messages import JobSpec
+
+EMPTY_OVERFLOW_BYTES = json_bytes(to_stored(ChunkOverflow()))
+
+
+def inline_chunk(chunk: Chunk) -> InlineChunk:
+    """The form in which a job's record holds its only chunk."""
+    completed = {p.index for p in chunk.ended_placements() if p.done}
+    return InlineChunk(
+        attempt=chunk.attempt,
+        done=to_ranges(chunk.done | completed),
+        placements={p.index: stored_placement(p) for p in chunk.live_placements()},
+    )
+
+
+def stored_placement(placement: Placement) -> StoredPlacement:
+    """The stored form of a placement."""
+    return StoredPlacement(placement.attempt, placement.machine, placement.zone, int(placement.spot))
+
+
+def chunk_record(content: InlineChunk, spec: JobSpec, chunk_size: int | None) -> ChunkRecord:
+    """The main record of a chunk with this content; `chunk_size` is None before format 1."""
+    return ChunkRecord(
+        resources=TaskResources(spec.team, spec.cpus, spec.gpus or 0.0, spec.memory_gb),
+        attempt=content.attempt,
+        done=content.done,
+        placements=content.placements,
+        chunk_size=msgspec.UNSET if chunk_size is None else chunk_size,
+    )
+
+
+def whole_chunk_value(chunk: Chunk, spec: JobSpec, chunk_size: int | None) -> StoredValue:
+    """The chunk as one record, however large."""
+    return to_stored(chunk_record(inline_chunk(chunk), spec, chunk_size))
+
+
+def chunk_values(chunk: Chunk, spec: JobSpec, chunk_size: int, value_bytes: int) -> list[StoredValue]:
+    """The chunk's main record and the overflow records that it takes, each within the limit."""
+    record = chunk_record(inline_chunk(chunk), spec, chunk_size)
+    whole = to_stored(record)
+    if _max_chunk_bytes(chunk, spec, chunk_size) <= value_bytes or json_bytes(whole) <= value_bytes:
+        return [whole]
+    empty = msgspec.structs.replace(record, placements={})
+    main, *further = _pack(record.placements, value_bytes - json_bytes(to_stored(empty)), value_bytes)
+    overflow = [to_stored(ChunkOverflow(placements)) for placements in further]
+    return [to_stored(msgspec.structs.replace(record, placements=main)), *overflow]
+
+
+def _pack(
+    placements: Mapping[int, StoredPlacement], main_room: int, value_bytes: int
+) -> list[dict[int, StoredPlacement]]:
+    """Placements in groups, the first of which fits into the main record and each other into an overflow record."""
+    groups: list[dict[int, StoredPlacement]] = [{}]
+    room = main_room
+    for index, placement in placements.items():
+        needed = json_bytes(to_stored({index: placement}))
+        if needed > room:
+            groups.append({})
+            room = value_bytes - EMPTY_OVERFLOW_BYTES
+        groups[-1][index] = placement
+        room -= needed
+    return groups
+
+
+def detached_chunk_record(spec: JobSpec, inline: StoredValue, chunk_size: int | None) -> StoredValue:
+    """The main record of a chunk that a job's record held."""
+    content = msgspec.convert(inline, InlineChunk, str_keys=True)
+    return to_stored(chunk_record(content, spec, chunk_size))
+
+
+def max_placements_bytes(placements: Iterable[Placement]) -> int:
+    """No less than placements take in a record, found without encoding them."""
+    return sum(max_placement_bytes(p.machine, p.zone) for p in placements)
+
+
+def _max_chunk_bytes(chunk: Chunk, spec: JobSpec, chunk_size: int) -> int:
+    """No less than a chunk takes as one record, found without encoding its placements."""
+    empty = chunk_record(InlineChunk(attempt=chunk.attempt), spec, chunk_size)
+    ranges = len(chunk.done) + len(chunk.placements)
+    return json_bytes(to_stored(empty)) + max_placements_bytes(chunk.placements.values()) + MAX_RANGE_BYTES * ranges
+
+
+def load_inline_chunk(job: str, inline: InlineChunk, known: Chunk | None) -> Chunk:
+    """The chunk that a job's record holds."""
+    chunk = Chunk(attempt=inline.attempt, done=from_ranges(inline.done), storage=ChunkStorage.INLINE)
+    chunk.placements = _load_placements(job, inline.placements, known)
+    return chunk
+
+
+def load_chunk(job: str, versioned: Mapping[int, tuple[StoredValue, int]], known: Chunk | None) -> Chunk:
+    """A chunk of its records' values and versions, by overflow number; what is known of its tasks is kept.
+
+    Overflow records may be there without the main one.
+    """
+    main, version = versioned.get(0, ({}, 0))
+    record = read_chunk(main)
+    chunk = Chunk(
+        version=version, attempt=record.attempt, done=from_ranges(record.done), storage=ChunkStorage.OWN_RECORDS
+    )
+    placements = dict(record.placements)
+    for number, (value, overflow_version) in versioned.items():
+        if number:
+            chunk.overflow[number] = OverflowRecord(overflow_version, value)
+            placements |= read_overflow(value).placements
+    chunk.placements = _load_placements(job, placements, known)
+    return chunk
+
+
+def _load_placements(job: str, stored: Mapping[int, StoredPlacement], known: Chunk | None) -> dict[int, Placement]:
+    """Placements as stored; those that are known and unchanged stay the objects that they are."""
+    known_placements = known.placements if known else {}
+    placements: dict[int, Placement] = {}
+    for index, new in stored.items():
+        old = known_placements.get(index)
+        if old is not None and old.attempt == new.attempt and old.machine == new.machine:
+            if old.state == PlacementState.PLANNED:
+                old.state = PlacementState.BOUND
+            placements[index] = old
+        else:
+            placements[index] = Placement(job, index, new.attempt, new.machine, new.zone, bool(new.spot))
+    return placements
--- a/stileloft/model/chunks.py
+++ b/stileloft/model/chunks.py
@@ -1,80 +1,53 @@
-"""Runs of a job's task numbers that share a record in the store."""
+"""Ranges of a job's task numbers that are stored together."""
 
-from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from enum import Enum, auto
+from typing import NamedTuple
 
-from stileloft.model import records
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.protocol.messages import JobSpec
+from stileloft.model.records import StoredValue
 
 
-@dataclass(slots=True)
-class Chunk:
-    """A run of task numbers, as its record in the store."""
-
-    version: int = 0
-    attempt: int = 0
-    done: set[int] = field(default_factory=set)
-    placements: dict[int, Placement] = field(default_factory=dict)
-    dirty: bool = False
-    stored: bool = False
-    overflow: dict[int, tuple[int, Any]] = field(default_factory=dict)
-    """Version and value of its further records in the store."""
+class ChunkStorage(Enum):
+    """Where the store holds a chunk."""
 
-    inline: bool = False
-    """The job's own record holds it."""
+    NOT_STORED = auto()
+    INLINE = auto()
+    """In the job's own record."""
+    OWN_RECORDS = auto()
 
-    def inline_record(self) -> dict[str, Any]:
-        """What a job's own record says of its only chunk."""
-        return {
-            "a": self.attempt,
-            "d": records.to_ranges(
-                self.done | {i for i, p in self.placements.items() if p.state == PlacementState.ENDED and p.done}
-            ),
-            "p": {
-                str(i): [p.attempt, p.machine, p.zone, 1 if p.spot else 0]
-                for i, p in self.placements.items()
-                if p.state != PlacementState.ENDED
-            },
-        }
 
-    def record(self, spec: JobSpec, size: int | None = None) -> dict[str, Any]:
-        """The whole chunk as one value; with its length, from format 1 on."""
-        return detached_chunk_record(spec, self.inline_record(), size)
+class OverflowRecord(NamedTuple):
+    """An overflow record, as the store holds it."""
 
-    def _most_bytes(self, spec: JobSpec, size: int) -> int:
-        """No less than its own record takes, found without encoding its placements."""
-        empty = detached_chunk_record(spec, {"a": self.attempt, "d": [], "p": {}}, size)
-        ranges = len(self.done) + len(self.placements)
-        return records.json_bytes(empty) + max_placements_bytes(self.placements.values()) + records.RANGE_BYTES * ranges
+    version: int
+    """0 if there is none yet."""
+    value: StoredValue | None
 
-    def records(self, spec: JobSpec, size: int, value_bytes: int) -> list[dict[str, Any]]:
-        """The chunk as its own record and the further ones that it takes, each within the limit."""
-        first = self.record(spec, size)
-        if self._most_bytes(spec, size) <= value_bytes or records.json_bytes(first) <= value_bytes:
-            return [first]
-        placed, first["p"] = first["p"], {}
-        found = [first]
-        room = value_bytes - records.json_bytes(first)
-        for index, placement in placed.items():
-            need = records.json_bytes({index: placement})
-            if need > room:
-                found.append({"p": {}})
-                room = value_bytes - records.json_bytes(found[-1])
-            found[-1]["p"][index] = placement
-            room -= need
-        return found
 
+MISSING_OVERFLOW = OverflowRecord(0, None)
 
-def max_placements_bytes(placements: Iterable[Placement]) -> int:
-    """No less than placements take in a record, found without encoding them."""
-    return sum(
-        records.PLACEMENT_BYTES + records.max_text_bytes(p.machine) + records.max_text_bytes(p.zone) for p in placements
-    )
 
+@dataclass(slots=True)
+class Chunk:
+    """A range of a job's task numbers: finished tasks, placements, and what the store holds of them."""
 
-def detached_chunk_record(spec: JobSpec, inline: dict[str, Any], size: int | None) -> dict[str, Any]:
-    """A chunk's own record, which also says what its tasks take: the job's record may be gone when it is read."""
-    record = {"r": [spec.team, spec.cpus, spec.gpus or 0.0, spec.memory_gb], **inline}
-    return record if size is None else record | {"n": size}
+    version: int = 0
+    """The version of its main record; 0 if there is none."""
+    attempt: int = 0
+    """The highest attempt that was given to one of its tasks."""
+    done: set[int] = field(default_factory=set)
+    placements: dict[int, Placement] = field(default_factory=dict)
+    dirty: bool = False
+    """Whether it differs from what the store holds, as far as known."""
+    storage: ChunkStorage = ChunkStorage.NOT_STORED
+    overflow: dict[int, OverflowRecord] = field(default_factory=dict)
+    """Its overflow records in the store, by their numbers."""
+
+    def live_placements(self) -> list[Placement]:
+        """Placements whose tasks may still be on their machines."""
+        return [p for p in self.placements.values() if p.state != PlacementState.ENDED]
+
+    def ended_placements(self) -> list[Placement]:
+        """Placements whose tasks are certainly gone, and which the store may still hold."""
+        return [p for p in self.placements.values() if p.state == PlacementState.ENDED]
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -25,19 +25,19 @@
         self.nominations: dict[TaskKey, Nomination] = {}
         self.placement_backoff: dict[tuple[str, str], float] = {}
         """Pairs of job and machine that are not to be tried again, and until when."""
-        self._turns = itertools.count(1)
+        self._write_orders = itertools.count(1)
 
     def mark_dirty(self, job: Job) -> None:
         """Something of the job has to be written, and does not wait."""
-        if not job.urgent:
-            job.write_order = next(self._turns)
-        job.dirty = job.urgent = True
+        if not job.write.flush_now:
+            job.write.order = next(self._write_orders)
+        job.write.dirty = job.write.flush_now = True
         self.dirty[job.id] = None
 
     def mark_counts_dirty(self, job: Job) -> None:
         """The counts that users see of the job may have changed."""
         if job.id not in self.dirty:
-            job.write_order = next(self._turns)
+            job.write.order = next(self._write_orders)
             self.dirty[job.id] = None
 
     def dirty_jobs(self) -> list[Job]:
--- /dev/null
+++ b/stileloft/model/job_records.py
@@ -0,0 +1,132 @@
+"""Jobs to and from their records in the store."""
+
+from collections.abc import Iterable
+
+import msgspec
+
+from stileloft.model.chunk_records import inline_chunk, load_chunk, load_inline_chunk, max_placements_bytes
+from stileloft.model.jobs import EndPhase, Job
+from stileloft.model.records.forms import (
+    ActiveRecord,
+    ChunkRecord,
+    StoredCounts,
+    StoredValue,
+    TaskResources,
+    read_active,
+    read_chunk,
+    to_stored,
+)
+from stileloft.model.records.keys import split_chunk_key
+from stileloft.model.records.ranges import from_ranges, to_ranges
+from stileloft.model.records.sizes import JOB_PROGRESS_BYTES, MAX_RANGE_BYTES, json_bytes
+from stileloft.protocol.messages import MAX_TASKS, JobSpec
+from stileloft.protocol.state import Item
+
+UNKNOWN_RESOURCES = TaskResources("-", 0.0, 0.0, 0.0)
+"""In place of what a chunk's main record says, when only overflow records are left of it."""
+
+
+def active_record(spec: JobSpec, submitted: float, chunk_size: int | None) -> StoredValue:
+    """The record of a job that has just been accepted; `chunk_size` is None before format 1."""
+    return to_stored(ActiveRecord(spec, submitted, chunk_size=msgspec.UNSET if chunk_size is None else chunk_size))
+
+
+def job_record(job: Job, has_chunk_size: bool, with_chunk: bool = False) -> ActiveRecord:
+    """A job's record.
+
+    From format 1 on it has the size of the job's chunks (`has_chunk_size`), and so has the record of a job that was
+    accepted then. With the only chunk in it, whoever writes the record writes that too, or placements would be lost.
+    """
+    record = ActiveRecord(
+        job.spec,
+        job.submitted,
+        finished_chunks=to_ranges(job.finished_chunks),
+        counts=StoredCounts(job.done, job.running()),
+        preemption_count=job.preemption_count,
+    )
+    if has_chunk_size or job.stores_chunk_size:
+        record.chunk_size = job.chunk_size
+    if with_chunk and 0 in job.chunks:
+        record.chunk = inline_chunk(job.chunks[0])
+    return record
+
+
+def max_inline_record_bytes(job: Job) -> int:
+    """No less than a job's record takes with its only chunk in it, found without encoding the chunk."""
+    if job.max_record_bytes is None:
+        job.max_record_bytes = json_bytes(to_stored(job_record(job, True))) + JOB_PROGRESS_BYTES
+    chunk = job.chunks.get(0)
+    if chunk is None:
+        return job.max_record_bytes
+    ranges = len(chunk.done) + len(chunk.placements)
+    return job.max_record_bytes + max_placements_bytes(chunk.placements.values()) + MAX_RANGE_BYTES * ranges
+
+
+def job_from_record(value: StoredValue, version: int, default_chunk_size: int) -> Job:
+    """A job of its record; chunks have the default size if the record does not say theirs."""
+    record = read_active(value)
+    job = Job(record.spec, record.submitted, default_chunk_size)
+    if record.chunk_size is not msgspec.UNSET:
+        job.chunk_size = record.chunk_size
+    _apply(job, record, version)
+    apply_chunk_records(job, [])
+    return job
+
+
+def apply_job_record(job: Job, value: StoredValue, version: int) -> None:
+    """Brings a job in line with its record in the store."""
+    _apply(job, read_active(value), version)
+
+
+def _apply(job: Job, record: ActiveRecord, version: int) -> None:
+    job.version = version
+    job.stores_chunk_size = record.chunk_size is not msgspec.UNSET
+    job.inline_chunk = None if record.chunk is msgspec.UNSET else record.chunk
+    job.finished_chunks = from_ranges(record.finished_chunks)
+    if record.preemption_count is not msgspec.UNSET:
+        job.preemption_count = max(job.preemption_count, record.preemption_count)
+    job.write.stored_counts = record.counts
+    job.started = job.started or record.counts.done > 0 or record.counts.running > 0
+
+
+def apply_chunk_records(job: Job, items: Iterable[Item]) -> None:
+    """Brings a job's chunks in line with all their records in the store, and counts its tasks anew."""
+    by_chunk: dict[int, dict[int, tuple[StoredValue, int]]] = {}
+    for key, value, version in items:
+        _, number, overflow = split_chunk_key(key)
+        by_chunk.setdefault(number, {})[overflow] = value, version
+    before, job.chunks = job.chunks, {}
+    for number, versioned in by_chunk.items():
+        if number not in job.finished_chunks:
+            job.chunks[number] = load_chunk(job.id, versioned, before.get(number))
+    if job.inline_chunk is not None and 0 not in job.chunks:
+        job.chunks[0] = load_inline_chunk(job.id, job.inline_chunk, before.get(0))
+    job.refresh_counts()
+
+
+def cancelled_job(job_id: str, items: Iterable[Item], default_chunk_size: int) -> Job:
+    """A job of which only chunks are left, as it was cancelled: enough of it to count and stop its tasks."""
+    records = (read_chunk(value) for _, value, _ in items)
+    main = next((record for record in records if record.resources is not msgspec.UNSET), ChunkRecord())
+    resources = UNKNOWN_RESOURCES if main.resources is msgspec.UNSET else main.resources
+    chunk_size = default_chunk_size if main.chunk_size is msgspec.UNSET else main.chunk_size
+    job = Job(_placeholder_spec(job_id, resources), 0.0, chunk_size)
+    job.end_phase = EndPhase.CANCELLED
+    return job
+
+
+def _placeholder_spec(job_id: str, resources: TaskResources) -> JobSpec:
+    return JobSpec(
+        id=job_id,
+        job_class="-",
+        team=resources.team,
+        kind="array",
+        priority="idle",
+        tasks=MAX_TASKS,
+        cpus=resources.cpus,
+        gpus=resources.gpus,
+        memory_gb=resources.memory_gb,
+        image="-",
+        image_gb=0.0,
+        estimate_s=0.0,
+    )
--- /dev/null
+++ b/stileloft/model/records/outcomes.py
@@ -0,0 +1,18 @@
+"""How jobs ended."""
+
+from typing import NamedTuple
+
+from stileloft.model.records.forms import FinalRecord, StoredValue, to_stored
+
+
+class JobOutcome(NamedTuple):
+    """How a job ended."""
+
+    phase: str
+    tasks: int
+    """Its tasks that were done, for display."""
+
+
+def final_record(phase: str, tasks: int) -> StoredValue:
+    """The record of a job's end; only a job that is done has its tasks counted."""
+    return to_stored(FinalRecord(phase, tasks if phase == "done" else 0))
--- /dev/null
+++ b/stileloft/model/records/ranges.py
@@ -0,0 +1,20 @@
+"""Sets of task or chunk numbers as ranges, which is how they are stored."""
+
+Ranges = list[list[int]]
+"""Sorted, half-open ranges: pairs of the first number and the one after the last."""
+
+
+def to_ranges(numbers: set[int]) -> Ranges:
+    """The shortest ranges that cover just these numbers."""
+    ranges: Ranges = []
+    for number in sorted(numbers):
+        if ranges and ranges[-1][1] == number:
+            ranges[-1][1] = number + 1
+        else:
+            ranges.append([number, number + 1])
+    return ranges
+
+
+def from_ranges(ranges: Ranges) -> set[int]:
+    """All numbers in the ranges."""
+    return {number for low, high in ranges for number in range(low, high)}
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -119,7 +119,7 @@
         job.refresh_counts()
         self._flush_timer.within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
-        return decided and not job.dirty and not job.commit_in_flight
+        return decided and not job.write.dirty and not job.write.commit_in_flight
 
 
 async def decide(node: "Controller", job: str, task: int | None, decision: str) -> dict[str, Any] | None:
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.model.chunks import detached_chunk_record
+from stileloft.model.chunk_records import detached_chunk_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import EXITED, Heartbeat, JobSpec, TaskStatus, job_from_wire
 from stileloft.rebuild import unresolved_tasks as undecided
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -2,7 +2,7 @@
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
-from stileloft.model import records
+from stileloft.model.chunks import MISSING_OVERFLOW, ChunkStorage, OverflowRecord
 from stileloft.model.jobs import EndPhase
 from stileloft.model.placements import PlacementState
 from stileloft.store.job_transaction import JobTransaction
@@ -20,17 +20,17 @@
     def apply(self, part: JobTransaction, revision: int) -> None:
         """A job's part of a transaction was executed at this revision of the store."""
         job = part.job
-        job.commit_in_flight = False
+        job.write.commit_in_flight = False
         self._settle_placements(part)
         self._settle_chunks(part, revision)
         if part.ends_job:
             job.done = job.spec.tasks
             self._lifecycle.end_job(job, EndPhase.DONE)
         elif part.writes_job_record:
-            job.stores_chunk_size = "n" in part.puts[records.active_key(job.id)]
+            job.stores_chunk_size = part.has_chunk_size
             job.version = revision
-            job.stored_counts = part.counts
-            job.counts_stored_at = self._clock.seconds()
+            job.write.stored_counts = part.counts
+            job.write.counts_stored_at = self._clock.seconds()
         if job.end_phase and not job.chunks:
             self._jobs.remove(job)
 
@@ -55,15 +55,15 @@
         job = part.job
         for number in part.written_chunks:
             chunk = job.chunks[number]
-            chunk.inline, chunk.stored = part.is_inline, not part.is_inline
             if part.is_inline:
+                chunk.storage = ChunkStorage.INLINE
                 continue
+            chunk.storage = ChunkStorage.OWN_RECORDS
             chunk.version = revision
-            before = chunk.overflow
-            chunk.overflow = {}
-            for index, value in enumerate(part.overflow.get(number, ()), 1):
-                version, stored = before.get(index, (0, None))
-                chunk.overflow[index] = (version if stored == value else revision, value)
+            before, chunk.overflow = chunk.overflow, {}
+            for overflow, value in enumerate(part.overflow.get(number, ()), 1):
+                version, stored = before.get(overflow, MISSING_OVERFLOW)
+                chunk.overflow[overflow] = OverflowRecord(version if stored == value else revision, value)
         for number in part.folded_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -15,17 +15,15 @@
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
+from stileloft.model.records.forms import StoredCounts
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.store.access import LeaderStore
 from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
-from stileloft.store.job_transaction import (
-    COUNTS_INTERVAL_S,
-    MAX_COUNTS_DELAY_S,
-    JobTransaction,
-    JobTransactionBuilder,
-)
+from stileloft.store.job_record_policy import COUNTS_INTERVAL_S, MAX_COUNTS_DELAY_S
+from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_transaction_builder import JobTransactionBuilder
 from stileloft.store.transaction_batch import JOB_END_CHANGES, TransactionBatch
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
@@ -104,18 +102,22 @@
         """The dirty jobs that can be written now, what something waits for first."""
         due = []
         for job in self._cluster.dirty_jobs():
-            if not job.dirty and now < job.write_checked_at + COUNTS_CHECK_S:
-                self._flush_timer.within(job.write_checked_at + COUNTS_CHECK_S - now)  # only its counts can differ
-            elif job.coalescing_since is not None and not job.urgent and now < job.coalescing_since + COALESCE_S:
-                self._flush_timer.within(job.coalescing_since + COALESCE_S - now)
-            elif self._is_paced(job) and now < job.commit_began_at + COALESCE_S:
-                self._flush_timer.within(job.commit_began_at + COALESCE_S - now)
-            elif not job.commit_in_flight:
+            if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
+                self._flush_timer.within(job.write.checked_at + COUNTS_CHECK_S - now)  # only its counts can differ
+            elif (
+                job.write.coalescing_since is not None
+                and not job.write.flush_now
+                and now < job.write.coalescing_since + COALESCE_S
+            ):
+                self._flush_timer.within(job.write.coalescing_since + COALESCE_S - now)
+            elif self._is_paced(job) and now < job.write.commit_began_at + COALESCE_S:
+                self._flush_timer.within(job.write.commit_began_at + COALESCE_S - now)
+            elif not job.write.commit_in_flight:
                 due.append(job)
         # Under a burst the budget does not suffice for all. First what something waits for: placements, and
         # ends; completions and counts only until users would see them too late. Then each job in its turn: by their
         # age, an array of tens of thousands of tasks would use up the budget, and small jobs wait until it is done.
-        due.sort(key=lambda job: (not _is_waited_for(job, now), -job.spec.rank, job.write_order))
+        due.sort(key=lambda job: (not _is_waited_for(job, now), -job.spec.rank, job.write.order))
         return due
 
     def _is_paced(self, job: Job) -> bool:
@@ -147,7 +149,7 @@
             if batch.is_full():
                 rest.append(job)
                 continue
-            job.write_checked_at = now
+            job.write.checked_at = now
             part = self._builder.build(job, batch.room)
             if part is None:
                 self._record_unchanged(job)
@@ -157,11 +159,11 @@
 
     def _record_unchanged(self, job: Job) -> None:
         """Nothing of the job has to be written, unless its counts change."""
-        job.dirty = any(chunk.dirty for chunk in job.chunks.values())
-        if job.dirty:
+        job.write.dirty = any(chunk.dirty for chunk in job.chunks.values())
+        if job.write.dirty:
             return
         self._cluster.dirty.pop(job.id, None)
-        if not job.end_phase and (job.done, job.running()) != job.stored_counts:
+        if not job.end_phase and StoredCounts(job.done, job.running()) != job.write.stored_counts:
             self._cluster.mark_counts_dirty(job)
             self._flush_timer.within(COUNTS_INTERVAL_S / 2)
 
@@ -175,9 +177,9 @@
 
     def _begin(self, batch: TransactionBatch) -> None:
         for part in batch.parts:
-            part.job.commit_in_flight = True
-            part.job.commit_began_at = self._clock.seconds()
-            part.job.urgent, part.job.coalescing_since = False, None
+            part.job.write.commit_in_flight = True
+            part.job.write.commit_began_at = self._clock.seconds()
+            part.job.write.flush_now, part.job.write.coalescing_since = False, None
             for number in part.chunks:
                 part.job.chunks[number].dirty = False
         self._in_flight += 1
@@ -254,7 +256,7 @@
         self._in_flight -= 1
         log.info("commit outcome unknown jobs=%d: %s", len(parts), error)
         for part in parts:
-            part.job.has_unresolved_commit = True
+            part.job.write.has_unresolved_commit = True
             self._reload(part.job)
 
     def _retry_later(self, parts: list[JobTransaction]) -> None:
@@ -267,7 +269,7 @@
 
     def _requeue(self, part: JobTransaction) -> None:
         """Nothing was written: what the part is about is dirty still."""
-        part.job.commit_in_flight = False
+        part.job.write.commit_in_flight = False
         for number in part.chunks:
             part.job.chunks[number].dirty = True
         self._cluster.mark_dirty(part.job)
@@ -275,4 +277,4 @@
 
 def _is_waited_for(job: Job, now: float) -> bool:
     """Whether something waits for the job's changes, or users would see them too late."""
-    return job.urgent or now > job.counts_stored_at + MAX_COUNTS_DELAY_S
+    return job.write.flush_now or now > job.write.counts_stored_at + MAX_COUNTS_DELAY_S
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -5,6 +5,7 @@
 
 from stileloft.leadership.lease import LeaderLease
 from stileloft.model import records
+from stileloft.model.chunk_records import whole_chunk_value
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.protocol.peers import PeerClient
@@ -91,7 +92,8 @@
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
-                and records.json_bytes(chunk.record(job.spec, job.chunk_size)) > self._store.limits.value_bytes
+                and records.json_bytes(whole_chunk_value(chunk, job.spec, job.chunk_size))
+                > self._store.limits.value_bytes
             ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -11,6 +11,7 @@
 from stileloft.jobs.task_lifecycle import TaskLifecycle
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
+from stileloft.model.job_records import apply_chunk_records, apply_job_record
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.model.placements import PlacementState
 from stileloft.protocol.state import ConflictError, Item, UnavailableError, UnknownOutcomeError
@@ -61,7 +62,7 @@
 
     def reload(self, job: Job) -> None:
         """Has a job read from the store."""
-        job.commit_in_flight = True
+        job.write.commit_in_flight = True
         if not job.reload_pending:
             job.reload_pending = True
             defer.ensureDeferred(self._reload(job))
@@ -98,7 +99,7 @@
             final = await client.get(records.final_key(job.id))
             end_phase = EndPhase(final[0]["phase"]) if final else EndPhase.CANCELLED
         record = None if found is None else found[:2]
-        if record is not None and job.has_unresolved_commit:
+        if record is not None and job.write.has_unresolved_commit:
             record = await self._fence_unresolved_commit(key, *record)
         chunks, _ = await client.scan(f"{records.TASKS}{job.id}/")
         return StoredJob(record, end_phase, chunks)
@@ -117,12 +118,11 @@
         """Takes the store's word for a job."""
         before = list(job.placements())
         if stored.record is not None:
-            job.load_active(*stored.record)
+            apply_job_record(job, *stored.record)
         else:
-            job.inline_value = None  # whoever removed the record gave its chunk one of its own
-        job.load_chunks(stored.chunks)
-        job.refresh_counts()
-        job.commit_in_flight = job.reload_pending = job.has_unresolved_commit = False
+            job.inline_chunk = None  # whoever removed the record gave its chunk one of its own
+        apply_chunk_records(job, stored.chunks)
+        job.write.commit_in_flight = job.reload_pending = job.write.has_unresolved_commit = False
         self._reconcile_placements(job, before)
         if any(chunk.dirty for chunk in job.chunks.values()):
             self._cluster.mark_dirty(job)
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -125,7 +125,7 @@
         for placement in unseen:
             job = cluster.jobs.get(placement.job)
             if job is not None and not cluster.blocks_starts(job.id):
-                if not job.commit_in_flight:
+                if not job.write.commit_in_flight:
                     job.chunk_of(placement.index).dirty = True
                     cluster.mark_dirty(job)
                     self._flush_timer.within(0.0)
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -9,7 +9,10 @@
 from hypothesis import strategies as st
 
 from stileloft.model import records
-from stileloft.model.jobs import Job, job_from_record
+from stileloft.model.chunk_records import chunk_values
+from stileloft.model.chunks import ChunkStorage
+from stileloft.model.job_records import apply_chunk_records, job_from_record, job_record, max_inline_record_bytes
+from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
@@ -162,19 +165,19 @@
     chunk.attempt, chunk.done = 3, {0, 4}
     job.add(Placement("j-1", 1, 2, "n-000001", "a", True))
     job.add(Placement("j-1", 2, 3, "n-000002", "b", False))
-    value = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
+    value = records.to_stored(job_record(job, True, with_chunk=True))
     again = job_from_record(json.loads(json.dumps(value)), 9, 5)
-    again.refresh_counts()
     assert (again.done, again.placed, again.version, again.chunk_size) == (2, 2, 9, 22)
     read = again.chunks[0]
-    assert (read.attempt, read.done, read.inline, read.stored) == (3, {0, 4}, True, False)
+    assert (read.attempt, read.done, read.storage) == (3, {0, 4}, ChunkStorage.INLINE)
     assert [(p.index, p.attempt, p.machine, p.zone, p.spot) for p in again.placements()] == [
         (1, 2, "n-000001", "a", True),
         (2, 3, "n-000002", "b", False),
     ]
     # A record of its own, as a cancellation leaves it, counts for more than what the job's record said before.
-    again.load_chunks([(records.chunk_key("j-1", 0), {"a": 4, "d": [[0, 5]], "p": {}}, 12)])
-    assert (again.chunks[0].attempt, again.chunks[0].inline, again.chunks[0].version) == (4, False, 12)
+    apply_chunk_records(again, [(records.chunk_key("j-1", 0), {"a": 4, "d": [[0, 5]], "p": {}}, 12)])
+    read = again.chunks[0]
+    assert (read.attempt, read.storage, read.version) == (4, ChunkStorage.OWN_RECORDS, 12)
 
 
 def test_a_leader_that_has_not_read_the_format_tells_the_length_of_chunks() -> None:
@@ -233,8 +236,9 @@
     for index in set(range(job.spec.tasks)) - chunk.done:
         name = names[index % len(names)]
         job.add(Placement(job.id, index, attempts, name, name[::-1], index % 2 == 0))
-    record = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
-    assert records.json_bytes(record) <= job.max_inline_record_bytes()
+    record = records.to_stored(job_record(job, True, with_chunk=True))
+    assert records.INLINE_CHUNK in record
+    assert records.json_bytes(record) <= max_inline_record_bytes(job)
 
 
 NAMES = st.text(min_size=1, max_size=60)
@@ -251,7 +255,7 @@
     for index in range(placed):
         name = names[index % len(names)]
         job.add(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
-    values = job.chunk_of(0).records(job.spec, job.chunk_size, value_bytes)
+    values = chunk_values(job.chunk_of(0), job.spec, job.chunk_size, value_bytes)
     assert all(records.json_bytes(value) <= value_bytes for value in values)
     assert sum(len(value["p"]) for value in values) == placed
 
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -11,8 +11,8 @@
 
 from stileloft.features import FeaturesError, parse
 from stileloft.model import records
-from stileloft.model.chunks import detached_chunk_record
-from stileloft.model.jobs import active_record
+from stileloft.model.chunk_records import detached_chunk_record
+from stileloft.model.job_records import active_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import Heartbeat, JobSpec, TaskStatus, parse_job
 from stileloft.rebuild import unresolved_tasks as undecided
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -297,6 +297,7 @@
     """A chunk with every task placed on machines of long names."""
     import orjson
 
+    from stileloft.model.chunk_records import whole_chunk_value
     from stileloft.model.jobs import Job
     from stileloft.model.placements import Placement
 
@@ -306,7 +307,7 @@
         held = Job(spec, 0.0, size)
         for index in range(size):
             held.add(Placement(spec.id, index, 123456, "n-" + "9" * 18, "zone-of-a-long-name-1", True))
-        assert len(orjson.dumps(held.chunks[0].record(spec))) < value_kb * 1024
+        assert len(orjson.dumps(whole_chunk_value(held.chunks[0], spec, None))) < value_kb * 1024
 
 
 def test_a_restarted_leader_ends_its_former_lease_at_once() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,8 +8,10 @@
 import pytest
 
 from stileloft.model import records
+from stileloft.model.chunk_records import chunk_values
 from stileloft.model.chunks import Chunk
-from stileloft.model.jobs import Job, job_from_record
+from stileloft.model.job_records import apply_chunk_records, job_from_record
+from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import JobSpec, job_from_wire
 from stileloft.protocol.peers import PeerView
@@ -36,7 +38,7 @@
             job = version.job_from_record(value, 1, size)
             chunks = [(k, v, 1) for k, v in sorted(items.items()) if k.startswith(f"{records.TASKS}{job.id}/")]
             if version is NEW:
-                job.load_chunks(chunks)
+                apply_chunk_records(job, chunks)
             else:
                 for chunk_key, chunk, _ in chunks:
                     number = version.records.split_chunk_key(chunk_key)[1]
@@ -294,16 +296,16 @@
 )
 def test_a_chunk_in_pieces_is_the_same_chunk(placed: int, done: int, name: str) -> None:
     job, chunk = chunk_of(placed, done, name)
-    values = chunk.records(job.spec, job.chunk_size, 2048)
+    values = chunk_values(chunk, job.spec, job.chunk_size, 2048)
     assert all(records.json_bytes(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
     again = Job(job.spec, 0.0, 256)
-    again.load_chunks(
+    apply_chunk_records(
+        again,
         [
             (records.chunk_key("j-1", 0, part), json.loads(json.dumps(value)), part + 5)
             for part, value in enumerate(values)
-        ]
+        ],
     )
-    again.refresh_counts()
     assert again.chunks[0].done == chunk.done and again.chunks[0].attempt == 999
     assert [(p.index, p.attempt, p.machine) for p in again.placements()] == [
         (p.index, p.attempt, p.machine) for p in job.placements()
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -79,7 +79,7 @@
         messages=_module(package, "protocol.messages"),
         connection_failed=_attribute(client, "ConnectionFailedError", "Refused"),
         no_response=_attribute(client, "NoResponseError", "Unanswered"),
-        job_from_record=_module(package, "model.jobs", "bookkeeping.model").job_from_record,
+        job_from_record=_module(package, "model.job_records", "model.jobs", "bookkeeping.model").job_from_record,
         records=_module(package, "model.records", "bookkeeping.records"),
         is_legacy=hasattr(controller, "Node"),
     )
