--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,10 +20,12 @@
 from tests.simulation.world import World
 from tests.test_gangs import gang, gang_load
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
-from tests.versions import NEW, Version, production
+from tests.versions import LAST_LEGACY, NEW, Version, from_history, production
 
 STORED = Path(__file__).parent / "production.json"
 """What nodes of the version in production had stored and told each other in the middle of a day: `make_fixture`."""
+STORED_BY_LAST_LEGACY = Path(__file__).parent / "stored_44d00d6.json"
+"""What the last version before the change of names had stored in the middle of a day: `make_last_legacy_fixture`."""
 COMING = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}
 
 old = pytest.mark.skipif(production() is None, reason="the checkout lacks the history: the fixture stands in for it")
@@ -39,6 +41,8 @@
             chunks = [(k, v, 1) for k, v in sorted(items.items()) if k.startswith(f"{records.TASKS}{job.id}/")]
             if version is NEW:
                 apply_chunk_records(job, chunks)
+            elif hasattr(job, "load_chunks"):
+                job.load_chunks(chunks)
             else:
                 for chunk_key, chunk, _ in chunks:
                     number = version.records.split_chunk_key(chunk_key)[1]
@@ -76,6 +80,38 @@
     )
 
 
+def make_last_legacy_fixture() -> None:
+    """Run once, as `make_fixture`: a day with records of all kinds, the limit of a value lowered without notice."""
+    version = from_history(LAST_LEGACY)
+    assert version is not None
+    world = a_day(version)
+    world.submit(world.job(701, pieces=300, vcpus=0.25, memGb=0.1, guessS=8.0, crew="guest"))
+    world.submit(world.job(702, pieces=90, vcpus=0.25, memGb=0.1, guessS=60.0, crew="edge"))
+    world.run(30)
+    world.state.value_bytes = 2048
+    world.run(6)
+    items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
+    STORED_BY_LAST_LEGACY.write_text(
+        json.dumps({"items": items, "contents": contents(version, items, 16.0)}, separators=(",", ":")) + "\n"
+    )
+
+
+def test_what_the_last_legacy_version_stored_is_read() -> None:
+    """Chunks in jobs' own records, main and overflow records, finished chunks."""
+    stored = json.loads(STORED_BY_LAST_LEGACY.read_text())
+    items, expected = stored["items"], stored["contents"]
+    assert items[records.FORMAT]["format"] == 2
+    assert any("+" in key for key in items)
+    assert any(records.INLINE_CHUNK in value for value in items.values())
+    assert any(value["f"] for key, value in items.items() if key.startswith(records.ACTIVE))
+    read = json.loads(json.dumps(contents(NEW, items, 16.0)))
+    assert read == expected
+    assert sum(len(job["placed"]) for job in read.values()) > 50 and any(job["done"] for job in read.values())
+    version = from_history(LAST_LEGACY)
+    if version is not None:
+        assert json.loads(json.dumps(contents(version, items, 16.0))) == expected
+
+
 def test_what_production_stored_and_told_is_read() -> None:
     stored = json.loads(STORED.read_text())
     read = json.loads(json.dumps(contents(NEW, stored["items"], 16.0)))
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -17,6 +17,8 @@
 ROOT = Path(__file__).parent.parent
 LAST_FORMAT_1 = "7f751773ace7bdb78fec4f9818b2ebda927dfa76"
 """The last version that writes a record for each chunk of a job."""
+LAST_LEGACY = "44d00d66b6fe09e76d986793929825ceb8d86cef"
+"""The last version before the packages and names were changed; it writes the same format as this one."""
 
 
 LEGACY_NAMES = {
