--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -1,7 +1,6 @@
 """Records in the store of machines that were provisioned lately, for a successor."""
 
 import logging
-from typing import Any
 
 from stileloft.machines.registry import MachineRegistry
 from stileloft.model import records
@@ -38,7 +37,7 @@
     async def write(self, offer: InstanceOffer, machines: list[str]) -> None:
         """Records machines, as far as the write budget allows; an error of the store is logged only."""
         now = self._wall_clock()
-        record = {"t": round(now, 1), "o": list(offer), "m": machines}
+        record = records.to_stored(records.ProvisionRecord(round(now, 1), records.StoredOffer(*offer), machines))
         if len(machines) > 1 and records.json_bytes(record) > self._store.limits.value_bytes:
             for half in (machines[: len(machines) // 2], machines[len(machines) // 2 :]):
                 await self.write(offer, half)
@@ -55,14 +54,16 @@
         except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
             log.debug("recording provisioned machines failed: %s", error)
 
-    def load(self, key: str, record: dict[str, Any]) -> None:
+    def load(self, key: str, value: records.StoredValue) -> None:
         """Takes in what a former leader provisioned, unless the cloud's list shows it by now."""
         wall, now = self._wall_clock(), self._clock.seconds()
-        provisioned_at = record["t"]
+        record = records.read_provision(value)
+        provisioned_at = record.provisioned_at
         self._slots[int(key[len(records.PROVISIONED) :])] = provisioned_at + self._listed_after_s
         if wall > provisioned_at + self._listed_after_s:
             return
-        for machine_id in record["m"]:
+        for machine_id in record.machines:
             machine = self._machines.get_or_create(machine_id)
-            machine.type, machine.zone, machine.spot = record["o"]
+            offer = record.offer
+            machine.type, machine.zone, machine.spot = offer.type, offer.zone, offer.spot
             machine.provisioned_at = now - max(0.0, wall - provisioned_at)
--- a/stileloft/model/chunk_records.py
+++ b/stileloft/model/chunk_records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from stileloft.model.chunks import Chunk, ChunkStorage, OverflowRecord
+from stileloft.model.chunks import NO_RECORD, Chunk, ChunkStorage
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.model.records.forms import (
     ChunkOverflow,
@@ -13,7 +13,9 @@
     StoredPlacement,
     StoredValue,
     TaskResources,
+    VersionedValue,
     read_chunk,
+    read_inline,
     read_overflow,
     to_stored,
 )
@@ -85,7 +87,7 @@
 
 def detached_chunk_record(spec: JobSpec, inline: StoredValue, chunk_size: int | None) -> StoredValue:
     """The main record of a chunk that a job's record held."""
-    content = msgspec.convert(inline, InlineChunk, str_keys=True)
+    content = read_inline(inline)
     return to_stored(chunk_record(content, spec, chunk_size))
 
 
@@ -108,21 +110,21 @@
     return chunk
 
 
-def load_chunk(job: str, versioned: Mapping[int, tuple[StoredValue, int]], known: Chunk | None) -> Chunk:
+def load_chunk(job: str, versioned: Mapping[int, VersionedValue], known: Chunk | None) -> Chunk:
     """A chunk of its records' values and versions, by overflow number; what is known of its tasks is kept.
 
     Overflow records may be there without the main one.
     """
-    main, version = versioned.get(0, ({}, 0))
-    record = read_chunk(main)
+    main = versioned.get(0, NO_RECORD)
+    record = read_chunk(main.value)
     chunk = Chunk(
-        version=version, attempt=record.attempt, done=from_ranges(record.done), storage=ChunkStorage.OWN_RECORDS
+        version=main.version, attempt=record.attempt, done=from_ranges(record.done), storage=ChunkStorage.OWN_RECORDS
     )
     placements = dict(record.placements)
-    for number, (value, overflow_version) in versioned.items():
+    for number, stored in versioned.items():
         if number:
-            chunk.overflow[number] = OverflowRecord(overflow_version, value)
-            placements |= read_overflow(value).placements
+            chunk.overflow[number] = stored
+            placements |= read_overflow(stored.value).placements
     chunk.placements = _load_placements(job, placements, known)
     return chunk
 
--- a/stileloft/model/chunks.py
+++ b/stileloft/model/chunks.py
@@ -2,10 +2,9 @@
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
-from typing import NamedTuple
 
 from stileloft.model.placements import Placement, PlacementState
-from stileloft.model.records import StoredValue
+from stileloft.model.records import VersionedValue
 
 
 class ChunkStorage(Enum):
@@ -17,15 +16,8 @@
     OWN_RECORDS = auto()
 
 
-class OverflowRecord(NamedTuple):
-    """An overflow record, as the store holds it."""
-
-    version: int
-    """0 if there is none yet."""
-    value: StoredValue | None
-
-
-MISSING_OVERFLOW = OverflowRecord(0, None)
+NO_RECORD = VersionedValue({}, 0)
+"""In place of a record that the store does not hold."""
 
 
 @dataclass(slots=True)
@@ -41,7 +33,7 @@
     dirty: bool = False
     """Whether it differs from what the store holds, as far as known."""
     storage: ChunkStorage = ChunkStorage.NOT_STORED
-    overflow: dict[int, OverflowRecord] = field(default_factory=dict)
+    overflow: dict[int, VersionedValue] = field(default_factory=dict)
     """Its overflow records in the store, by their numbers."""
 
     def live_placements(self) -> list[Placement]:
--- a/stileloft/model/job_records.py
+++ b/stileloft/model/job_records.py
@@ -12,6 +12,7 @@
     StoredCounts,
     StoredValue,
     TaskResources,
+    VersionedValue,
     read_active,
     read_chunk,
     to_stored,
@@ -91,10 +92,10 @@
 
 def apply_chunk_records(job: Job, items: Iterable[Item]) -> None:
     """Brings a job's chunks in line with all their records in the store, and counts its tasks anew."""
-    by_chunk: dict[int, dict[int, tuple[StoredValue, int]]] = {}
+    by_chunk: dict[int, dict[int, VersionedValue]] = {}
     for key, value, version in items:
         _, number, overflow = split_chunk_key(key)
-        by_chunk.setdefault(number, {})[overflow] = value, version
+        by_chunk.setdefault(number, {})[overflow] = VersionedValue(value, version)
     before, job.chunks = job.chunks, {}
     for number, versioned in by_chunk.items():
         if number not in job.finished_chunks:
--- a/stileloft/model/records/forms.py
+++ b/stileloft/model/records/forms.py
@@ -4,7 +4,7 @@
 as another writer may store a whole number of seconds without a fraction.
 """
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from msgspec import UNSET, Struct, UnsetType, field
@@ -26,6 +26,13 @@
 Number = int | float
 
 
+class VersionedValue(NamedTuple):
+    """A record's value, and the revision of the store at which it was written."""
+
+    value: StoredValue
+    version: int
+
+
 class StoredPlacement(Struct, frozen=True, array_like=True):
     """A task on a machine."""
 
@@ -95,6 +102,23 @@
     """Its tasks that were done, for display."""
 
 
+class StoredOffer(Struct, frozen=True, array_like=True):
+    """What kind of machine was provisioned, and where."""
+
+    type: str
+    zone: str
+    spot: bool
+
+
+class ProvisionRecord(Struct, frozen=True):
+    """Machines that were provisioned by one request."""
+
+    provisioned_at: Number = field(name="t")
+    """Time of day, in seconds."""
+    offer: StoredOffer = field(name="o")
+    machines: list[str] = field(name="m")
+
+
 class FormatRecord(Struct, frozen=True):
     """The format that may be written, and the controllers that said that they read it."""
 
@@ -118,6 +142,26 @@
     return msgspec.convert(value, ChunkRecord, str_keys=True)
 
 
+def read_provision(value: StoredValue) -> ProvisionRecord:
+    """A record of provisioned machines of plain JSON values."""
+    return msgspec.convert(value, ProvisionRecord)
+
+
+def read_format(value: StoredValue) -> FormatRecord:
+    """The record of the format of plain JSON values."""
+    return msgspec.convert(value, FormatRecord)
+
+
+def read_final(value: StoredValue) -> FinalRecord:
+    """The record of a job's end of plain JSON values."""
+    return msgspec.convert(value, FinalRecord)
+
+
+def read_inline(value: StoredValue) -> InlineChunk:
+    """The chunk in a job's record of plain JSON values."""
+    return msgspec.convert(value, InlineChunk, str_keys=True)
+
+
 def read_overflow(value: StoredValue) -> ChunkOverflow:
     """An overflow record of plain JSON values."""
     return msgspec.convert(value, ChunkOverflow, str_keys=True)
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -1,7 +1,7 @@
 """What is written of a job's chunks in a transaction."""
 
 from stileloft.model.chunk_records import chunk_values, whole_chunk_value
-from stileloft.model.chunks import MISSING_OVERFLOW, Chunk, ChunkStorage
+from stileloft.model.chunks import NO_RECORD, Chunk, ChunkStorage
 from stileloft.model.jobs import Job
 from stileloft.model.placements import PlacementState
 from stileloft.model.records.keys import chunk_key
@@ -55,11 +55,11 @@
         part.puts[key] = values[0]
         part.overflow[number] = values[1:]
         for overflow, value in enumerate(values[1:], 1):
-            version, stored = chunk.overflow.get(overflow, MISSING_OVERFLOW)
-            key = chunk_key(job.id, number, overflow)
-            part.guards[key] = version
-            if value != stored:
-                part.puts[key] = value
+            stored = chunk.overflow.get(overflow, NO_RECORD)
+            overflow_key = chunk_key(job.id, number, overflow)
+            part.guards[overflow_key] = stored.version
+            if value != stored.value:
+                part.puts[overflow_key] = value
         part.deletes += [chunk_key(job.id, number, overflow) for overflow in chunk.overflow if overflow >= len(values)]
 
 
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -2,9 +2,10 @@
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
-from stileloft.model.chunks import MISSING_OVERFLOW, ChunkStorage, OverflowRecord
+from stileloft.model.chunks import NO_RECORD, ChunkStorage
 from stileloft.model.jobs import EndPhase
 from stileloft.model.placements import PlacementState
+from stileloft.model.records import VersionedValue
 from stileloft.store.job_transaction import JobTransaction
 from stileloft.transport.clock import Clock
 
@@ -62,8 +63,8 @@
             chunk.version = revision
             before, chunk.overflow = chunk.overflow, {}
             for overflow, value in enumerate(part.overflow.get(number, ()), 1):
-                version, stored = before.get(overflow, MISSING_OVERFLOW)
-                chunk.overflow[overflow] = OverflowRecord(version if stored == value else revision, value)
+                stored = before.get(overflow, NO_RECORD)
+                chunk.overflow[overflow] = stored if stored.value == value else VersionedValue(value, revision)
         for number in part.folded_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -252,7 +252,7 @@
         self._retry_later(parts)
 
     def _reload_all(self, parts: list[JobTransaction], error: UnknownOutcomeError) -> None:
-        """The commit may still be executed: the store's word is taken once it can't be any more."""
+        """The commit may still be executed: the jobs are read once it can't be any more."""
         self._in_flight -= 1
         log.info("commit outcome unknown jobs=%d: %s", len(parts), error)
         for part in parts:
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -67,7 +67,7 @@
         members = sorted({self._settings.member, *self._others()})
         # An earlier change of format has left a record, which is written over in the version that we know.
         guards = {records.FORMAT: self._store.format.record_version}
-        value = {"format": records.NEWEST_FORMAT, "members": members}
+        value = records.to_stored(records.FormatRecord(records.NEWEST_FORMAT, members))
         try:
             version = await self._store.commit({records.FORMAT: value}, guards=guards)
         except ConflictError:
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -3,7 +3,6 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from twisted.internet import defer
 
@@ -13,7 +12,7 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.job_records import apply_chunk_records, apply_job_record
 from stileloft.model.jobs import EndPhase, Job
-from stileloft.model.placements import PlacementState
+from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.state import ConflictError, Item, UnavailableError, UnknownOutcomeError
 from stileloft.store.access import LeaderStore
 from stileloft.transport.clock import Clock
@@ -32,15 +31,15 @@
 class StoredJob:
     """What the store holds of a job."""
 
-    record: tuple[Any, int] | None
-    """Its record under `active/` and the record's version; None if it has ended."""
+    record: records.VersionedValue | None
+    """Its record under `active/`; None if it has ended."""
     end_phase: EndPhase | None
     """How it ended."""
     chunks: list[Item]
 
 
 class JobReloader:
-    """Takes the store's word for jobs; until then nothing about them is written."""
+    """Brings jobs in line with the store; until then nothing about them is written."""
 
     def __init__(
         self,
@@ -97,14 +96,14 @@
         end_phase = None
         if found is None:
             final = await client.get(records.final_key(job.id))
-            end_phase = EndPhase(final[0]["phase"]) if final else EndPhase.CANCELLED
-        record = None if found is None else found[:2]
+            end_phase = EndPhase(records.read_final(final[0]).phase) if final else EndPhase.CANCELLED
+        record = None if found is None else records.VersionedValue(*found[:2])
         if record is not None and job.write.has_unresolved_commit:
-            record = await self._fence_unresolved_commit(key, *record)
+            record = await self._fence_unresolved_commit(key, record)
         chunks, _ = await client.scan(f"{records.TASKS}{job.id}/")
         return StoredJob(record, end_phase, chunks)
 
-    async def _fence_unresolved_commit(self, key: str, value: Any, version: int) -> tuple[Any, int]:
+    async def _fence_unresolved_commit(self, key: str, record: records.VersionedValue) -> records.VersionedValue:
         """Writes a job's record once more, so that what got no answer can't be executed any more.
 
         It may be executed seconds later, when its placements would come on top of what was given to others meanwhile;
@@ -112,10 +111,11 @@
         """
         while not self._store.write_budget.try_take(1.0):
             await sleep(self._clock, RETRY_S)
-        return value, await self._store.commit({key: value}, guards={key: version})
+        version = await self._store.commit({key: record.value}, guards={key: record.version})
+        return records.VersionedValue(record.value, version)
 
     def _apply(self, job: Job, stored: StoredJob) -> None:
-        """Takes the store's word for a job."""
+        """Brings a job in line with what the store holds of it."""
         before = list(job.placements())
         if stored.record is not None:
             apply_job_record(job, *stored.record)
@@ -133,7 +133,7 @@
         elif job.spec.is_gang:
             self._lifecycle.reconcile_gang(job)
 
-    def _reconcile_placements(self, job: Job, before: list[Any]) -> None:
+    def _reconcile_placements(self, job: Job, before: list[Placement]) -> None:
         """Lets go of placements that the store no longer holds, and attaches those that it does."""
         kept = {id(placement) for placement in job.placements()}
         for placement in before:
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -58,7 +58,7 @@
         async def read_and_watch() -> None:
             found = await state.get(records.FORMAT)
             if found is not None:
-                self.observe(found[0]["format"], found[1])
+                self.observe(records.read_format(found[0]).format, found[1])
             if self.number < records.NEWEST_FORMAT:
                 since = state.revision if found is None else found[1]
                 await state.watch(records.FORMAT, since, WATCH_S)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -346,7 +346,7 @@
     assert [(p.index, p.attempt, p.machine) for p in again.placements()] == [
         (p.index, p.attempt, p.machine) for p in job.placements()
     ]
-    assert {part: version for part, (version, _) in again.chunks[0].overflow.items()} == {
+    assert {part: stored.version for part, stored in again.chunks[0].overflow.items()} == {
         part: part + 5 for part in range(1, len(values))
     }
     assert all(p.state != PlacementState.ENDED for p in again.placements())
