--- a/stileloft/model/records/keys.py
+++ b/stileloft/model/records/keys.py
@@ -34,6 +34,11 @@
     return FINAL + job
 
 
+def images_key(machine: str) -> str:
+    """The key of the record of a machine's images."""
+    return IMAGES + machine
+
+
 def provisioned_key(slot: int) -> str:
     """The key of a record of machines provisioned lately."""
     return f"{PROVISIONED}{slot:04d}"
