--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -11,7 +11,7 @@
 
 
 class ClusterState:
-    """Data only, without I/O; all access is under the term's lock."""
+    """What a leader knows of the cluster. Data only, without I/O; all access is under the lock."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -23,19 +23,20 @@
         self.dirty: dict[str, None] = {}
         """Jobs of which something may have to be written, in the order in which they changed."""
         self.nominations: dict[TaskKey, Nomination] = {}
+        """Room that is being made on a machine for a task."""
         self.placement_backoff: dict[tuple[str, str], float] = {}
         """Pairs of job and machine that are not to be tried again, and until when."""
         self._write_orders = itertools.count(1)
 
     def mark_dirty(self, job: Job) -> None:
-        """Something of the job has to be written, and does not wait."""
+        """Has something of the job written without waiting for more."""
         if not job.write.flush_now:
             job.write.order = next(self._write_orders)
         job.write.dirty = job.write.flush_now = True
         self.dirty[job.id] = None
 
     def mark_counts_dirty(self, job: Job) -> None:
-        """The counts that users see of the job may have changed."""
+        """Has it checked whether the counts that users see of the job have changed."""
         if job.id not in self.dirty:
             job.write.order = next(self._write_orders)
             self.dirty[job.id] = None
@@ -57,15 +58,14 @@
         return job is None or job.end_phase is not None or job.reload_pending
 
     def job_has_ended(self, job_id: str) -> bool:
-        """Whether the job is known to be over: whatever may still run or start of it must not."""
+        """Whether the job is known to be over, so that nothing of it may run or start."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None
 
     def orphaned_task_names(self) -> set[str]:
-        """Tasks that are on a machine where they are not to be: nowhere are they started meanwhile.
+        """Tasks that are on a machine where the store does not place them: they are not started elsewhere meanwhile.
 
-        Asked of the machines each time. Kept beside them, an entry outlived its machine's session once,
-        and its task was never started again.
+        Derived from the machines each time: a copy could outlive a machine, and block its tasks for good.
         """
         return {task for machine in self.machines.values() if machine.orphaned_tasks for task in machine.orphaned_tasks}
 
@@ -82,7 +82,7 @@
         return usage
 
     def expire_nominations(self, now: float) -> None:
-        """Gives up nominations that have lapsed, or whose machine is gone."""
+        """Removes nominations that have expired, or whose machine is gone."""
         for key in [k for k, n in self.nominations.items() if n.until < now or n.machine not in self.machines]:
             del self.nominations[key]
 
--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class InflightStart:
-    """What is known of the start of one attempt in the machine's present session."""
+    """What is known of the start of one attempt in the worker's present epoch."""
 
     first_sent_at: float
     """Seconds of this leader's clock."""
     token: int
     """The highest under which it was sent."""
     epoch: int
-    """The worker's session that it was sent to; in any other it is refused."""
+    """The worker's epoch that it was sent to; in any other it is refused."""
     answered_at: float | None = None
     """When a message with it was first answered."""
     in_doubt_since: float | None = None
@@ -27,8 +27,8 @@
 class InflightStarts:
     """The starts sent to one machine that its worker would still execute if they came now.
 
-    One is taken off the list when the worker is known to be in another session or to have seen a higher token, or when
-    its attempt is forgotten there. So there are no more of them than tasks on the machine, exited ones included.
+    One is removed when the worker is known to be in another epoch or to have seen a higher token, or when its attempt
+    is forgotten there. So there are no more of them than tasks on the machine, exited ones included.
     """
 
     by_attempt: dict[AttemptKey, InflightStart] = field(default_factory=dict)
@@ -50,7 +50,7 @@
         self.by_attempt.pop((task, attempt), None)
 
     def highest_token(self, keys: list[AttemptKey]) -> int:
-        """The highest token under which any of these was sent; 0 if none of them is open."""
+        """The highest token under which any of these was sent; 0 if none of them is in flight."""
         return max((self.by_attempt[key].token for key in keys if key in self.by_attempt), default=0)
 
     def drop_fenced(self, epoch: int, acknowledged_token: int) -> None:
--- a/stileloft/model/placements.py
+++ b/stileloft/model/placements.py
@@ -24,15 +24,16 @@
 
     job: str
     index: int
+    """The number of the task in its job."""
     attempt: int
     machine: str
     zone: str
     spot: bool
     state: PlacementState = PlacementState.BOUND
     reported_state: str | None = None
-    """The task's state in the machine's newest trusted report."""
+    """The task's state in the machine's newest trusted heartbeat."""
     sent_epoch: int | None = None
-    """The session in which we last sent its start; None if we never did."""
+    """The epoch of the worker to which we last sent its start; None if we never did."""
     running_since: float | None = None
     """When this leader first saw it run."""
     placed_by_this_leader: bool = False
@@ -40,15 +41,18 @@
     done: bool = False
     """With ENDED: the task completed, rather than having to run again."""
     stop_grace_s: float | None = None
-    """Not None: it is to be stopped, with this much time to save."""
+    """Not None: it is to be stopped, with this much time to save its checkpoint."""
     stop_sent_at: float = 0.0
+    """When we last sent its stop."""
     preemption_exempt: bool = False
-    """It was placed before more pressing work because of its job's age: such work does not stop it."""
+    """It was placed before tasks of higher priority because of its job's age: they do not preempt it."""
 
     @property
     def key(self) -> TaskKey:
+        """The task, by which nominations and a machine's placements are found."""
         return self.job, self.index
 
     @property
     def task(self) -> str:
+        """The task's name on the wire."""
         return f"{self.job}/{self.index}"
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -1,4 +1,4 @@
-"""What follows from a commit that was executed, in the leader's state of the cluster."""
+"""Applies executed commits to the leader's state of the cluster."""
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
@@ -19,7 +19,7 @@
         self._clock = clock
 
     def apply(self, part: JobTransaction, revision: int) -> None:
-        """A job's part of a transaction was executed at this revision of the store."""
+        """Applies a job's part of a transaction that was executed at this revision of the store."""
         job = part.job
         job.write.commit_in_flight = False
         self._settle_placements(part)
@@ -52,7 +52,7 @@
 
     @staticmethod
     def _settle_chunks(part: JobTransaction, revision: int) -> None:
-        """Takes down where the store holds each chunk, and in which version."""
+        """Notes where the store holds each chunk, and in which version."""
         job = part.job
         for number in part.written_chunks:
             chunk = job.chunks[number]
--- a/stileloft/store/flush_timer.py
+++ b/stileloft/store/flush_timer.py
@@ -6,20 +6,19 @@
 
 
 class FlushTimer:
-    """One timer for all who want their changes committed; the earliest wish counts."""
+    """One timer for all who want changes committed; the earliest request counts."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._timer: Timer | None = None
         self._due_at = 0.0
         self.flush: Callable[[], None] = lambda: None
-        """What is called when the time has come; the commit queue puts itself there."""
+        """Called when the timer fires; set by the commit queue."""
 
     def within(self, seconds: float) -> None:
         """Has a flush made within so many seconds."""
         due_at = self._clock.seconds() + seconds
         if self._timer is not None and self._timer.active():
-            # What can wait must not hold back what can't.
             if self._due_at <= due_at:
                 return
             self._timer.cancel()  # moving it would search all timers, of which a large fleet has thousands
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-# How often the other controllers are asked which format they read, until all read the newest.
-FORMAT_S = 1.0
+POLL_S = 1.0
+"""How often the other controllers are asked which format they read, in seconds, until all read the newest."""
 
 
 class FormatUpgrade:
-    """Has the newest format written for good, and brings older records into it."""
+    """Has the newest format written, which is for good, and brings older records into it."""
 
     def __init__(
         self,
@@ -43,15 +43,14 @@
         self._request_scheduling = request_scheduling
 
     async def run(self) -> None:
-        """Has the newest format written once all controllers have said, now, that they read it.
+        """Writes the newest format once all controllers have said in one round that they read it.
 
-        Each says so by itself; none is taken to do so because it is silent. A process that has not been
-        replaced yet says nothing of the kind, whatever it was before, so it holds the change back.
+        A silent controller holds the upgrade back, as does a process of an older version, which does not say so.
         """
         while self._lease.active and self._store.format.number < records.NEWEST_FORMAT:
             if await self._all_read_it() and self._lease.is_held():
                 await self._write_format()
-            await sleep(self._clock, FORMAT_S)
+            await sleep(self._clock, POLL_S)
 
     def _others(self) -> set[str]:
         return {peer.member for peer in self._settings.peers}
@@ -71,14 +70,15 @@
         try:
             version = await self._store.commit({records.FORMAT: value}, guards=guards)
         except ConflictError:
-            pass  # a former leader did it, or another leads: this controller reads it
+            pass  # a former leader wrote it, or another controller leads: the watch of the format tells
         except (UnavailableError, UnknownOutcomeError) as error:
-            log.debug("format upgrade failed: %s", error)
+            log.debug("record format not written format=%d: %s", records.NEWEST_FORMAT, error)
         else:
+            log.info("record format written format=%d members=%s", records.NEWEST_FORMAT, ",".join(members))
             self._store.format.observe(records.NEWEST_FORMAT, version)
 
     def format_changed(self) -> None:
-        """Records may be written in the newest format from now on."""
+        """Brings the records of jobs into the format that may be written from now on."""
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
                 job.max_placed_per_chunk = None
@@ -88,7 +88,7 @@
         self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
-        """Has records beyond the limit to come written in pieces, before an end or a cancellation needs it."""
+        """Has chunks written anew whose record is over the limit of a value, before the job's end needs it."""
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -60,7 +60,7 @@
         self._request_scheduling = request_scheduling
 
     def reload(self, job: Job) -> None:
-        """Has a job read from the store."""
+        """Has a job read from the store; nothing of it is started or written meanwhile."""
         job.write.commit_in_flight = True
         if not job.reload_pending:
             job.reload_pending = True
@@ -79,7 +79,7 @@
                     return
                 await sleep(self._clock, CONFLICT_RETRY_S)
             except (UnavailableError, UnknownOutcomeError) as error:
-                log.debug("reload failed job=%s: %s", job.id, error)
+                log.debug("job reload failed job=%s: %s", job.id, error)
                 await sleep(self._clock, pause_s)
                 pause_s = min(2 * pause_s, MAX_RETRY_S)
         if not lease.active:
@@ -104,10 +104,10 @@
         return StoredJob(record, end_phase, chunks)
 
     async def _fence_unresolved_commit(self, key: str, record: records.VersionedValue) -> records.VersionedValue:
-        """Writes a job's record once more, so that what got no answer can't be executed any more.
+        """Writes a job's record once more, so that the commit without an answer fails if it is executed later.
 
-        It may be executed seconds later, when its placements would come on top of what was given to others meanwhile;
-        but it is guarded on this version of the job's record.
+        It is guarded on this version of the job's record. Executed late, it would place tasks on room that others have
+        by then.
         """
         while not self._store.write_budget.try_take(1.0):
             await sleep(self._clock, RETRY_S)
@@ -134,7 +134,7 @@
             self._lifecycle.reconcile_gang(job)
 
     def _reconcile_placements(self, job: Job, before: list[Placement]) -> None:
-        """Lets go of placements that the store no longer holds, and attaches those that it does."""
+        """Clears placements that the store no longer holds, and attaches those that it does."""
         kept = {id(placement) for placement in job.placements()}
         for placement in before:
             if id(placement) not in kept:
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -1,4 +1,4 @@
-"""What the store takes in one transaction and in one value."""
+"""The store's limits on a transaction and on a value."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -7,13 +7,13 @@
 from stileloft.settings import State
 
 MIN_OPS = 2
-"""Changes in a transaction below which a limit is not believed: a job's end takes two."""
+"""The lowest limit on the changes of a transaction that is assumed: a job's end takes two."""
 MIN_VALUE_BYTES = 512
-"""Bytes of a value below which a limit is not believed."""
+"""The lowest limit on the bytes of a value that is assumed."""
 
 
 class StoreLimits:
-    """What the store takes in a transaction and a value: the least of the limits known, or less if it refused that."""
+    """Limits of a transaction and of a value: the lowest announced, or lower after a refusal."""
 
     def __init__(self, state: State) -> None:
         least = state.least()
@@ -21,10 +21,10 @@
         self.value_bytes = least.value_bytes
 
     def reduce_after_refusal(self, values: Iterable[Any], changes: int) -> None:
-        """A transaction of these values, and so many changes in all, was too large; which of the two is not said.
+        """Lowers a limit after a transaction of these values and so many changes was too large.
 
-        First fewer changes are tried. Smaller values make records of more pieces, and so transactions of more changes:
-        tried first, they could come to be refused for their changes for good.
+        The store does not say which limit it was. Fewer changes are tried first: with smaller values a chunk takes more
+        records, so that its transaction could exceed the limit on changes for good.
         """
         largest = max((records.json_bytes(value) for value in values), default=0)
         if changes > MIN_OPS and self.ops > MIN_OPS:
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -1,18 +1,18 @@
-"""Jobs' parts of one transaction."""
+"""Several jobs' parts in one transaction."""
 
 from stileloft.model import records
 from stileloft.store.job_transaction import JobTransaction
 
 MAX_TRANSACTION_BYTES = 40 * 1024
-"""Of the 64 KiB that a transaction may hold, so many are used; the rest is for its keys and guards."""
+"""Bytes of values and guards in a transaction; the store takes 64 KiB with keys and all."""
 GUARDS_PER_CHANGE = 4
-"""Conditions of a transaction, as a multiple of its changes."""
+"""The most guards of a transaction, as a multiple of its changes."""
 JOB_END_CHANGES = 4
-"""Changes that a job may need at its end; a transaction with less room is not made longer."""
+"""Changes that a job may take at its end; a transaction with less room gets no further job."""
 
 
 class TransactionBatch:
-    """Parts that share a transaction, within its limits."""
+    """Jobs' parts that share a transaction, within its limits."""
 
     def __init__(self, max_changes: int) -> None:
         self.parts: list[JobTransaction] = []
