--- a/stileloft/model/chunk_records.py
+++ b/stileloft/model/chunk_records.py
@@ -20,7 +20,7 @@
     to_stored,
 )
 from stileloft.model.records.ranges import from_ranges, to_ranges
-from stileloft.model.records.sizes import MAX_RANGE_BYTES, json_bytes, max_placement_bytes
+from stileloft.model.records.sizes import MAX_PLACEMENT_OVERHEAD_BYTES, MAX_RANGE_BYTES, json_bytes, max_text_bytes
 from stileloft.protocol.messages import JobSpec
 
 EMPTY_OVERFLOW_BYTES = json_bytes(to_stored(ChunkOverflow()))
@@ -93,7 +93,7 @@
 
 def max_placements_bytes(placements: Iterable[Placement]) -> int:
     """No less than placements take in a record, found without encoding them."""
-    return sum(max_placement_bytes(p.machine, p.zone) for p in placements)
+    return sum(MAX_PLACEMENT_OVERHEAD_BYTES + max_text_bytes(p.machine) + max_text_bytes(p.zone) for p in placements)
 
 
 def _max_chunk_bytes(chunk: Chunk, spec: JobSpec, chunk_size: int) -> int:
--- a/stileloft/model/records/forms.py
+++ b/stileloft/model/records/forms.py
@@ -4,6 +4,7 @@
 as another writer may store a whole number of seconds without a fraction.
 """
 
+from enum import StrEnum
 from typing import Any, NamedTuple
 
 import msgspec
@@ -94,10 +95,17 @@
     chunk: InlineChunk | UnsetType = field(name=INLINE_CHUNK, default=UNSET)
 
 
+class FinalPhase(StrEnum):
+    """How a job ended, as it is stored."""
+
+    DONE = "done"
+    CANCELLED = "cancelled"
+
+
 class FinalRecord(Struct, frozen=True):
     """How a job ended."""
 
-    phase: str
+    phase: FinalPhase
     tasks: int = field(name="n", default=0)
     """Its tasks that were done, for display."""
 
--- a/stileloft/model/records/outcomes.py
+++ b/stileloft/model/records/outcomes.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from stileloft.model.records.forms import FinalRecord, StoredValue, to_stored
+from stileloft.model.records.forms import FinalPhase, FinalRecord, StoredValue, to_stored
 
 
 class JobOutcome(NamedTuple):
@@ -15,4 +15,5 @@
 
 def final_record(phase: str, tasks: int) -> StoredValue:
     """The record of a job's end; only a job that is done has its tasks counted."""
-    return to_stored(FinalRecord(phase, tasks if phase == "done" else 0))
+    final = FinalPhase(phase)
+    return to_stored(FinalRecord(final, tasks if final is FinalPhase.DONE else 0))
--- a/stileloft/model/records/sizes.py
+++ b/stileloft/model/records/sizes.py
@@ -64,11 +64,6 @@
     return MAX_BYTES_PER_UTF16_UNIT * units
 
 
-def max_placement_bytes(machine: str, zone: str) -> int:
-    """No less than a placement in this zone takes in a record."""
-    return MAX_PLACEMENT_OVERHEAD_BYTES + max_text_bytes(machine) + max_text_bytes(zone)
-
-
 def max_compact_bytes(value: Any) -> int:
     """No less than a value takes as JSON without spaces, with all but ASCII escaped; faster than encoding it so."""
     data = orjson.dumps(value)
--- a/stileloft/store/job_transaction_builder.py
+++ b/stileloft/store/job_transaction_builder.py
@@ -1,7 +1,7 @@
 """What has to be written about a job."""
 
 from stileloft.model.jobs import Job
-from stileloft.model.records.forms import StoredCounts, to_stored
+from stileloft.model.records.forms import FinalPhase, StoredCounts, to_stored
 from stileloft.model.records.keys import active_key, final_key
 from stileloft.model.records.outcomes import final_record
 from stileloft.model.records.ranges import to_ranges
@@ -58,7 +58,7 @@
         """
         job = part.job
         part.ends_job = True
-        part.puts = {final_key(job.id): final_record("done", job.spec.tasks)}
+        part.puts = {final_key(job.id): final_record(FinalPhase.DONE, job.spec.tasks)}
         part.deletes = [active_key(job.id)]
         for number in part.written_chunks + part.folded_chunks:
             keys = stored_keys(job, number)
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -20,7 +20,7 @@
 from tests.test_upgrade import stored_spec
 from tests.versions import LAST_FORMAT_1, NEW, from_history
 
-last_format_1 = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
+needs_history = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
 
 
 def count_changes(world: World) -> Counter[str]:
@@ -40,7 +40,7 @@
     return counted
 
 
-def settled(seed: int, **more: Any) -> World:
+def world_in_newest_format(seed: int, **more: Any) -> World:
     """A world whose controllers all write the newest format."""
     world = World(seed, loss=0.0, **more)
     world.run(15)
@@ -58,7 +58,7 @@
 
 def test_a_one_task_job_takes_five_changes() -> None:
     """Accepted, placed, running, and the two of its end; six with a record for its chunk."""
-    world = settled(101)
+    world = world_in_newest_format(101)
     counted = count_changes(world)
     for number in range(30):
         world.clock.callLater(number * 1.0, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=8.0))
@@ -72,7 +72,7 @@
 
 def test_a_cancelled_job_keeps_what_may_still_run() -> None:
     """Its record goes with the cancellation. Were its placements gone with it, nobody would stop them or count them."""
-    world = settled(102)
+    world = world_in_newest_format(102)
     world.submit(world.job(1, pieces=3, guessS=200.0))
     run_until_started(world, 3)
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
@@ -95,7 +95,7 @@
 
 
 def test_a_job_cancelled_before_it_is_placed_leaves_no_chunk() -> None:
-    world = settled(103)
+    world = world_in_newest_format(103)
     world.cloud.kinds.clear()  # there is nowhere to run
     world.submit(world.job(1, pieces=2))
     world.run(2)
@@ -107,7 +107,7 @@
 
 
 def test_a_new_leader_finds_placements_in_the_jobs_record() -> None:
-    world = settled(104)
+    world = world_in_newest_format(104)
     for number in range(4):
         world.submit(world.job(number, pieces=3, vcpus=1.0, guessS=60.0))
     run_until_started(world, 12)
@@ -121,7 +121,7 @@
 
 def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
     """The limit of a value becomes lower without notice, while many tasks are placed."""
-    world = settled(105, value_kb=16.0)
+    world = world_in_newest_format(105, value_kb=16.0)
     world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=60.0))
     run_until_started(world, 40)
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
@@ -132,7 +132,7 @@
     assert [key for key in world.state.items if key.startswith(("active/", "tasks/"))] == []
 
 
-@last_format_1
+@needs_history
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
@@ -186,7 +186,7 @@
     Its successor knows the job by its chunk's record alone. Without the length there it took the tasks for those of
     other chunks, and failed to let go of them.
     """
-    world = settled(106)
+    world = world_in_newest_format(106)
     world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
     run_until_started(world, 40)
     assert world.state.items["active/j-000001"][0]["n"] > records.chunk_size(world.value_kb) > 20
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,16 +22,18 @@
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
 from tests.versions import LAST_LEGACY, NEW, Version, from_history, production
 
-STORED = Path(__file__).parent / "production.json"
-"""What nodes of the version in production had stored and told each other in the middle of a day: `make_fixture`."""
-STORED_BY_LAST_LEGACY = Path(__file__).parent / "stored_44d00d6.json"
-"""What the last version before the change of names had stored in the middle of a day: `make_last_legacy_fixture`."""
-COMING = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}
-
-old = pytest.mark.skipif(production() is None, reason="the checkout lacks the history: the fixture stands in for it")
+PRODUCTION_DAY = Path(__file__).parent / "production.json"
+"""What controllers of the version in production had stored and told each other: `write_production_day`."""
+LAST_LEGACY_DAY = Path(__file__).parent / "stored_44d00d6.json"
+"""What the last version before the change of names had stored: `write_last_legacy_day`."""
+LOWER_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 45.0}
+
+needs_history = pytest.mark.skipif(
+    production() is None, reason="the checkout lacks the history: the fixture stands in for it"
+)
 
 
-def contents(version: Version, items: dict[str, Any], value_kb: float) -> dict[str, Any]:
+def read_jobs(version: Version, items: dict[str, Any], value_kb: float) -> dict[str, Any]:
     """Jobs, placements, attempts and finished tasks, as a version's own code reads them from the store's items."""
     size = version.records.chunk_size(value_kb)
     found: dict[str, Any] = {}
@@ -60,67 +62,68 @@
     return found
 
 
-def a_day(version: Version, **more: Any) -> World:
+def play_day(version: Version, **more: Any) -> World:
+    """A day of arrays, with one job of many tasks, on controllers of one version."""
     world = World(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
     load(world, jobs=12, every=2.0)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
     return world
 
 
-def make_fixture() -> None:
-    """Run once: `PYTHONPATH=.:target/deps python3 -c "from tests.test_upgrade import *; make_fixture()"`."""
+def write_production_day() -> None:
+    """Run once: `PYTHONPATH=.:target/deps python3 -c "from tests.test_upgrade import *; write_production_day()"`."""
     version = production()
     assert version is not None
-    world = a_day(version)
+    world = play_day(version)
     world.run(48)
     items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
     views = [msgspec.to_builtins(version.peer_resources(node).view()) for node in world.nodes.values()]
-    STORED.write_text(
-        json.dumps({"items": items, "contents": contents(version, items, 16.0), "views": views}, indent=1) + "\n"
+    PRODUCTION_DAY.write_text(
+        json.dumps({"items": items, "contents": read_jobs(version, items, 16.0), "views": views}, indent=1) + "\n"
     )
 
 
-def make_last_legacy_fixture() -> None:
-    """Run once, as `make_fixture`: a day with records of all kinds, the limit of a value lowered without notice."""
+def write_last_legacy_day() -> None:
+    """Run once: a day with records of all kinds; the limit of a value becomes lower without notice."""
     version = from_history(LAST_LEGACY)
     assert version is not None
-    world = a_day(version)
+    world = play_day(version)
     world.submit(world.job(701, pieces=300, vcpus=0.25, memGb=0.1, guessS=8.0, crew="guest"))
     world.submit(world.job(702, pieces=90, vcpus=0.25, memGb=0.1, guessS=60.0, crew="edge"))
     world.run(30)
     world.state.value_bytes = 2048
     world.run(6)
     items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    STORED_BY_LAST_LEGACY.write_text(
-        json.dumps({"items": items, "contents": contents(version, items, 16.0)}, separators=(",", ":")) + "\n"
+    LAST_LEGACY_DAY.write_text(
+        json.dumps({"items": items, "contents": read_jobs(version, items, 16.0)}, separators=(",", ":")) + "\n"
     )
 
 
 def test_what_the_last_legacy_version_stored_is_read() -> None:
     """Chunks in jobs' own records, main and overflow records, finished chunks."""
-    stored = json.loads(STORED_BY_LAST_LEGACY.read_text())
+    stored = json.loads(LAST_LEGACY_DAY.read_text())
     items, expected = stored["items"], stored["contents"]
     assert items[records.FORMAT]["format"] == 2
     assert any("+" in key for key in items)
     assert any(records.INLINE_CHUNK in value for value in items.values())
     assert any(value["f"] for key, value in items.items() if key.startswith(records.ACTIVE))
-    read = json.loads(json.dumps(contents(NEW, items, 16.0)))
+    read = json.loads(json.dumps(read_jobs(NEW, items, 16.0)))
     assert read == expected
     assert sum(len(job["placed"]) for job in read.values()) > 50 and any(job["done"] for job in read.values())
     version = from_history(LAST_LEGACY)
     if version is not None:
-        assert json.loads(json.dumps(contents(version, items, 16.0))) == expected
+        assert json.loads(json.dumps(read_jobs(version, items, 16.0))) == expected
 
 
 def test_what_production_stored_and_told_is_read() -> None:
-    stored = json.loads(STORED.read_text())
-    read = json.loads(json.dumps(contents(NEW, stored["items"], 16.0)))
+    stored = json.loads(PRODUCTION_DAY.read_text())
+    read = json.loads(json.dumps(read_jobs(NEW, stored["items"], 16.0)))
     assert read == stored["contents"] and sum(len(job["placed"]) for job in read.values()) > 50
     for view in stored["views"]:
         assert msgspec.convert(view, PeerView).reads == 0  # so no new format is written beside it
 
 
-def shape(items: dict[str, Any]) -> set[tuple]:
+def record_kinds(items: dict[str, Any]) -> set[tuple]:
     """Kinds of records with their fields."""
     found = set()
     for key, value in items.items():
@@ -133,7 +136,7 @@
 
 def test_before_the_change_of_format_records_look_as_production_writes_them() -> None:
     """One node is missing, so nobody knows which version it is: production's form is kept, and its limits."""
-    world = a_day(NEW, coming=COMING)
+    world = play_day(NEW, coming=LOWER_LIMITS)
     world.kill("node-2", None)
     world.lower_limits()
     world.run(60)
@@ -142,24 +145,24 @@
         all(node is None or node.record_format.number == 0 for node in world.nodes.values())
         and records.FORMAT not in items
     )
-    expected = shape(json.loads(STORED.read_text())["items"])
+    expected = record_kinds(json.loads(PRODUCTION_DAY.read_text())["items"])
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
-    assert shape(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
+    assert record_kinds(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
     assert world.state.refused_sizes == 0
-    read = contents(NEW, items, 16.0)
+    read = read_jobs(NEW, items, 16.0)
     assert sum(len(job["placed"]) for job in read.values()) > 20
     version = production()
     if version is not None:
-        assert contents(version, items, 16.0) == read
+        assert read_jobs(version, items, 16.0) == read
     finish(world)
     assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
 
 
-@old
+@needs_history
 @pytest.mark.parametrize("seed", [1, 2])
 def test_old_and_new_lead_in_turn(seed: int) -> None:
     """Take-overs in the middle of placements, stops and completions; then all are new, and the limits come."""
-    world = World(seed=70 + seed, loss=0.004, value_kb=16.0, coming=COMING, version=production() or NEW)
+    world = World(seed=70 + seed, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
     load(world, jobs=30)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
     wanted = [True, False, True, False]
@@ -202,10 +205,10 @@
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
-@old
+@needs_history
 def test_large_records_of_production_are_brought_into_small_pieces() -> None:
     """Its leader had stored more placements in one value than the limit to come allows."""
-    world = World(seed=81, loss=0.0, value_kb=16.0, coming=COMING, version=production() or NEW)
+    world = World(seed=81, loss=0.0, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
     world.submit(world.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
     world.submit(world.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
     while len(world.rules.where) < 160:
@@ -245,7 +248,7 @@
 
 def test_a_day_under_limits_that_come_without_notice() -> None:
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
-    world = World(seed=92, loss=0.004, value_kb=16.0, coming=COMING)
+    world = World(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
     load(world, jobs=18)
     gang_load(world, count=8)
     world.submit(world.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
@@ -266,7 +269,7 @@
     world = World(seed=93, loss=0.0, value_kb=16.0)
     load(world, jobs=12)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
-    world.coming = COMING
+    world.coming = LOWER_LIMITS
     world.clock.callLater(30.0, world.lower_limits)
     finish(world)
     assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
@@ -274,7 +277,7 @@
 
 
 def test_limits_are_the_least_known_and_go_down_when_refused() -> None:
-    state = parse(World(1, coming=COMING).settings("node-0")).deployment.state
+    state = parse(World(1, coming=LOWER_LIMITS).settings("node-0")).deployment.state
     assert (state.least().txn_ops, state.least().value_bytes, state.least().write_rps, state.least().rps) == (
         4,
         2048,
@@ -317,7 +320,7 @@
     )
 
 
-def chunk_of(placed: int, done: int = 0, name: str = "n-000123") -> tuple[Job, Chunk]:
+def chunk_with(placed: int, done: int = 0, name: str = "n-000123") -> tuple[Job, Chunk]:
     spec = stored_spec(pieces=300)
     job = Job(spec, 0.0, 256)
     chunk = job.chunk_of(0)
@@ -330,8 +333,8 @@
 @pytest.mark.parametrize(
     "placed, done, name", [(0, 0, "n"), (10, 0, "n"), (91, 0, "n"), (120, 60, "n"), (90, 0, "é" * 20)]
 )
-def test_a_chunk_in_pieces_is_the_same_chunk(placed: int, done: int, name: str) -> None:
-    job, chunk = chunk_of(placed, done, name)
+def test_a_chunk_with_overflow_records_is_read_as_it_was(placed: int, done: int, name: str) -> None:
+    job, chunk = chunk_with(placed, done, name)
     values = chunk_values(chunk, job.spec, job.chunk_size, 2048)
     assert all(records.json_bytes(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
     again = Job(job.spec, 0.0, 256)
