--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
+from stileloft.model.chunk_records import detached_chunk_record
 from stileloft.model.records import JobOutcome
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.evidence import Evidence, locate_tasks
@@ -108,7 +108,9 @@
     def _restore_inline_chunk(self, job: StoredJob) -> None:
         """A job that is over: what may still run of it stays known, so that it is stopped and counted."""
         if job.inline_chunk is not None and job.inline_chunk["p"]:
-            self._wanted[records.chunk_key(job.id, 0)] = separate_chunk(job.spec, job.inline_chunk, job.chunk_size)
+            self._wanted[records.chunk_key(job.id, 0)] = detached_chunk_record(
+                job.spec, job.inline_chunk, job.chunk_size
+            )
 
     def _restore_chunks_of_ended_jobs(self) -> None:
         for key, value in self._records(records.TASKS):
--- a/stileloft/rebuild/stored_jobs.py
+++ b/stileloft/rebuild/stored_jobs.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
+from stileloft.model.chunk_records import detached_chunk_record
 from stileloft.protocol.messages import JobSpec, job_from_wire
 
 NO_TASKS: dict[str, Any] = {"a": 0, "d": [], "p": {}}
@@ -87,7 +87,7 @@
             self.value = self.value | {records.INLINE_CHUNK: chunk.to_value()}
         else:
             key = records.chunk_key(self.id, number)
-            self.chunks[key] = separate_chunk(self.spec, chunk.to_value(), self.chunk_size)
+            self.chunks[key] = detached_chunk_record(self.spec, chunk.to_value(), self.chunk_size)
 
     def _chunk_values(self) -> Iterator[dict[str, Any]]:
         yield from self.chunks.values()
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -1,10 +1,11 @@
-"""What follows from a commit that was executed, in the leader's state of the cluster."""
+"""Applies executed commits to the leader's state of the cluster."""
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
-from stileloft.model import records
+from stileloft.model.chunks import NO_RECORD, ChunkStorage
 from stileloft.model.jobs import EndPhase
 from stileloft.model.placements import PlacementState
+from stileloft.model.records import VersionedValue
 from stileloft.store.job_transaction import JobTransaction
 from stileloft.transport.clock import Clock
 
@@ -18,29 +19,29 @@
         self._clock = clock
 
     def apply(self, part: JobTransaction, revision: int) -> None:
-        """A job's part of a transaction was executed at this revision of the store."""
+        """Applies a job's part of a transaction that was executed at this revision of the store."""
         job = part.job
-        job.commit_in_flight = False
+        job.write.commit_in_flight = False
         self._settle_placements(part)
         self._settle_chunks(part, revision)
-        if part.final:
+        if part.ends_job:
             job.done = job.spec.tasks
             self._lifecycle.end_job(job, EndPhase.DONE)
-        elif part.active:
-            job.chunk_size_stored = "n" in part.puts[records.active_key(job.id)]
+        elif part.writes_job_record:
+            job.stores_chunk_size = part.has_chunk_size
             job.version = revision
-            job.stored_counts = part.counts
-            job.counts_stored_at = self._clock.seconds()
+            job.write.stored_counts = part.counts
+            job.write.counts_stored_at = self._clock.seconds()
         if job.end_phase and not job.chunks:
             self._jobs.remove(job)
 
     def _settle_placements(self, part: JobTransaction) -> None:
         """Planned placements are bound now, and ended ones are no longer stored."""
         job = part.job
-        for placement in part.bound:
+        for placement in part.new_placements:
             if placement.state == PlacementState.PLANNED:
                 placement.state = PlacementState.BOUND
-        for placement in part.ended:
+        for placement in part.cleared_placements:
             chunk = job.chunk_of(placement.index)
             if placement.done and not job.end_phase and placement.index not in chunk.done:
                 chunk.done.add(placement.index)
@@ -51,21 +52,21 @@
 
     @staticmethod
     def _settle_chunks(part: JobTransaction, revision: int) -> None:
-        """Takes down where the store holds each chunk, and in which version."""
+        """Notes where the store holds each chunk, and in which version."""
         job = part.job
-        for number in part.written:
+        for number in part.written_chunks:
             chunk = job.chunks[number]
-            chunk.inline, chunk.stored = part.inline, not part.inline
-            if part.inline:
+            if part.is_inline:
+                chunk.storage = ChunkStorage.INLINE
                 continue
+            chunk.storage = ChunkStorage.OWN_RECORDS
             chunk.version = revision
-            before = chunk.parts
-            chunk.parts = {}
-            for index, value in enumerate(part.parts.get(number, ()), 1):
-                version, stored = before.get(index, (0, None))
-                chunk.parts[index] = (version if stored == value else revision, value)
-        for number in part.finished:
+            before, chunk.overflow = chunk.overflow, {}
+            for overflow, value in enumerate(part.overflow.get(number, ()), 1):
+                stored = before.get(overflow, NO_RECORD)
+                chunk.overflow[overflow] = stored if stored.value == value else VersionedValue(value, revision)
+        for number in part.folded_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
-        for number in part.dropped:
+        for number in part.removed_chunks:
             del job.chunks[number]
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -9,7 +9,10 @@
 from hypothesis import strategies as st
 
 from stileloft.model import records
-from stileloft.model.jobs import Job, job_from_record
+from stileloft.model.chunk_records import chunk_values
+from stileloft.model.chunks import ChunkStorage
+from stileloft.model.job_records import apply_chunk_records, job_from_record, job_record, max_inline_record_bytes
+from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
@@ -17,7 +20,7 @@
 from tests.test_upgrade import stored_spec
 from tests.versions import LAST_FORMAT_1, NEW, from_history
 
-last_format_1 = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
+needs_history = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
 
 
 def count_changes(world: World) -> Counter[str]:
@@ -37,7 +40,7 @@
     return counted
 
 
-def settled(seed: int, **more: Any) -> World:
+def world_in_newest_format(seed: int, **more: Any) -> World:
     """A world whose controllers all write the newest format."""
     world = World(seed, loss=0.0, **more)
     world.run(15)
@@ -55,7 +58,7 @@
 
 def test_a_one_task_job_takes_five_changes() -> None:
     """Accepted, placed, running, and the two of its end; six with a record for its chunk."""
-    world = settled(101)
+    world = world_in_newest_format(101)
     counted = count_changes(world)
     for number in range(30):
         world.clock.callLater(number * 1.0, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=8.0))
@@ -69,7 +72,7 @@
 
 def test_a_cancelled_job_keeps_what_may_still_run() -> None:
     """Its record goes with the cancellation. Were its placements gone with it, nobody would stop them or count them."""
-    world = settled(102)
+    world = world_in_newest_format(102)
     world.submit(world.job(1, pieces=3, guessS=200.0))
     run_until_started(world, 3)
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
@@ -92,7 +95,7 @@
 
 
 def test_a_job_cancelled_before_it_is_placed_leaves_no_chunk() -> None:
-    world = settled(103)
+    world = world_in_newest_format(103)
     world.cloud.kinds.clear()  # there is nowhere to run
     world.submit(world.job(1, pieces=2))
     world.run(2)
@@ -104,7 +107,7 @@
 
 
 def test_a_new_leader_finds_placements_in_the_jobs_record() -> None:
-    world = settled(104)
+    world = world_in_newest_format(104)
     for number in range(4):
         world.submit(world.job(number, pieces=3, vcpus=1.0, guessS=60.0))
     run_until_started(world, 12)
@@ -118,7 +121,7 @@
 
 def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
     """The limit of a value becomes lower without notice, while many tasks are placed."""
-    world = settled(105, value_kb=16.0)
+    world = world_in_newest_format(105, value_kb=16.0)
     world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=60.0))
     run_until_started(world, 40)
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
@@ -129,7 +132,7 @@
     assert [key for key in world.state.items if key.startswith(("active/", "tasks/"))] == []
 
 
-@last_format_1
+@needs_history
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
@@ -162,19 +165,19 @@
     chunk.attempt, chunk.done = 3, {0, 4}
     job.add(Placement("j-1", 1, 2, "n-000001", "a", True))
     job.add(Placement("j-1", 2, 3, "n-000002", "b", False))
-    value = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
+    value = records.to_stored(job_record(job, True, with_chunk=True))
     again = job_from_record(json.loads(json.dumps(value)), 9, 5)
-    again.recount()
     assert (again.done, again.placed, again.version, again.chunk_size) == (2, 2, 9, 22)
     read = again.chunks[0]
-    assert (read.attempt, read.done, read.inline, read.stored) == (3, {0, 4}, True, False)
+    assert (read.attempt, read.done, read.storage) == (3, {0, 4}, ChunkStorage.INLINE)
     assert [(p.index, p.attempt, p.machine, p.zone, p.spot) for p in again.placements()] == [
         (1, 2, "n-000001", "a", True),
         (2, 3, "n-000002", "b", False),
     ]
     # A record of its own, as a cancellation leaves it, counts for more than what the job's record said before.
-    again.load_chunks([(records.chunk_key("j-1", 0), {"a": 4, "d": [[0, 5]], "p": {}}, 12)])
-    assert (again.chunks[0].attempt, again.chunks[0].inline, again.chunks[0].version) == (4, False, 12)
+    apply_chunk_records(again, [(records.chunk_key("j-1", 0), {"a": 4, "d": [[0, 5]], "p": {}}, 12)])
+    read = again.chunks[0]
+    assert (read.attempt, read.storage, read.version) == (4, ChunkStorage.OWN_RECORDS, 12)
 
 
 def test_a_leader_that_has_not_read_the_format_tells_the_length_of_chunks() -> None:
@@ -183,7 +186,7 @@
     Its successor knows the job by its chunk's record alone. Without the length there it took the tasks for those of
     other chunks, and failed to let go of them.
     """
-    world = settled(106)
+    world = world_in_newest_format(106)
     world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
     run_until_started(world, 40)
     assert world.state.items["active/j-000001"][0]["n"] > records.chunk_size(world.value_kb) > 20
@@ -233,8 +236,9 @@
     for index in set(range(job.spec.tasks)) - chunk.done:
         name = names[index % len(names)]
         job.add(Placement(job.id, index, attempts, name, name[::-1], index % 2 == 0))
-    record = job.record(True) | {records.INLINE_CHUNK: chunk.inline_record()}
-    assert records.size_of(record) <= job.inline_record_bytes()
+    record = records.to_stored(job_record(job, True, with_chunk=True))
+    assert records.INLINE_CHUNK in record
+    assert records.json_bytes(record) <= max_inline_record_bytes(job)
 
 
 NAMES = st.text(min_size=1, max_size=60)
@@ -251,8 +255,8 @@
     for index in range(placed):
         name = names[index % len(names)]
         job.add(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
-    values = job.chunk_of(0).records(job.spec, job.chunk_size, value_bytes)
-    assert all(records.size_of(value) <= value_bytes for value in values)
+    values = chunk_values(job.chunk_of(0), job.spec, job.chunk_size, value_bytes)
+    assert all(records.json_bytes(value) <= value_bytes for value in values)
     assert sum(len(value["p"]) for value in values) == placed
 
 
@@ -265,5 +269,5 @@
 def test_a_transactions_size_is_not_reckoned_too_small(value: Any) -> None:
     """In UTF-8 a text takes a third of what it takes with all but ASCII escaped."""
     escaped = json.dumps(value, separators=(",", ":"))
-    assert len(escaped) <= records.most_compact_bytes(value)
-    assert records.size_of(value) <= 2 * records.most_compact_bytes(value)
+    assert len(escaped) <= records.max_compact_bytes(value)
+    assert records.json_bytes(value) <= 2 * records.max_compact_bytes(value)
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -103,7 +103,7 @@
     for value in json.loads(json.dumps(values)):
         read.load(value)
     assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*outcome) for job, outcome in expected.items()}
-    assert all(records.size_of(value) <= value_bytes for value in values)
+    assert all(records.json_bytes(value) <= value_bytes for value in values)
 
 
 def test_the_first_outcome_of_a_job_stays() -> None:
@@ -125,8 +125,8 @@
     outcomes = JobOutcomes()
     for number in numbers:
         outcomes.add(f"j-{number:06d}", JobOutcome("done", 3))
-    size = sum(records.size_of(value) for value in outcomes.to_records(16 * 1024))
-    assert size * 4 < records.size_of(records.to_ranges(set(numbers)))
+    size = sum(records.json_bytes(value) for value in outcomes.to_records(16 * 1024))
+    assert size * 4 < records.json_bytes(records.to_ranges(set(numbers)))
 
 
 # -- snapshots -----------------------------------------------------------------------------------------------------
--- a/tests/test_rebuild_reconstruction.py
+++ b/tests/test_rebuild_reconstruction.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from stileloft.model import records
-from stileloft.model.chunks import separate_chunk
-from stileloft.model.jobs import active_record
+from stileloft.model.chunk_records import detached_chunk_record
+from stileloft.model.job_records import active_record
 from stileloft.model.records import JobOutcome
 from stileloft.protocol.messages import Heartbeat, JobSpec, TaskStatus, parse_job
 from stileloft.rebuild import unresolved_tasks
@@ -30,7 +30,7 @@
     chunk = {"a": max([p[0] for p in placed.values()], default=0), "d": done or [], "p": placed}
     return {
         records.active_key(job.id): active_record(job, 0.0, 24),
-        records.chunk_key(job.id, 0): separate_chunk(job, chunk, 24),
+        records.chunk_key(job.id, 0): detached_chunk_record(job, chunk, 24),
     }
 
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -9,7 +9,7 @@
     for numbers in (set(), {0}, {0, 1, 2, 7, 9, 10}):
         assert records.from_ranges(records.to_ranges(numbers)) == numbers
     assert records.split_chunk_key(records.chunk_key("j-000412", 17)) == ("j-000412", 17, 0)
-    assert records.split_chunk_key(records.part_key("j-000412", 17, 2)) == ("j-000412", 17, 2)
+    assert records.split_chunk_key(records.chunk_key("j-000412", 17, 2)) == ("j-000412", 17, 2)
     assert records.split_task("j-000412/3") == ("j-000412", 3)
 
 
@@ -17,6 +17,7 @@
     """A chunk with every task placed on machines of long names."""
     import orjson
 
+    from stileloft.model.chunk_records import whole_chunk_value
     from stileloft.model.jobs import Job
     from stileloft.model.placements import Placement
 
@@ -26,4 +27,4 @@
         held = Job(spec, 0.0, size)
         for index in range(size):
             held.add(Placement(spec.id, index, 123456, "n-" + "9" * 18, "zone-of-a-long-name-1", True))
-        assert len(orjson.dumps(held.chunks[0].record(spec))) < value_kb * 1024
+        assert len(orjson.dumps(whole_chunk_value(held.chunks[0], spec, None))) < value_kb * 1024
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -17,6 +17,8 @@
 ROOT = Path(__file__).parent.parent
 LAST_FORMAT_1 = "7f751773ace7bdb78fec4f9818b2ebda927dfa76"
 """The last version that writes a record for each chunk of a job."""
+LAST_LEGACY = "44d00d66b6fe09e76d986793929825ceb8d86cef"
+"""The last version before the packages and names were changed; it writes the same format as this one."""
 
 
 LEGACY_NAMES = {
@@ -25,6 +27,7 @@
     "holds_lease": "confirmed",
     "chunk_size": "size",
     "receive_change_notice": "take_notes",
+    "refresh_counts": "recount",
 }
 """What earlier versions call the parts that the fakes use, where this version has another name."""
 
@@ -79,7 +82,7 @@
         messages=_module(package, "protocol.messages"),
         connection_failed=_attribute(client, "ConnectionFailedError", "Refused"),
         no_response=_attribute(client, "NoResponseError", "Unanswered"),
-        job_from_record=_module(package, "model.jobs", "bookkeeping.model").job_from_record,
+        job_from_record=_module(package, "model.job_records", "model.jobs", "bookkeeping.model").job_from_record,
         records=_module(package, "model.records", "bookkeeping.records"),
         is_legacy=hasattr(controller, "Node"),
     )
