--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -110,7 +110,7 @@
             deployment.state.least().value_bytes,
             self.integrity,
         )
-        self.admission.on_cancelled = self._on_cancelled_here
+        self.admission.cancellation_listener = self._on_cancelled_here
 
     def _rebuild_feature(self) -> "Rebuild | None":
         if not self.features.rebuild.enabled:
--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -30,16 +30,16 @@
 
 log = logging.getLogger(__name__)
 
-FINAL_CACHE = 5000
+MAX_CACHED_OUTCOMES = 5000
 # What a cancellation usually changes: the job's record goes, and one of its end comes.
-CANCEL_CHANGES = 2.0
-CANCEL_TRIES = 4
+CANCELLATION_CHANGES = 2.0
+MAX_CANCEL_ATTEMPTS = 4
 # While more than this part of the read budget is left, each question has a read of its own; below it, all that come
 # within so many seconds share one that begins after the last of them came.
-SPARE_READS = 0.5
-GATHER_S = 0.25
+SHARED_READS_BELOW = 0.5
+SHARED_READ_DELAY_S = 0.25
 # When users are to come back while lost records are rebuilt.
-LOST_RETRY_S = 2.0
+REBUILD_RETRY_S = 2.0
 
 
 class RetryLaterError(Exception):
@@ -54,7 +54,7 @@
     """The job can never run; the text says why."""
 
 
-def why_impossible(
+def infeasibility_reason(
     spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType], value_bytes: int
 ) -> str | None:
     team = teams.get(spec.team)
@@ -106,11 +106,11 @@
         self._write_budget = write_budget
         self._wall_clock = wall_clock
         self._value_bytes = value_bytes
-        self.on_cancelled: Callable[[str, int], None] = lambda _job, _revision: None
+        self.cancellation_listener: Callable[[str, int], None] = lambda _job, _revision: None
         """Called with each job that a user of this node has cancelled, and the store's revision, before the answer."""
         # Only final answers may come from memory: nothing can make them older.
         self._final: OrderedDict[str, dict[str, Any]] = OrderedDict()
-        self._gathered: list[defer.Deferred[dict[str, Any]]] = []
+        self._pending_reads: list[defer.Deferred[dict[str, Any]]] = []
         """Questions that wait for the next read that is shared."""
 
     async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]:
@@ -118,27 +118,27 @@
         known = self._final.get(spec.id)
         if known is not None:
             return False, known
-        if self._keep_known_end(spec.id) is not None:
+        if self._cache_known_outcome(spec.id) is not None:
             # It ended before the store was rebuilt, and may have no record of its own there.
             return False, self._final[spec.id]
         self._require_sound_store()
         if not self._catalog.types:
             raise RetryLaterError("the machine types are not known yet")
-        reason = why_impossible(spec, self._teams, self._catalog.types, self._value_bytes)
+        reason = infeasibility_reason(spec, self._teams, self._catalog.types, self._value_bytes)
         if reason is not None:
             # A known job is told its state, whatever has changed since it was accepted.
             known = await self.status(spec.id)
             if known is not None:
                 return False, known
             raise InfeasibleJobError(reason)
-        self._spend(self._write_budget, 1.0)
+        self._take_budget(self._write_budget, 1.0)
         active, final = records.active_key(spec.id), records.final_key(spec.id)
         chunk_size = self._format.chunk_size if self._format.has_chunk_sizes else None
         value = active_record(spec, self._wall_clock(), chunk_size)
         try:
             revision = await self._state.commit({active: 0, final: 0, **self._integrity.guards()}, {active: value}, [])
         except ConflictError as conflict:
-            self._look_into(conflict)
+            self._check_store_identity(conflict)
             known = await self.status(spec.id)
             if known is None:
                 raise RetryLaterError("the job's record is changing") from None
@@ -146,46 +146,46 @@
         except TooLargeError:
             raise InfeasibleJobError("its description is too long to be stored") from None
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._write_budget, 1.0) from None
+            raise self._retry_after_failure(error, self._write_budget, 1.0) from None
         self._integrity.record_commit({active: value}, [], revision)
         log.info("job %s accepted: %d tasks of class %s for %s", spec.id, spec.tasks, spec.job_class, spec.team)
         return True, job_status_message(spec.id, "queued")
 
     async def status(self, job: str) -> dict[str, Any] | None:
         """The job's state, or None if the store says that it was never accepted."""
-        known = self._final.get(job) or self._keep_known_end(job)
+        known = self._final.get(job) or self._cache_known_outcome(job)
         if known is not None:
             return known
         self._require_sound_store()
         try:
-            if self._read_budget.level() > SPARE_READS * self._read_budget.rate_per_s:
-                self._spend(self._read_budget, 1.0)
+            if self._read_budget.level() > SHARED_READS_BELOW * self._read_budget.rate_per_s:
+                self._take_budget(self._read_budget, 1.0)
                 found = await self._state.lookup(records.active_key(job))
                 value = found[0] if found is not None else None
             else:
-                value = (await self._read_together()).get(records.active_key(job))
+                value = (await self._shared_read()).get(records.active_key(job))
                 if value is None:
-                    self._spend(self._read_budget, 1.0)
+                    self._take_budget(self._read_budget, 1.0)
             if value is not None:
                 done, running = value["c"]
                 return job_status_message(job, "running" if running else "queued", done, running)
             return await self._ended(job)
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._read_budget, 1.0) from None
+            raise self._retry_after_failure(error, self._read_budget, 1.0) from None
 
-    def _read_together(self) -> defer.Deferred[dict[str, Any]]:
+    def _shared_read(self) -> defer.Deferred[dict[str, Any]]:
         """All unfinished jobs, as read after now. Many users asking often must not take what the leader needs."""
         waiting: defer.Deferred[dict[str, Any]] = defer.Deferred()
-        self._gathered.append(waiting)
-        if len(self._gathered) == 1:
-            self._clock.callLater(GATHER_S, lambda: defer.ensureDeferred(self._read_all()))
+        self._pending_reads.append(waiting)
+        if len(self._pending_reads) == 1:
+            self._clock.callLater(SHARED_READ_DELAY_S, lambda: defer.ensureDeferred(self._read_all()))
         return waiting
 
     async def _read_all(self) -> None:
         # Who asks from now on is not among them: the read may begin before that question.
-        asked, self._gathered = self._gathered, []
+        asked, self._pending_reads = self._pending_reads, []
         try:
-            self._spend(self._read_budget, 1.0)
+            self._take_budget(self._read_budget, 1.0)
             items, _ = await self._state.scan(records.ACTIVE)
             self._read_budget.overdraw(len(items) // PAGE)
         except Exception as error:
@@ -199,54 +199,54 @@
     async def _ended(self, job: str) -> dict[str, Any] | None:
         found = await self._state.lookup(records.final_key(job))
         if found is not None:
-            return self._keep_final(job, found[0])
+            return self._cache_outcome(job, found[0])
         # What is missing may have been lost.
         await self._integrity.verify_absence()
-        known = self._keep_known_end(job)
+        known = self._cache_known_outcome(job)
         if known is not None:
             return known
         return job_status_message(job, "queued", 0, 0) if self._integrity.is_unknown_job(job) else None
 
     def _require_sound_store(self) -> None:
         if not self._integrity.is_sound() or not self._integrity.knows_outcomes():
-            raise RetryLaterError("the state service has lost records, which are being rebuilt", LOST_RETRY_S)
+            raise RetryLaterError("the state service has lost records, which are being rebuilt", REBUILD_RETRY_S)
 
-    def _keep_known_end(self, job: str) -> dict[str, Any] | None:
+    def _cache_known_outcome(self, job: str) -> dict[str, Any] | None:
         end = self._integrity.outcome_of(job)
-        return None if end is None else self._keep_final(job, records.final_record(end.phase, end.tasks))
+        return None if end is None else self._cache_outcome(job, records.final_record(end.phase, end.tasks))
 
-    def _look_into(self, conflict: ConflictError) -> None:
+    def _check_store_identity(self, conflict: ConflictError) -> None:
         """A transaction that failed on the store's identity was one on a store that is not the known one."""
         if records.IDENTITY in conflict.failed:
             self._integrity.suspect()
             raise RetryLaterError("the state service is being verified", 1.0)
 
-    def _keep_final(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
+    def _cache_outcome(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
         answer = job_status_message(job, value["phase"], value["n"], 0)
         self._final[job] = answer
-        if len(self._final) > FINAL_CACHE:
+        if len(self._final) > MAX_CACHED_OUTCOMES:
             self._final.popitem(last=False)
         return answer
 
     async def cancel(self, job: str) -> dict[str, Any] | None:
         """The final state after the cancellation, or None for a job that was never accepted."""
-        known = self._final.get(job) or self._keep_known_end(job)
+        known = self._final.get(job) or self._cache_known_outcome(job)
         if known is not None:
             return known
         self._require_sound_store()
-        self._spend(self._write_budget, CANCEL_CHANGES)
+        self._take_budget(self._write_budget, CANCELLATION_CHANGES)
         try:
             # The leader may rewrite the record between the read and the commit.
-            for _ in range(CANCEL_TRIES):
+            for _ in range(MAX_CANCEL_ATTEMPTS):
                 found = await self._state.lookup(records.active_key(job))
                 if found is None:
                     return await self._ended(job)
                 try:
                     return await self._cancel_record(job, found[0], found[1])
                 except ConflictError as conflict:
-                    self._look_into(conflict)
+                    self._check_store_identity(conflict)
         except (UnavailableError, UnknownOutcomeError) as error:
-            raise self._failed(error, self._write_budget, CANCEL_CHANGES) from None
+            raise self._retry_after_failure(error, self._write_budget, CANCELLATION_CHANGES) from None
         raise RetryLaterError("the job's record keeps changing")
 
     async def _cancel_record(self, job: str, value: dict[str, Any], version: int) -> dict[str, Any]:
@@ -263,11 +263,11 @@
         revision = await self._state.commit(guards, puts, [active])
         self._integrity.record_commit(puts, [active], revision)
         log.info("job %s cancelled, revision %d", job, revision)
-        self.on_cancelled(job, revision)
-        return self._keep_final(job, ended)
+        self.cancellation_listener(job, revision)
+        return self._cache_outcome(job, ended)
 
     @staticmethod
-    def _failed(error: Exception, budget: TokenBucket, amount: float) -> RetryLaterError:
+    def _retry_after_failure(error: Exception, budget: TokenBucket, amount: float) -> RetryLaterError:
         # Otherwise the repeats during an outage would leave nothing for those after it.
         # What was refused because there was too much of it counts: else the repeats starve the leader.
         if isinstance(error, UnavailableError) and not isinstance(error, ThrottledError):
@@ -275,6 +275,6 @@
         return RetryLaterError(f"state service: {error}")
 
     @staticmethod
-    def _spend(budget: TokenBucket, amount: float) -> None:
+    def _take_budget(budget: TokenBucket, amount: float) -> None:
         if not budget.try_take(amount):
             raise RetryLaterError("too many requests", 1.0)
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -140,7 +140,7 @@
             job.recount()
             self._jobs.adopt(job)
             for placement in job.placements():
-                self._lifecycle.attach(placement)
+                self._lifecycle.track(placement)
         self._request_scheduling()
 
     def _end(self, job: Job, version: int) -> None:
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -24,13 +24,13 @@
 log = logging.getLogger(__name__)
 
 # Jobs whose tasks failed, or were slow, on a machine before it is taken to be faulty.
-ERRORS_FAULTY = 2
+FAULTY_AFTER_JOBS = 2
 # A task that takes this multiple of the time of its job's other tasks speaks against its machine.
-SLOW = 3.0
-DURATIONS_KEPT = 20
+SLOW_RUN_TIME_FACTOR = 3.0
+MAX_DURATIONS_KEPT = 20
 # Pauses between the attempts of a job that fails on several machines: the first, doubled each time up to the longest.
-BACKOFF_S = 1.0
-BACKOFF_MAX_S = 60.0
+MIN_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 60.0
 
 
 class TaskLifecycle:
@@ -60,7 +60,7 @@
         self._request_scheduling = request_scheduling
         self._send_commands = send_commands
 
-    def attach(self, placement: Placement) -> None:
+    def track(self, placement: Placement) -> None:
         if placement.state != PlacementState.ENDED:
             machine = self._machines.get_or_create(placement.machine)
             machine.placements[placement.key] = placement
@@ -71,11 +71,11 @@
         if machine is not None:
             machine.scheduling_view = None
 
-    def end(self, placement: Placement, why: str) -> None:
+    def end(self, placement: Placement, reason: str) -> None:
         """The task is certainly not on its machine any more, and has to run again."""
         if placement.state == PlacementState.ENDED:
             return
-        log.info("task %s attempt %d on %s ended: %s", placement.task, placement.attempt, placement.machine, why)
+        log.info("task %s attempt %d on %s ended: %s", placement.task, placement.attempt, placement.machine, reason)
         placement.state = PlacementState.ENDED
         self._invalidate_view(placement)
         job = self._cluster.jobs.get(placement.job)
@@ -104,9 +104,9 @@
                 self.end(placement, "done, as one of its gang is")
             self._cluster.mark_dirty(job)
         for placement in gangs.left_over(job):
-            self._stop_one(placement, 0.0 if placement.stop_grace_s is None else None)
+            self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
-    def placement_cleared(self, placement: Placement) -> None:
+    def untrack(self, placement: Placement) -> None:
         """The store holds the placement no longer."""
         machine = self._cluster.machines.get(placement.machine)
         if machine is None:
@@ -119,7 +119,7 @@
         if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
             machine.idle_since = self._clock.seconds()
 
-    def completed(self, machine: Machine, placement: Placement, now: float) -> None:
+    def record_completion(self, machine: Machine, placement: Placement, now: float) -> None:
         placement.done = True
         job = self._cluster.jobs.get(placement.job)
         if job is not None and placement.running_since is not None and job.spec.estimate_s > 0:
@@ -133,33 +133,35 @@
             if fresh and placement.placed_by_this_leader:
                 if not job.durations:  # one sample a job, however many tasks it has
                     self._workload.record_run_time(job.spec, took)
-                self._compare_speed(machine, job, took)
+                self._detect_slow_machine(machine, job, took)
         self.end(placement, "done")
 
-    def _compare_speed(self, machine: Machine, job: Job, took: float) -> None:
+    def _detect_slow_machine(self, machine: Machine, job: Job, took: float) -> None:
         """Finds machines much slower than others of the same type, by tasks of the same job."""
         others = sorted(duration for other, duration in job.durations if other != machine.id)
-        if len(job.durations) < DURATIONS_KEPT:
+        if len(job.durations) < MAX_DURATIONS_KEPT:
             job.durations.append((machine.id, took))
-        if len(others) >= 2 and took > SLOW * others[len(others) // 2]:
+        if len(others) >= 2 and took > SLOW_RUN_TIME_FACTOR * others[len(others) // 2]:
             machine.slow_jobs.add(job.id)
-            if len(machine.slow_jobs) >= ERRORS_FAULTY and machine.drain_reason is None:
+            if len(machine.slow_jobs) >= FAULTY_AFTER_JOBS and machine.drain_reason is None:
                 log.info("machine %s is slow with tasks of %d jobs: emptying it", machine.id, len(machine.slow_jobs))
                 machine.drain_reason = "it is slow"
 
-    def failed(self, machine: Machine, placement: Placement) -> None:
+    def record_failure(self, machine: Machine, placement: Placement) -> None:
         """Tells a faulty machine from a mistaken job: the one fails many jobs, the other on many machines."""
         job = self._cluster.jobs.get(placement.job)
         machine.failed_jobs.add(placement.job)
         machine.failure_count += 1
         if job is not None:
             job.failed_machines.add(machine.id)
-            self.avoid(placement, machine.id, self._timings.lease_s * 4)
+            self.back_off_from_machine(placement, machine.id, self._timings.lease_s * 4)
             if len(job.failed_machines) > 1:
                 self._back_off(job)
         known = [self._cluster.jobs[job_id] for job_id in machine.failed_jobs if job_id in self._cluster.jobs]
         honest = [each for each in known if len(each.failed_machines) < 2]
-        if (len(honest) >= ERRORS_FAULTY or (honest and machine.failure_count > 4)) and machine.drain_reason is None:
+        if (
+            len(honest) >= FAULTY_AFTER_JOBS or (honest and machine.failure_count > 4)
+        ) and machine.drain_reason is None:
             log.info("machine %s fails tasks of %d jobs: emptying it", machine.id, len(machine.failed_jobs))
             machine.drain_reason = "it fails tasks"
             for other in list(machine.placements.values()):
@@ -168,13 +170,13 @@
     def _back_off(self, job: Job) -> None:
         """Has the job wait for longer with each further attempt; tasks that fail together are one."""
         if self._clock.seconds() >= job.backoff_until:
-            job.backoff_s = min(BACKOFF_MAX_S, max(BACKOFF_S, 2.0 * job.backoff_s))
-        self.delay(job.id, job.backoff_s)
+            job.backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2.0 * job.backoff_s))
+        self.back_off_job(job.id, job.backoff_s)
 
-    def avoid(self, placement: Placement, machine_id: str, seconds: float) -> None:
+    def back_off_from_machine(self, placement: Placement, machine_id: str, seconds: float) -> None:
         self._cluster.placement_backoff[(placement.job, machine_id)] = self._clock.seconds() + seconds
 
-    def delay(self, job_id: str, seconds: float) -> None:
+    def back_off_job(self, job_id: str, seconds: float) -> None:
         job = self._cluster.jobs.get(job_id)
         if job is not None:
             job.backoff_until = max(job.backoff_until, self._clock.seconds() + seconds)
@@ -185,9 +187,9 @@
         job = self._cluster.jobs.get(placement.job)
         together = list(job.placements()) if job is not None and job.spec.is_gang else [placement]
         for each in together:
-            self._stop_one(each, grace_s)
+            self._stop_placement(each, grace_s)
 
-    def _stop_one(self, placement: Placement, grace_s: float | None) -> None:
+    def _stop_placement(self, placement: Placement, grace_s: float | None) -> None:
         if placement.state == PlacementState.PLANNED:
             self.end(placement, "not needed there")
             return
@@ -216,10 +218,10 @@
                 # Later would save more, but a command that comes too late saves nothing.
                 if (spec.save_s or 0.0) + 1.0 < left:
                     self.stop(placement)
-            elif self.remaining(job, placement, now) > left:
+            elif self.remaining_run_time_s(job, placement, now) > left:
                 self.stop(placement, 0.0)
 
-    def remaining(self, job: Job, placement: Placement, now: float) -> float:
+    def remaining_run_time_s(self, job: Job, placement: Placement, now: float) -> float:
         if job.spec.is_service:
             return math.inf
         estimate = self._workload.estimate(job.spec)
@@ -234,7 +236,7 @@
             log.info("job ended job=%s phase=%s", job.id, phase)
         self.stop_all_tasks(job)
         if not job.placed:
-            self.mark_all_dirty(job)
+            self.rewrite_all_chunks(job)
 
     def stop_all_tasks(self, job: Job) -> None:
         for placement in list(job.placements()):
@@ -246,7 +248,7 @@
             chunk.dirty = True
         self._cluster.mark_dirty(job)
 
-    def mark_all_dirty(self, job: Job) -> None:
+    def rewrite_all_chunks(self, job: Job) -> None:
         for chunk in job.chunks.values():
             chunk.dirty = True
         self._cluster.mark_dirty(job)
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -126,13 +126,13 @@
         """Goes on with a job where the former leader left it."""
         job.recount()
         for placement in job.placements():
-            self._lifecycle.attach(placement)
+            self._lifecycle.track(placement)
         if self._store.format.has_chunk_sizes:
             self._upgrade.split_large_records(job)
         if job.end_phase:
             self._lifecycle.stop_all_tasks(job)
             if not job.placed:
-                self._lifecycle.mark_all_dirty(job)
+                self._lifecycle.rewrite_all_chunks(job)
         elif job.spec.is_gang:
             self._lifecycle.reconcile_gang(job)
 
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -206,7 +206,7 @@
                     spec.gpus or 0.0,
                     spec.memory_gb,
                     unsaved,
-                    self._lifecycle.remaining(job, placement, now),
+                    self._lifecycle.remaining_run_time_s(job, placement, now),
                     stopping=placement.stop_grace_s is not None,
                     budget_safe=not spec.is_service and job.preemption_count < spec.tasks,
                     group_size=spec.tasks if spec.is_gang else 1,
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -47,7 +47,7 @@
                 job.done += 1
             if chunk.placements.get(placement.index) is placement:
                 job.remove(placement)
-            self._lifecycle.placement_cleared(placement)
+            self._lifecycle.untrack(placement)
 
     @staticmethod
     def _settle_chunks(part: JobTransaction, revision: int) -> None:
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -138,8 +138,8 @@
         kept = {id(placement) for placement in job.placements()}
         for placement in before:
             if id(placement) not in kept:
-                self._lifecycle.placement_cleared(placement)
+                self._lifecycle.untrack(placement)
         for placement in job.placements():
-            self._lifecycle.attach(placement)
+            self._lifecycle.track(placement)
             if placement.state == PlacementState.ENDED:
                 job.chunk_of(placement.index).dirty = True
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -12,9 +12,9 @@
 from stileloft.workers.fencing import MachineFencing
 
 # Commands in one direct message; a body may hold 64 KiB.
-MAX_COMMANDS = 200
-# A stop is repeated after this part of the report interval.
-REPEAT_STOP = 1.0
+MAX_COMMANDS_PER_MESSAGE = 200
+# A stop is repeated after so many heartbeat intervals.
+STOP_REPEAT_HEARTBEATS = 1.0
 
 
 class CommandPlanner:
@@ -29,7 +29,7 @@
         self._clock = clock
         self.heartbeat_s = heartbeat_s
 
-    def starts(self, machine: Machine) -> list[Placement]:
+    def due_starts(self, machine: Machine) -> list[Placement]:
         """Placements whose task has to be started, or whose start has to be repeated."""
         authority = self._authority
         unseen = [
@@ -44,7 +44,7 @@
             return []
         return [p for p in unseen if authority.check_start(p, machine) is None]
 
-    def stops(self, machine: Machine, most: int, renewing: bool = False) -> list[dict[str, Any]]:
+    def due_stops(self, machine: Machine, most: int, renewing: bool = False) -> list[dict[str, Any]]:
         """What the machine has to stop, at most so many.
 
         `renewing`: for an answer that renews its lease, in which the tasks of all jobs that are over come first.
@@ -57,7 +57,9 @@
                 continue
             if renewing and self._cluster.has_ended(placement.job):
                 required.append(placement)  # whatever became of the stops before
-            elif now >= placement.stop_sent_at + REPEAT_STOP * self.heartbeat_s and not self._was_never_sent(placement):
+            elif now >= placement.stop_sent_at + STOP_REPEAT_HEARTBEATS * self.heartbeat_s and self._may_have_started(
+                placement
+            ):
                 others.append(placement)
         commands = []
         for placement in (required + others)[:most]:
@@ -65,17 +67,17 @@
             placement.stop_sent_at = now
             commands.append(messages.stop_command(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
         orphaned_tasks = [
-            messages.stop_command(task, stray.attempt, 0.0)
-            for task, stray in machine.orphaned_tasks.items()
+            messages.stop_command(task, orphaned.attempt, 0.0)
+            for task, orphaned in machine.orphaned_tasks.items()
             if self._authority.check_stop_task(task) is None
         ]
         return commands + orphaned_tasks[: most - len(commands)]
 
     @staticmethod
-    def _was_never_sent(placement: Placement) -> bool:
-        return placement.reported_state is None and placement.sent_epoch is None
+    def _may_have_started(placement: Placement) -> bool:
+        return placement.reported_state is not None or placement.sent_epoch is not None
 
-    def pending_forgets(self, machine: Machine, most: int) -> list[dict[str, Any]]:
+    def due_forgets(self, machine: Machine, most: int) -> list[dict[str, Any]]:
         """Exited tasks that the store no longer places here, at most so many.
 
         None of which a start may still be executed: it would run a forgotten attempt again.
@@ -93,7 +95,7 @@
             machine.inflight_starts.drop(task, attempt)
         return [messages.forget_command(task, attempt) for task, attempt in allowed]
 
-    def required_stops(self, machine: Machine) -> set[AttemptKey]:
+    def stops_required_for_renewal(self, machine: Machine) -> set[AttemptKey]:
         """What an answer that renews the lease has to stop."""
         return {
             (p.task, p.attempt)
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -1,4 +1,4 @@
-"""Bars starts that must not be executed any more, by raising the token that a machine's worker knows.
+"""Fences starts that must not be executed any more, by raising the token that a machine's worker knows.
 
 A start whose answer is missing may be executed at any later time. Once its job is over the worker has to see a higher
 token before its lease is renewed again: then either it has seen the token, and refuses the start, or its lease ends,
@@ -22,8 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-# Barred starts that are remembered for each machine.
-BARRED_KEPT = 64
+# Fenced starts that are remembered for each machine.
+MAX_FENCED_STARTS_KEPT = 64
 
 
 class MachineFencing:
@@ -44,7 +44,7 @@
         self._integrity = integrity
         self._flush_timer = flush_timer
         self._timings = timings
-        self.waiting: dict[str, None] = {}
+        self.waiting_machines: dict[str, None] = {}
         """Machines that get no starts until there is a spare token."""
         self.starts_fenced = 0
         """Starts that were sent and are known never to be executed, in whose place nothing was lost."""
@@ -62,15 +62,15 @@
         ]
         if not unwanted or machine.inflight_starts.highest_token(unwanted) < machine.token:
             return True
-        return self._raise(machine, now, f"a start of {unwanted[0][0]} may still be executed")
+        return self._raise_token(machine, now, f"a start of {unwanted[0][0]} may still be executed")
 
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
         """Has attempts forgotten soon whose starts may still be executed; for many together, as it takes a report."""
         raised_lately = now - machine.token_raised_at <= self._timings.lease_s
         if not raised_lately and self._tokens.has_above(machine.token):
-            self._raise(machine, now, "attempts are to be forgotten")
+            self._raise_token(machine, now, "attempts are to be forgotten")
 
-    def _raise(self, machine: Machine, now: float, reason: str) -> bool:
+    def _raise_token(self, machine: Machine, now: float, reason: str) -> bool:
         tokens, invariants = self._tokens, self._invariants
         token = tokens.issue_above(machine.token)
         if token is None:
@@ -115,13 +115,13 @@
         """The worker does not report a task, and has seen a higher token than any that its start had."""
         self.starts_fenced += 1
         machine.fenced_starts[placement.task] = placement.attempt
-        while len(machine.fenced_starts) > BARRED_KEPT:
+        while len(machine.fenced_starts) > MAX_FENCED_STARTS_KEPT:
             del machine.fenced_starts[next(iter(machine.fenced_starts))]
 
     def request_spare_token(self, machine: Machine, unseen: list[Placement]) -> None:
         """Has a record written once more, as the revision of that transaction is a token for the fence."""
         cluster = self._cluster
-        self.waiting[machine.id] = None
+        self.waiting_machines[machine.id] = None
         for placement in unseen:
             job = cluster.jobs.get(placement.job)
             if job is not None and not cluster.is_blocked(job.id):
@@ -133,8 +133,8 @@
 
     def take_waiting_machines(self) -> list[str]:
         """Machines that waited for a spare token."""
-        found = list(self.waiting)
-        self.waiting.clear()
+        found = list(self.waiting_machines)
+        self.waiting_machines.clear()
         return found
 
     # -- assertions, apart from what decides -------------------------------------------
@@ -173,6 +173,6 @@
             "first": tokens.first,
             "highest_issued": tokens.highest_issued,
             "raised": tokens.issued,
-            "starts_barred": self.starts_fenced,
-            "machines_waiting_for_a_spare": len(self.waiting),
+            "starts_fenced": self.starts_fenced,
+            "machines_waiting_for_spare_token": len(self.waiting_machines),
         }
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -76,10 +76,10 @@
             machine.address = heartbeat.address
         machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
         if machine.up_since is None:
-            self._came_up(machine, now)
+            self._record_boot(machine, now)
         new_epoch = heartbeat.epoch != machine.epoch
         machine.epoch, machine.sequence = heartbeat.epoch, heartbeat.sequence
-        self._take_token(machine, heartbeat.token, new_epoch, now)
+        self._update_token(machine, heartbeat.token, new_epoch, now)
         machine.heartbeat_received = True
         if new_epoch:
             machine.fenced_starts.clear()
@@ -93,11 +93,11 @@
             self._request_scheduling()
         if machine.has_current_token and self._cluster.loaded:
             # Before the store was read, all of its tasks would look as if they were not to be there, and be stopped.
-            self._take_tasks(machine, heartbeat.tasks, now)
+            self._update_tasks(machine, heartbeat.tasks, now)
         machine.idle_since = None if machine.placements or machine.orphaned_tasks else (machine.idle_since or now)
         return machine
 
-    def _came_up(self, machine: Machine, now: float) -> None:
+    def _record_boot(self, machine: Machine, now: float) -> None:
         """The machine's first report of all."""
         machine.up_since = now
         machine.scheduling_view = None
@@ -108,7 +108,7 @@
         self._boots.record_boot(machine)
         self._request_scheduling()
 
-    def _take_token(self, machine: Machine, token: int, new_epoch: bool, now: float) -> None:
+    def _update_token(self, machine: Machine, token: int, new_epoch: bool, now: float) -> None:
         """Whether its report can be believed: it carries our own token."""
         had_current_token = machine.has_current_token
         machine.has_current_token = self._tokens.is_own(token)
@@ -123,7 +123,7 @@
         if machine.has_current_token and not had_current_token:
             self._request_scheduling()
 
-    def _take_tasks(self, machine: Machine, tasks: list[TaskStatus], now: float) -> None:
+    def _update_tasks(self, machine: Machine, tasks: list[TaskStatus], now: float) -> None:
         unseen = dict(machine.placements)
         orphaned_tasks: dict[str, OrphanedTask] = {}
         self._fencing.process_heartbeat(machine, tasks)
@@ -133,16 +133,16 @@
             if placement is not None and placement.attempt == task.attempt:
                 unseen.pop(key, None)
                 if placement.state != PlacementState.ENDED:
-                    self._take_state(machine, placement, task, now)
+                    self._update_placement(machine, placement, task, now)
             elif task.state == EXITED:
                 self._forgets.schedule(machine, task.task, task.attempt, task.why == "done")
             else:
-                orphaned_tasks[task.task] = self._stray(key[0], task)
-        self._take_strays(machine, orphaned_tasks)
+                orphaned_tasks[task.task] = self._orphaned_task(key[0], task)
+        self._update_orphaned_tasks(machine, orphaned_tasks)
         for placement in unseen.values():
-            self._take_absence(machine, placement)
+            self._handle_missing_task(machine, placement)
 
-    def _take_strays(self, machine: Machine, orphaned_tasks: dict[str, OrphanedTask]) -> None:
+    def _update_orphaned_tasks(self, machine: Machine, orphaned_tasks: dict[str, OrphanedTask]) -> None:
         """Tasks on the machine that the store does not place there."""
         if machine.orphaned_tasks.keys() - orphaned_tasks.keys():
             self._request_scheduling()
@@ -153,7 +153,7 @@
                 log.info("task %s on %s is not ours to run there: stopping it", task_id, machine.id)
         machine.orphaned_tasks = orphaned_tasks
 
-    def _take_absence(self, machine: Machine, placement: Placement) -> None:
+    def _handle_missing_task(self, machine: Machine, placement: Placement) -> None:
         """The machine does not report a task that is placed there."""
         placement.reported_state = None
         if placement.state != PlacementState.BOUND:
@@ -170,16 +170,16 @@
             self._fencing.record_fenced(machine, placement)
             self._lifecycle.end(placement, "its start was barred before it came")
 
-    def _stray(self, job_id: str, task: TaskStatus) -> OrphanedTask:
+    def _orphaned_task(self, job_id: str, task: TaskStatus) -> OrphanedTask:
         job = self._cluster.jobs.get(job_id)
         if job is None:
             return OrphanedTask(task.attempt, 0.0, 0.0, 0.0, "")
         spec = job.spec
         return OrphanedTask(task.attempt, spec.cpus, spec.gpus or 0.0, spec.memory_gb, spec.team)
 
-    def _take_state(self, machine: Machine, placement: Placement, task: TaskStatus, now: float) -> None:
+    def _update_placement(self, machine: Machine, placement: Placement, task: TaskStatus, now: float) -> None:
         if task.state == EXITED:
-            self._take_exit(machine, placement, task.why, now)
+            self._handle_exit(machine, placement, task.why, now)
         elif placement.reported_state != task.state:
             placement.reported_state = task.state
             machine.scheduling_view = None
@@ -188,9 +188,9 @@
                 # One that waits for the others of its gang has its image too, but has not begun.
                 self._images.record_use(machine, job.spec.image)
             if task.state == RUNNING:
-                self._take_running(placement, job, now)
+                self._record_running(placement, job, now)
 
-    def _take_running(self, placement: Placement, job: Job | None, now: float) -> None:
+    def _record_running(self, placement: Placement, job: Job | None, now: float) -> None:
         if placement.running_since is None:
             placement.running_since = now
         if job is None:
@@ -201,23 +201,23 @@
         self._cluster.mark_counts(job)
         self._flush_timer.within(COUNTS_FLUSH_S)
 
-    def _take_exit(self, machine: Machine, placement: Placement, why: str | None, now: float) -> None:
+    def _handle_exit(self, machine: Machine, placement: Placement, exit_reason: str | None, now: float) -> None:
         """What follows from a task's end; of a gang that lost a task the whole comes again, at once."""
         tasks = self._lifecycle
         placement.reported_state = EXITED
-        if why == "done":
-            tasks.completed(machine, placement, now)
+        if exit_reason == "done":
+            tasks.record_completion(machine, placement, now)
             return
-        if why == "error":
-            tasks.failed(machine, placement)
-        elif why == NO_ROOM:
+        if exit_reason == "error":
+            tasks.record_failure(machine, placement)
+        elif exit_reason == NO_ROOM:
             log.info("task %s did not fit on %s", placement.task, machine.id)
-            tasks.avoid(placement, machine.id, 2 * self._timings.heartbeat_s)
-        elif why == UNKNOWN:
+            tasks.back_off_from_machine(placement, machine.id, 2 * self._timings.heartbeat_s)
+        elif exit_reason == UNKNOWN:
             log.info("task %s is not known to %s", placement.task, machine.id)
-            tasks.delay(placement.job, self._timings.heartbeat_s / 2)
-        elif why == BUSY:
+            tasks.back_off_job(placement.job, self._timings.heartbeat_s / 2)
+        elif exit_reason == BUSY:
             # The other attempt is listed too, and is stopped as a stray; meanwhile go elsewhere.
             log.info("task %s is on %s with another attempt", placement.task, machine.id)
-            tasks.avoid(placement, machine.id, self._timings.lease_s)
-        tasks.end(placement, why or "exited")
+            tasks.back_off_from_machine(placement, machine.id, self._timings.lease_s)
+        tasks.end(placement, exit_reason or "exited")
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -21,7 +21,7 @@
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
 from stileloft.transport.client import Client, ConnectionFailedError
-from stileloft.workers.dispatcher import MOST_IN_ANSWER, NO_TOKEN
+from stileloft.workers.dispatcher import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
 from stileloft.workers.fencing import MachineFencing
 from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.network import Hold
@@ -139,10 +139,10 @@
 def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease() -> None:
     """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
     world = World(seed=32, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MOST_IN_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
     world.run(60)
     fullest = max(world.cloud.machines.values(), key=lambda machine: len(machine.tasks))
-    assert len(fullest.tasks) > MOST_IN_ANSWER
+    assert len(fullest.tasks) > MAX_COMMANDS_PER_ANSWER
     leader = world.leader()
     world.cut(leader, fullest.name, 0.0)
     answers: list[dict[str, Any]] = []
@@ -159,7 +159,7 @@
     world.cancel("j-000001")
     run_watched(world, world.CANCEL_S + 20.0)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
-    assert all(len(answer["orders"]) <= MOST_IN_ANSWER for answer in answers)
+    assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
     assert world.rules.broken == [] and world.rules.where == {}
 
 
@@ -167,10 +167,10 @@
     """Each answer that can't carry them moves no clock of the direct ones; so nobody else's tasks pay with their
     lease."""
     world = World(seed=39, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MOST_IN_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
     world.submit(world.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
     world.run(60)
-    assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MOST_IN_ANSWER
+    assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
     world.cancel("j-000001")
     run_watched(world, 0.6 * World.LEASE_S)
     assert set(world.rules.where) == {"j-000002/0"} and world.sessions_lost == 0
@@ -269,13 +269,13 @@
     seen: list[str | None] = []
     node = leading_controller(world)
     admission = node.admission
-    keep = admission._keep_final
+    keep = admission._cache_outcome
 
     def keeping(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
         seen.append(job.end_phase)  # the answer is made, and not sent yet
         return keep(job_id, value)
 
-    admission._keep_final = keeping  # type: ignore[method-assign]
+    admission._cache_outcome = keeping  # type: ignore[method-assign]
     world.rules.cancelling("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     world.run(1.0)
@@ -292,7 +292,7 @@
     term.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     world.run(20)
     assert term.commit_queue.commits > commits and "j-000200/0" in world.rules.done
-    assert term.fencing.waiting == {}
+    assert term.fencing.waiting_machines == {}
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet import defer
 
-from stileloft.jobs.admission import why_impossible
+from stileloft.jobs.admission import infeasibility_reason
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
@@ -292,7 +292,7 @@
 
     def reason(**changes: object) -> str | None:
         body = World.job(None, 1, shape="gang", pieces=4, vcpus=4.0, crew="core") | changes  # type: ignore[arg-type]
-        return why_impossible(parse_job(body), teams, types, 4096)
+        return infeasibility_reason(parse_job(body), teams, types, 4096)
 
     assert reason() is None
     assert "limit" in str(reason(pieces=5)) and reason(pieces=5, shape="array") is None
