--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -17,7 +17,10 @@
 from stileloft.controller.operator_settings import OperatorSettingsStore
 from stileloft.controller.state_service_check import StateServiceCheck
 from stileloft.features import Features
-from stileloft.jobs.admission import Admission, InfeasibleJobError, RetryLaterError
+from stileloft.jobs.admission import Admission
+from stileloft.jobs.errors import InfeasibleJobError, RetryLaterError
+from stileloft.jobs.feasibility import FeasibilityCheck
+from stileloft.jobs.user_store import UserStore
 from stileloft.leadership.election import Election
 from stileloft.leadership.fencing_tokens import FencingTokens
 from stileloft.leadership.invariants import InvariantMonitor
@@ -98,19 +101,15 @@
         self.rebuild = self._rebuild_feature()
         self.integrity: StoreIntegrity = self.rebuild.protection if self.rebuild else StoreIntegrity()
         self.operator_settings = OperatorSettingsStore(self.clients.state, self.integrity, self.reactor)
+        teams = {team.name: team for team in deployment.teams}
         self.admission = Admission(
-            self.reactor,
-            self.clients.state,
-            {team.name: team for team in deployment.teams},
-            self.catalog,
+            UserStore(self.clients.state, self.integrity, self.budgets.user_reads, self.budgets.user_writes),
+            FeasibilityCheck(teams, self.catalog, deployment.state.least().value_bytes),
             self.record_format,
-            self.budgets.user_reads,
-            self.budgets.user_writes,
+            self.reactor,
             self.wall_clock,
-            deployment.state.least().value_bytes,
-            self.integrity,
+            self._on_cancelled_here,
         )
-        self.admission.cancellation_listener = self._on_cancelled_here
 
     def _rebuild_feature(self) -> "Rebuild | None":
         if not self.features.rebuild.enabled:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -269,13 +269,13 @@
     seen: list[str | None] = []
     node = leading_controller(world)
     admission = node.admission
-    keep = admission._cache_outcome
+    keep = admission.outcomes.record
 
     def keeping(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
         seen.append(job.end_phase)  # the answer is made, and not sent yet
         return keep(job_id, value)
 
-    admission._cache_outcome = keeping  # type: ignore[method-assign]
+    admission.outcomes.record = keeping  # type: ignore[method-assign]
     world.rules.cancelling("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     world.run(1.0)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -5,7 +5,7 @@
 import pytest
 from twisted.internet import defer
 
-from stileloft.jobs.admission import infeasibility_reason
+from stileloft.jobs.feasibility import infeasibility_reason
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -741,7 +741,7 @@
 
 
 def test_the_checker_sees_an_impossible_job_that_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stileloft.jobs.admission.infeasibility_reason", lambda *_: None)
+    monkeypatch.setattr("stileloft.jobs.feasibility.infeasibility_reason", lambda *_: None)
     world = World(seed=1)
     world.run(5)
     odd_requests(world)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,8 @@
 import pytest
 
 from stileloft.controller.clients import STATE_TIMEOUT_S
-from stileloft.jobs.admission import Admission, RetryLaterError
+from stileloft.jobs.admission import Admission
+from stileloft.jobs.errors import RetryLaterError
 from stileloft.leadership.renewal_grace import renewal_grace
 from stileloft.machines.worker_leases import WorkerLeases
 from stileloft.model.jobs import EndPhase, Job
