--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -5,7 +5,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any
 
 from stileloft.jobs.cancellation import JobCanceller
 from stileloft.jobs.errors import InfeasibleJobError, RetryLaterError
@@ -25,15 +25,6 @@
 """Changes of the store that a submission takes."""
 
 
-class SubmissionResult(NamedTuple):
-    """The answer to a submission."""
-
-    is_new: bool
-    """Whether it was this request that had the job accepted."""
-    status: dict[str, Any]
-    """The job's state, as users are told it."""
-
-
 class Admission:
     """Submissions, states and cancellations. Each is an idempotent request: it may be repeated at any controller."""
 
@@ -55,20 +46,21 @@
         self._status = JobStatusReader(store, self.outcomes, clock)
         self._canceller = JobCanceller(store, self.outcomes, self._status, on_cancelled)
 
-    async def submit(self, spec: JobSpec) -> SubmissionResult:
-        """Accepts a job; returns only after the commit. Raises `InfeasibleJobError` and `RetryLaterError`.
+    async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]:
+        """Accepts a job; returns whether it is new, and its state, only after the commit.
 
-        A job that is known keeps its state, whatever has changed since it was accepted.
+        Raises `InfeasibleJobError` and `RetryLaterError`. A job that is known keeps its state, whatever has
+        changed since it was accepted.
         """
         known = self.outcomes.get(spec.id)
         if known is not None:
-            return SubmissionResult(False, known)
+            return False, known
         self._store.require_intact()
         reason = self._feasibility.reason_against(spec)
         if reason is not None:
             known = await self.status(spec.id)
             if known is not None:
-                return SubmissionResult(False, known)
+                return False, known
             raise InfeasibleJobError(reason)
         self._store.take_changes(SUBMISSION_CHANGES)
         try:
@@ -78,9 +70,9 @@
             known = await self.status(spec.id)
             if known is None:
                 raise RetryLaterError("the job's record is changing") from None
-            return SubmissionResult(False, known)
+            return False, known
         log.info("job accepted job=%s tasks=%d class=%s team=%s", spec.id, spec.tasks, spec.job_class, spec.team)
-        return SubmissionResult(True, job_status_message(spec.id, JobPhase.QUEUED))
+        return True, job_status_message(spec.id, JobPhase.QUEUED)
 
     async def _accept(self, spec: JobSpec) -> None:
         """Stores a job's record; raises `ConflictError` if the job has one already."""
