--- /dev/null
+++ b/stileloft/jobs/task_exits.py
@@ -0,0 +1,102 @@
+"""What follows from the exit of a task, by the reason that its worker gives."""
+
+import logging
+from enum import StrEnum
+
+from stileloft.jobs.end_reason import EndReason
+from stileloft.jobs.failure_attribution import FailureAttribution
+from stileloft.jobs.job_backoff import JobBackoff
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.model.cluster import ClusterState
+from stileloft.model.jobs import Job
+from stileloft.model.machines import Machine
+from stileloft.model.placements import Placement
+from stileloft.protocol import messages
+from stileloft.scheduling.workload import Workload
+from stileloft.settings import Workers
+
+log = logging.getLogger(__name__)
+
+NO_ROOM_HEARTBEATS = 2.0
+"""A job avoids a machine without room for so long, in heartbeat intervals."""
+UNKNOWN_HEARTBEATS = 0.5
+"""Pause of a job whose task its worker doesn't know, in heartbeat intervals."""
+
+
+class ExitReason(StrEnum):
+    """Reasons of a task's exit that are acted on; after any other it runs again."""
+
+    DONE = "done"
+    ERROR = "error"
+    NO_ROOM = messages.NO_ROOM
+    UNKNOWN = messages.UNKNOWN
+    BUSY = messages.BUSY
+
+
+class TaskExitHandler:
+    """Completes tasks, or has them run again. Called with the cluster's lock held."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        lifecycle: TaskLifecycle,
+        attribution: FailureAttribution,
+        backoff: JobBackoff,
+        workload: Workload,
+        timings: Workers,
+    ) -> None:
+        self._cluster = cluster
+        self._lifecycle = lifecycle
+        self._attribution = attribution
+        self._backoff = backoff
+        self._workload = workload
+        self._timings = timings
+
+    def handle(self, machine: Machine, placement: Placement, reason: str | None, now: float) -> None:
+        """The task has exited. A gang that has lost a task runs again as a whole, at once."""
+        placement.reported_state = messages.EXITED
+        if reason == ExitReason.DONE:
+            self._complete(machine, placement, now)
+            return
+        if reason == ExitReason.ERROR:
+            self._attribution.record_failure(machine, placement)
+        elif reason == ExitReason.NO_ROOM:
+            self._log_refusal("no room", placement)
+            self._backoff.avoid_machine(placement, NO_ROOM_HEARTBEATS * self._timings.heartbeat_s)
+        elif reason == ExitReason.UNKNOWN:
+            self._log_refusal("unknown to the worker", placement)
+            self._backoff.pause(placement.job, UNKNOWN_HEARTBEATS * self._timings.heartbeat_s)
+        elif reason == ExitReason.BUSY:
+            # The other attempt is listed too, and is stopped as an orphaned task; meanwhile go elsewhere.
+            self._log_refusal("another attempt is there", placement)
+            self._backoff.avoid_machine(placement, self._timings.lease_s)
+        self._lifecycle.end(placement, reason or EndReason.EXITED)
+
+    def _complete(self, machine: Machine, placement: Placement, now: float) -> None:
+        placement.done = True
+        job = self._cluster.jobs.get(placement.job)
+        if job is not None and placement.running_since is not None and job.spec.estimate_s > 0:
+            self._attribution.record_success(job)
+            if _is_whole_run(job, placement):
+                run_time_s = now - placement.running_since
+                if not job.durations:  # one sample a job, however many tasks it has
+                    self._workload.record_run_time(job.spec, run_time_s)
+                self._attribution.record_run_time(machine, job, run_time_s)
+        self._lifecycle.end(placement, EndReason.DONE)
+
+    @staticmethod
+    def _log_refusal(why: str, placement: Placement) -> None:
+        log.info(
+            "task refused, %s task=%s attempt=%d machine=%s", why, placement.task, placement.attempt, placement.machine
+        )
+
+
+def _is_whole_run(job: Job, placement: Placement) -> bool:
+    """Whether this leader saw the task run from the beginning to the end of its work.
+
+    A task that a former leader placed had run for a while when it was first seen; taken for short, it would make the
+    machines of its job's later tasks look slow.
+    """
+    # Attempts are counted per chunk: beyond its length, a task may have run before and saved.
+    first_attempt = placement.attempt <= job.chunk_length(placement.index // job.chunk_size)
+    return placement.placed_by_this_leader and (job.spec.is_gang or first_attempt)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -1,12 +1,10 @@
-"""What happens to a task between its placement and its end: stops, failures, completions, and its job's end.
-
-All methods are called with the term's lock held.
-"""
+"""The life of a placed task, from its placement over stops to its end, and the end of its job."""
 
 import logging
 import math
 from collections.abc import Callable
 
+from stileloft.jobs.end_reason import EndReason
 from stileloft.leadership.lease import LeaderLease
 from stileloft.machines.registry import MachineRegistry
 from stileloft.model.cluster import ClusterState
@@ -23,18 +21,18 @@
 
 log = logging.getLogger(__name__)
 
-# Jobs whose tasks failed, or were slow, on a machine before it is taken to be faulty.
-FAULTY_AFTER_JOBS = 2
-# A task that takes this multiple of the time of its job's other tasks speaks against its machine.
-SLOW_RUN_TIME_FACTOR = 3.0
-MAX_DURATIONS_KEPT = 20
-# Pauses between the attempts of a job that fails on several machines: the first, doubled each time up to the longest.
-MIN_BACKOFF_S = 1.0
-MAX_BACKOFF_S = 60.0
+SAVE_TIME_FACTOR = 1.2
+"""A task gets this multiple of the time that its owner says it takes to save a checkpoint."""
+STOP_MARGIN_S = 0.5
+"""Added to the grace of each stop, in seconds."""
+RECLAIM_RESERVE_S = 1.0
+"""A checkpoint is begun so long before a reclaim would come too late, in seconds."""
+MIN_REMAINING_PART = 0.1
+"""A running task is expected to run for at least this part of its estimate."""
 
 
 class TaskLifecycle:
-    """Ends, stops and failures of placed tasks."""
+    """Ends and stops placed tasks. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -46,7 +44,6 @@
         workload: Workload,
         clock: Clock,
         timings: Workers,
-        request_scheduling: Callable[[], None],
         send_commands: Callable[[Machine], None],
     ) -> None:
         self._cluster = cluster
@@ -57,27 +54,33 @@
         self._workload = workload
         self._clock = clock
         self._timings = timings
-        self._request_scheduling = request_scheduling
         self._send_commands = send_commands
 
     def track(self, placement: Placement) -> None:
+        """Adds a placement that has not ended to those of its machine."""
         if placement.state != PlacementState.ENDED:
             machine = self._machines.get_or_create(placement.machine)
             machine.placements[placement.key] = placement
             machine.idle_since = machine.scheduling_view = None
 
-    def _invalidate_view(self, placement: Placement) -> None:
-        machine = self._cluster.machines.get(placement.machine)
-        if machine is not None:
-            machine.scheduling_view = None
-
     def end(self, placement: Placement, reason: str) -> None:
-        """The task is certainly not on its machine any more, and has to run again."""
+        """The task is certainly not on its machine any more, and has to run again unless it is done.
+
+        `reason`: an `EndReason`, or the exit reason that the worker gave.
+        """
         if placement.state == PlacementState.ENDED:
             return
-        log.info("task %s attempt %d on %s ended: %s", placement.task, placement.attempt, placement.machine, reason)
+        log.info(
+            "task ended task=%s attempt=%d machine=%s reason=%r",
+            placement.task,
+            placement.attempt,
+            placement.machine,
+            str(reason),
+        )
         placement.state = PlacementState.ENDED
-        self._invalidate_view(placement)
+        machine = self._cluster.machines.get(placement.machine)
+        if machine is not None:
+            machine.scheduling_view = None
         job = self._cluster.jobs.get(placement.job)
         if job is not None:
             job.chunk_of(placement.index).dirty = True
@@ -101,13 +104,13 @@
         if gangs.completed(job):
             for placement in list(job.placements()):
                 placement.done = True
-                self.end(placement, "done, as one of its gang is")
+                self.end(placement, EndReason.GANG_DONE)
             self._cluster.mark_dirty(job)
         for placement in gangs.left_over(job):
             self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def untrack(self, placement: Placement) -> None:
-        """The store holds the placement no longer."""
+        """Removes a placement that the store holds no longer from those of its machine."""
         machine = self._cluster.machines.get(placement.machine)
         if machine is None:
             return
@@ -119,69 +122,6 @@
         if not machine.placements and not machine.orphaned_tasks and machine.idle_since is None:
             machine.idle_since = self._clock.seconds()
 
-    def record_completion(self, machine: Machine, placement: Placement, now: float) -> None:
-        placement.done = True
-        job = self._cluster.jobs.get(placement.job)
-        if job is not None and placement.running_since is not None and job.spec.estimate_s > 0:
-            job.failed_machines.clear()
-            job.backoff_s = 0.0
-            took = now - placement.running_since
-            # Attempts are counted per chunk: beyond its length, a task may have run before and saved.
-            fresh = job.spec.is_gang or placement.attempt <= job.chunk_length(placement.index // job.chunk_size)
-            # A task that a former leader placed had run for a while when it was first seen. Taken for short, it made
-            # the machines of its job's later tasks look slow: a new leader gave many of them back.
-            if fresh and placement.placed_by_this_leader:
-                if not job.durations:  # one sample a job, however many tasks it has
-                    self._workload.record_run_time(job.spec, took)
-                self._detect_slow_machine(machine, job, took)
-        self.end(placement, "done")
-
-    def _detect_slow_machine(self, machine: Machine, job: Job, took: float) -> None:
-        """Finds machines much slower than others of the same type, by tasks of the same job."""
-        others = sorted(duration for other, duration in job.durations if other != machine.id)
-        if len(job.durations) < MAX_DURATIONS_KEPT:
-            job.durations.append((machine.id, took))
-        if len(others) >= 2 and took > SLOW_RUN_TIME_FACTOR * others[len(others) // 2]:
-            machine.slow_jobs.add(job.id)
-            if len(machine.slow_jobs) >= FAULTY_AFTER_JOBS and machine.drain_reason is None:
-                log.info("machine %s is slow with tasks of %d jobs: emptying it", machine.id, len(machine.slow_jobs))
-                machine.drain_reason = "it is slow"
-
-    def record_failure(self, machine: Machine, placement: Placement) -> None:
-        """Tells a faulty machine from a mistaken job: the one fails many jobs, the other on many machines."""
-        job = self._cluster.jobs.get(placement.job)
-        machine.failed_jobs.add(placement.job)
-        machine.failure_count += 1
-        if job is not None:
-            job.failed_machines.add(machine.id)
-            self.back_off_from_machine(placement, machine.id, self._timings.lease_s * 4)
-            if len(job.failed_machines) > 1:
-                self._back_off(job)
-        known = [self._cluster.jobs[job_id] for job_id in machine.failed_jobs if job_id in self._cluster.jobs]
-        honest = [each for each in known if len(each.failed_machines) < 2]
-        if (
-            len(honest) >= FAULTY_AFTER_JOBS or (honest and machine.failure_count > 4)
-        ) and machine.drain_reason is None:
-            log.info("machine %s fails tasks of %d jobs: emptying it", machine.id, len(machine.failed_jobs))
-            machine.drain_reason = "it fails tasks"
-            for other in list(machine.placements.values()):
-                self.stop(other)
-
-    def _back_off(self, job: Job) -> None:
-        """Has the job wait for longer with each further attempt; tasks that fail together are one."""
-        if self._clock.seconds() >= job.backoff_until:
-            job.backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2.0 * job.backoff_s))
-        self.back_off_job(job.id, job.backoff_s)
-
-    def back_off_from_machine(self, placement: Placement, machine_id: str, seconds: float) -> None:
-        self._cluster.placement_backoff[(placement.job, machine_id)] = self._clock.seconds() + seconds
-
-    def back_off_job(self, job_id: str, seconds: float) -> None:
-        job = self._cluster.jobs.get(job_id)
-        if job is not None:
-            job.backoff_until = max(job.backoff_until, self._clock.seconds() + seconds)
-            self._clock.callLater(seconds, self._request_scheduling)
-
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
         """Has a task stopped, with time to save if it can; one of a gang with all the others, side by side."""
         job = self._cluster.jobs.get(placement.job)
@@ -191,24 +131,31 @@
 
     def _stop_placement(self, placement: Placement, grace_s: float | None) -> None:
         if placement.state == PlacementState.PLANNED:
-            self.end(placement, "not needed there")
+            self.end(placement, EndReason.NOT_NEEDED)
             return
-        if placement.state != PlacementState.BOUND or placement.stop_grace_s is not None and grace_s is None:
+        is_stopping = placement.stop_grace_s is not None
+        if placement.state != PlacementState.BOUND or (is_stopping and grace_s is None):
             return
-        job = self._cluster.jobs.get(placement.job)
-        save_s = (job.spec.save_s or 0.0) if job is not None and (job.spec.checkpoint_s or 0.0) > 0 else 0.0
-        if job is not None and job.spec.is_gang and save_s:
-            save_s += self._timings.gang_peer_s  # one that has saved waits for the others
-        placement.stop_grace_s = save_s * 1.2 + 0.5 if grace_s is None else grace_s
+        placement.stop_grace_s = self._default_grace_s(placement.job) if grace_s is None else grace_s
         placement.stop_sent_at = 0.0
         machine = self._cluster.machines.get(placement.machine)
         if machine is not None:
             machine.scheduling_view = None
             self._clock.callLater(0, self._send_commands, machine)
 
+    def _default_grace_s(self, job_id: str) -> float:
+        """The time that a task gets to save a checkpoint, in seconds."""
+        job = self._cluster.jobs.get(job_id)
+        if job is None or not job.spec.checkpoint_s:
+            return STOP_MARGIN_S
+        save_s = job.spec.save_s or 0.0
+        if job.spec.is_gang and save_s:
+            save_s += self._timings.gang_peer_s  # one that has saved waits for the others
+        return save_s * SAVE_TIME_FACTOR + STOP_MARGIN_S
+
     def evict_gracefully(self, machine: Machine, now: float) -> None:
         """Empties a machine that the cloud takes away, so that as little as possible is lost."""
-        left = (machine.reclaim_at or now) - now
+        left_s = (machine.reclaim_at or now) - now
         for placement in list(machine.placements.values()):
             job = self._cluster.jobs.get(placement.job)
             if placement.stop_grace_s is not None or job is None:
@@ -216,18 +163,19 @@
             spec = job.spec
             if (spec.checkpoint_s or 0.0) > 0:
                 # Later would save more, but a command that comes too late saves nothing.
-                if (spec.save_s or 0.0) + 1.0 < left:
+                if (spec.save_s or 0.0) + RECLAIM_RESERVE_S < left_s:
                     self.stop(placement)
-            elif self.remaining_run_time_s(job, placement, now) > left:
+            elif self.remaining_run_time_s(job, placement, now) > left_s:
                 self.stop(placement, 0.0)
 
     def remaining_run_time_s(self, job: Job, placement: Placement, now: float) -> float:
+        """How long the task is expected to run on, in seconds; without end for a service."""
         if job.spec.is_service:
             return math.inf
-        estimate = self._workload.estimate(job.spec)
+        estimate_s = self._workload.estimate(job.spec)
         if placement.running_since is None:
-            return estimate
-        return max(0.1 * estimate, estimate - (now - placement.running_since))
+            return estimate_s
+        return max(MIN_REMAINING_PART * estimate_s, estimate_s - (now - placement.running_since))
 
     def end_job(self, job: Job, phase: EndPhase) -> None:
         """The job has ended: what still runs of it is stopped, and what is stored of it goes."""
@@ -239,17 +187,20 @@
             self.rewrite_all_chunks(job)
 
     def stop_all_tasks(self, job: Job) -> None:
+        """Stops what runs of a job that has ended, and has its chunks written again."""
         for placement in list(job.placements()):
             if placement.state == PlacementState.PLANNED:
-                self.end(placement, "its job is over")
+                self.end(placement, EndReason.JOB_ENDED)
             else:
                 self.stop(placement, 0.0)
-        for chunk in job.chunks.values():
-            chunk.dirty = True
-        self._cluster.mark_dirty(job)
+        self._mark_chunks_dirty(job)
 
     def rewrite_all_chunks(self, job: Job) -> None:
+        """Has all chunks of a job written again soon; those of a job that has ended go."""
+        self._mark_chunks_dirty(job)
+        self._flush_timer.within(0.0)
+
+    def _mark_chunks_dirty(self, job: Job) -> None:
         for chunk in job.chunks.values():
             chunk.dirty = True
         self._cluster.mark_dirty(job)
-        self._flush_timer.within(0.0)
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -7,8 +7,11 @@
 
 from twisted.internet import defer
 
+from stileloft.jobs.failure_attribution import FailureAttribution
+from stileloft.jobs.job_backoff import JobBackoff
 from stileloft.jobs.job_watch import JobWatch
 from stileloft.jobs.registry import JobRegistry
+from stileloft.jobs.task_exits import TaskExitHandler
 from stileloft.jobs.task_lifecycle import TaskLifecycle
 from stileloft.leadership.authority import Authority
 from stileloft.leadership.failover import Failover
@@ -53,11 +56,17 @@
 from stileloft.store.record_format import RecordFormat
 from stileloft.transport.clock import Clock, WallClock
 from stileloft.transport.rate_limit import TokenBucket
+from stileloft.workers.command_assertions import CommandAssertions
+from stileloft.workers.command_metrics import CommandMetrics
 from stileloft.workers.command_planner import CommandPlanner
-from stileloft.workers.dispatcher import CommandDispatcher
+from stileloft.workers.dispatcher import CommandDispatcher, DispatchSettings
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.forget_scheduler import ForgetScheduler
+from stileloft.workers.heartbeat_responder import HeartbeatResponder
 from stileloft.workers.heartbeats import HeartbeatProcessor
+from stileloft.workers.task_reconciliation import TaskReconciler
+from stileloft.workers.task_states import TaskStateTracker
+from stileloft.workers.transmission import CommandTransmitter
 
 log = logging.getLogger(__name__)
 
@@ -141,9 +150,11 @@
             self.workload,
             clock,
             self._timings,
-            self.request_scheduling,
             self._send_commands,
         )
+        backoff = JobBackoff(self.cluster, clock, self.request_scheduling)
+        attribution = FailureAttribution(self.cluster, self.lifecycle, backoff, self._timings.lease_s)
+        self.exits = TaskExitHandler(self.cluster, self.lifecycle, attribution, backoff, self.workload, self._timings)
 
     def _build_store(self) -> None:
         """What is written to the store, and read again."""
@@ -255,36 +266,61 @@
         self.heartbeats = HeartbeatProcessor(
             self.cluster,
             self.machine_registry,
-            self.lifecycle,
-            self.fencing,
-            self.forgets,
-            self.authority,
             self.tokens,
             self.boots,
-            self.images,
-            self.flush_timer,
+            self._build_reconciler(),
             self._clock,
-            env.wall_clock,
-            self._timings,
             self.request_scheduling,
         )
+        metrics = CommandMetrics()
+        assertions = CommandAssertions(self.cluster, self.tokens, env.invariants)
+        transmitter = CommandTransmitter(
+            self.authority,
+            assertions,
+            self.lease,
+            self.tokens,
+            env.integrity,
+            env.workers,
+            self._clock,
+            self._timings.heartbeat_s,
+            metrics,
+        )
         self.dispatcher = CommandDispatcher(
             self.cluster,
-            self.machine_registry,
             self.authority,
             self.planner,
             self.fencing,
+            transmitter,
             self.heartbeats,
-            self.tokens,
-            self.lease,
-            env.integrity,
-            env.workers,
             self._clock,
-            self._timings.heartbeat_s,
-            self.timeouts.reachability_s,
-            self._deployment.quota.max_sockets,
+            DispatchSettings(
+                self._timings.heartbeat_s, self.timeouts.reachability_s, self._deployment.quota.max_sockets
+            ),
+            metrics,
             self._after_heartbeat,
         )
+        self.responder = HeartbeatResponder(
+            self.machine_registry,
+            self.heartbeats,
+            self.planner,
+            self.fencing,
+            assertions,
+            self.dispatcher,
+            self._clock,
+            metrics,
+        )
+
+    def _build_reconciler(self) -> TaskReconciler:
+        states = TaskStateTracker(self.cluster, self.exits, self.images, self.flush_timer, self._environment.wall_clock)
+        return TaskReconciler(
+            self.cluster,
+            self.lifecycle,
+            states,
+            self.fencing,
+            self.forgets,
+            self.authority,
+            self.request_scheduling,
+        )
 
     def _build_scheduling(self) -> None:
         """The scheduling loop, and what applies its decisions."""
@@ -424,7 +460,7 @@
             # it would bring the machine back to life here, and place tasks on nothing.
             return command_message(self.tokens.first, [])
         with self.cluster.lock:
-            answer = self.dispatcher.on_heartbeat(heartbeat)
+            answer = self.responder.on_heartbeat(heartbeat)
         self._after_heartbeat()
         return answer
 
--- /dev/null
+++ b/stileloft/workers/command_metrics.py
@@ -0,0 +1,17 @@
+"""Counts of commands under one leadership."""
+
+import msgspec
+
+
+class CommandMetrics(msgspec.Struct):
+    """What was sent, and what was not; shown in `GET /status`."""
+
+    starts_sent: int = 0
+    """Starts that went out, repeats included."""
+    starts_answered: int = 0
+    starts_in_doubt: int = 0
+    """Attempts with a start whose delivery is uncertain."""
+    messages_withdrawn: int = 0
+    """Messages that were no longer allowed when their connection was made."""
+    lease_renewals_withheld: int = 0
+    """Answers to heartbeats that renewed no lease, as they would have kept a cancelled task alive."""
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -18,7 +18,7 @@
 from stileloft.protocol import messages
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.server import Answer, Router, make_site
-from stileloft.workers.dispatcher import CommandDispatcher
+from stileloft.workers.heartbeat_responder import HeartbeatResponder
 from tests.simulation.fleet import FleetWorld
 
 REPEATS = 2000
@@ -151,7 +151,7 @@
         (SchedulingLoop, "_decide"),
         (SchedulingLoop, "_apply"),
         (Leader, "_check"),
-        (CommandDispatcher, "on_heartbeat"),
+        (HeartbeatResponder, "on_heartbeat"),
     ):
         costs.watch(owner, method)
     costs.watch(MachineInventory, "_reconcile")
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -31,11 +31,11 @@
 # What the controllers' logs must not hold, and what is counted there.
 DEFECT = re.compile(r"Traceback|invariant violated|Unhandled")
 COUNTED = {
-    "tokens_raised": re.compile(r"gets token \d+ after"),
-    "starts_barred": re.compile(r"ended: its start was barred"),
-    "starts_in_doubt": re.compile(r"in doubt: first sent"),
-    "renewals_withheld": re.compile(r"is not renewed: its answer"),
-    "withdrawn": re.compile(r"withdrawn before they are sent"),
+    "tokens_raised": re.compile(r"fencing token raised"),
+    "starts_barred": re.compile(r"reason='its start was fenced'"),
+    "starts_in_doubt": re.compile(r"start in doubt"),
+    "renewals_withheld": re.compile(r"lease renewal withheld"),
+    "withdrawn": re.compile(r"commands withdrawn"),
     "elections": re.compile(r"elected, token"),
 }
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -21,8 +21,8 @@
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol import messages
 from stileloft.transport.client import Client, ConnectionFailedError
-from stileloft.workers.dispatcher import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
 from stileloft.workers.fencing import MachineFencing
+from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
 from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.network import Hold
 from tests.simulation.world import World
