--- a/stileloft/workers/task_reconciliation.py
+++ b/stileloft/workers/task_reconciliation.py
@@ -76,7 +76,7 @@
         for task_id in orphaned_tasks.keys() - machine.orphaned_tasks.keys():
             if self._authority.check_stop_task(task_id) is None:
                 attempt = orphaned_tasks[task_id].attempt
-                log.info("orphaned task stopped task=%s attempt=%d machine=%s", task_id, attempt, machine.id)
+                log.info("stopping orphaned task task=%s attempt=%d machine=%s", task_id, attempt, machine.id)
         machine.orphaned_tasks = orphaned_tasks
 
     def _handle_missing_task(self, machine: Machine, placement: Placement) -> None:
--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -1,6 +1,6 @@
-"""Direct commands that stay on their way for longer than any time-out, in meetings with other troubles.
+"""Direct commands that stay on their way for longer than any time-out, together with other faults.
 
-`python3 -m tests.held_starts --seeds 20` plays each meeting with so many seeds and prints a table of them; a name, or
+`python3 -m tests.held_starts --seeds 20` plays each scenario with so many seeds and prints a table of them; a name, or
 a part of one, picks some. The tests play the same with few seeds.
 """
 
@@ -15,38 +15,40 @@
 from tests.simulation.network import Hold
 from tests.simulation.world import World
 
-Trouble = Callable[[World], None]
+Fault = Callable[[World], None]
 LONG_JOBS, SMALL_JOBS = 9, 4
 FIRST_SMALL = 100
-# Seconds from the submission of the small jobs: their cancellation, and the end of the day.
+"""Number of the first small job."""
 CANCEL_AT_S = 4.0
+"""The small jobs are cancelled so long after their submission, in seconds."""
 WATCHED_S = 115.0
+"""The day ends so long after their submission, in seconds."""
 OUTAGE_S = World.CANCEL_S + 15.0
 
 
 @dataclass(frozen=True)
-class Meeting:
+class Scenario:
     """A held start of a job that is cancelled, and what else happens meanwhile."""
 
-    troubles: tuple[tuple[float, Trouble], ...] = ()
+    faults: tuple[tuple[float, Fault], ...] = ()
     """Seconds after the small jobs are submitted, and what happens then."""
     hold: Callable[[World], Hold] = lambda world: Hold(world.now + 6.0, 45.0, 80.0, verb="launch")
     small: dict[str, Any] = field(default_factory=dict)
     """What the small jobs have instead of the usual."""
     loses_tasks: bool = False
-    """Whether the other troubles may end the long tasks."""
+    """Whether the other faults may end the long tasks."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of a meeting with one seed."""
+    """What came of a scenario with one seed."""
 
     broken: tuple[str, ...]
     cancelled: int
     longest_part: float
     """From a confirmation to its task's last moment at the most, as a part of `cancel_s`."""
     refused_by_token: int
-    refused_by_session: int
+    refused_by_epoch: int
     long_tasks_lost: int
 
 
@@ -91,13 +93,13 @@
         world.rules.check_cancelled()
 
 
-def play(meeting: Meeting, seed: int) -> tuple[World, Outcome]:
-    """A day with a meeting."""
+def play(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
+    """A day with a scenario."""
     world = busy_world(seed)
-    world.holds.append(meeting.hold(world))
-    for after_s, trouble in meeting.troubles:
-        world.clock.callLater(after_s, trouble, world)
-    jobs = submit_small_jobs(world, meeting.small)
+    world.holds.append(scenario.hold(world))
+    for after_s, fault in scenario.faults:
+        world.clock.callLater(after_s, fault, world)
+    jobs = submit_small_jobs(world, scenario.small)
     for job in jobs:
         world.clock.callLater(CANCEL_AT_S, world.cancel, job)
     run_watched(world, WATCHED_S)
@@ -114,26 +116,30 @@
     return world, outcome
 
 
-# -- troubles ------------------------------------------------------------------------------------------------------
+# -- faults ------------------------------------------------------------------------------------------------------
 
 
 def end_leader(world: World) -> None:
+    """The leader's process ends."""
     name = world.leader()
     if name is not None:
         world.kill(name)
 
 
 def refuse_leader(world: World) -> None:
+    """The state service refuses the leader's requests for 14 s."""
     name = world.leader()
     if name is not None:
         world.state.refuses[name] = world.now + 14.0
 
 
 def store_out(world: World) -> None:
+    """The state service is down for longer than a cancellation may take."""
     world.state.outage(OUTAGE_S)
 
 
 def cloud_out(world: World) -> None:
+    """The cloud is down for 90 s."""
     world.cloud.down_until = world.now + 90.0
 
 
@@ -143,14 +149,16 @@
 
 
 def copies(world: World) -> None:
+    """Messages are delivered again, late."""
     world.copies = 0.3
 
 
-def up(world: World) -> list:
+def up(world: World) -> list[Any]:
+    """Machines that are up."""
     return [machine for machine in world.cloud.machines.values() if machine.up]
 
 
-def silent(which: str, seconds: float) -> Trouble:
+def silent(which: str, seconds: float) -> Fault:
     """Half of the machines hear nothing (`deaf`), or reach no controller (`mute`)."""
 
     def start(world: World) -> None:
@@ -160,7 +168,9 @@
     return start
 
 
-def hang(seconds: float) -> Trouble:
+def hang(seconds: float) -> Fault:
+    """Half of the machines stand still for so long."""
+
     def start(world: World) -> None:
         for machine in up(world)[::2]:
             machine.hung = True
@@ -174,7 +184,7 @@
     return start
 
 
-def cut_off(seconds: float) -> Trouble:
+def cut_off(seconds: float) -> Fault:
     """Half of the machines are cut off; what was sent meanwhile arrives at the end."""
 
     def start(world: World) -> None:
@@ -185,24 +195,21 @@
     return start
 
 
-def give_back(world: World) -> None:
-    """The leader returns a third of the machines, which the cloud does not confirm."""
+def release_machines(world: World) -> None:
+    """The leader releases a third of the machines, which the cloud does not confirm."""
     name = world.leader()
-    term = None if name is None else world.nodes[name].leader
-    if term is not None:
-        for machine in list(term.cluster.machines.values())[::3]:
-            term.releaser.release(machine, "an operator's wish")
+    leader = None if name is None else world.nodes[name].leader
+    if leader is not None:
+        for machine in list(leader.cluster.machines.values())[::3]:
+            leader.releaser.release(machine, "an operator's wish")
 
 
 def freeze_leader(world: World) -> None:
+    """The leader's process stands still for 20 s."""
     world.freeze(world.leader() or world.names[0], 20.0)
 
 
-def wipe_store(world: World) -> None:
-    world.state.wipe()
-
-
-def in_series(times: int, apart_s: float) -> Trouble:
+def in_series(times: int, apart_s: float) -> Fault:
     """Whoever leads ends, and is back at once."""
 
     def end() -> None:
@@ -222,62 +229,63 @@
 
 
 def hold_all(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[World], Hold]:
+    """Messages sent during a spell are held for between so many seconds; `more` picks which."""
     return lambda world: Hold(world.now + spell_s, least_s, most_s, **more)
 
 
-MEETINGS: dict[str, Meeting] = {
-    "reports go on": Meeting(),
-    "any command, any time": Meeting(hold=hold_all(0.0, 80.0, 8.0)),
-    "the answers are held": Meeting(hold=hold_all(45.0, 80.0, 6.0, answers=True)),
-    "stops are held": Meeting(hold=hold_all(20.0, 80.0, 30.0, verb="stop")),
-    "stops with an old grace are held": Meeting(
-        ((2.0, give_back), (2.0, cloud_out)),
+SCENARIOS: dict[str, Scenario] = {
+    "heartbeats go on": Scenario(),
+    "any command, any time": Scenario(hold=hold_all(0.0, 80.0, 8.0)),
+    "the answers are held": Scenario(hold=hold_all(45.0, 80.0, 6.0, answers=True)),
+    "stops are held": Scenario(hold=hold_all(20.0, 80.0, 30.0, verb="stop")),
+    "stops with an old grace are held": Scenario(
+        ((2.0, release_machines), (2.0, cloud_out)),
         hold=hold_all(20.0, 80.0, 30.0, verb="stop"),
         small={"snapshotS": 5.0, "stashS": 3.0},
         loses_tasks=True,
     ),
-    "forgets are held": Meeting(hold=hold_all(20.0, 80.0, 60.0, verb="forget")),
-    "a gang with a start held": Meeting(
+    "forgets are held": Scenario(hold=hold_all(20.0, 80.0, 60.0, verb="forget")),
+    "a gang with a start held": Scenario(
         hold=hold_all(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
     ),
-    "the store is out after it": Meeting(((CANCEL_AT_S + 0.6, store_out),)),
-    "the leader is refused, then the store is out": Meeting(
+    "the store is out after it": Scenario(((CANCEL_AT_S + 0.6, store_out),)),
+    "the leader is refused, then the store is out": Scenario(
         ((CANCEL_AT_S - 0.5, refuse_leader), (CANCEL_AT_S + 0.7, store_out))
     ),
-    "the cloud is out": Meeting(((0.0, cloud_out),)),
-    "machines are returned, the cloud is out": Meeting(
-        ((CANCEL_AT_S - 1.0, give_back), (0.0, cloud_out)), loses_tasks=True
+    "the cloud is out": Scenario(((0.0, cloud_out),)),
+    "machines are released, the cloud is out": Scenario(
+        ((CANCEL_AT_S - 1.0, release_machines), (0.0, cloud_out)), loses_tasks=True
     ),
-    "the leader ends before it": Meeting(((2.0, end_leader),)),
-    "the leader ends after it": Meeting(((CANCEL_AT_S + 0.6, end_leader),)),
-    "the leader ends, and claims are held": Meeting(((2.0, end_leader),), hold=hold_all(30.0, 80.0, 25.0)),
-    "leaders end in series": Meeting(((1.0, in_series(6, 2.5)),)),
-    "leaders end in series, any command held": Meeting(((1.0, in_series(8, 1.5)),), hold=hold_all(0.0, 80.0, 20.0)),
-    "the leader stands still": Meeting(((CANCEL_AT_S - 0.05, freeze_leader),), hold=hold_all(5.0, 80.0, 8.0)),
-    "records are read again": Meeting(((0.0, writes_lost),)),
-    "copies come late": Meeting(((0.0, copies),)),
-    "machines hear nothing, past a lease": Meeting(((1.0, silent("deaf", 20.0)),), loses_tasks=True),
-    "machines hear nothing, within a lease": Meeting(((3.0, silent("deaf", 9.0)),)),
-    "machines reach nobody, past a lease": Meeting(((1.0, silent("mute", 20.0)),), loses_tasks=True),
-    "machines reach nobody, cloud out": Meeting(((1.0, silent("mute", 9.0)), (0.0, cloud_out)), loses_tasks=True),
-    "machines hang within a lease": Meeting(((3.0, hang(9.0)),), loses_tasks=True),
-    "machines hang past a lease": Meeting(((3.0, hang(20.0)),), loses_tasks=True),
-    "machines cut off, then a new leader": Meeting(
+    "the leader ends before it": Scenario(((2.0, end_leader),)),
+    "the leader ends after it": Scenario(((CANCEL_AT_S + 0.6, end_leader),)),
+    "the leader ends, and claims are held": Scenario(((2.0, end_leader),), hold=hold_all(30.0, 80.0, 25.0)),
+    "leaders end in series": Scenario(((1.0, in_series(6, 2.5)),)),
+    "leaders end in series, any command held": Scenario(((1.0, in_series(8, 1.5)),), hold=hold_all(0.0, 80.0, 20.0)),
+    "the leader stands still": Scenario(((CANCEL_AT_S - 0.05, freeze_leader),), hold=hold_all(5.0, 80.0, 8.0)),
+    "records are read again": Scenario(((0.0, writes_lost),)),
+    "copies come late": Scenario(((0.0, copies),)),
+    "machines hear nothing, past a lease": Scenario(((1.0, silent("deaf", 20.0)),), loses_tasks=True),
+    "machines hear nothing, within a lease": Scenario(((3.0, silent("deaf", 9.0)),)),
+    "machines reach nobody, past a lease": Scenario(((1.0, silent("mute", 20.0)),), loses_tasks=True),
+    "machines reach nobody, cloud out": Scenario(((1.0, silent("mute", 9.0)), (0.0, cloud_out)), loses_tasks=True),
+    "machines hang within a lease": Scenario(((3.0, hang(9.0)),), loses_tasks=True),
+    "machines hang past a lease": Scenario(((3.0, hang(20.0)),), loses_tasks=True),
+    "machines cut off, then a new leader": Scenario(
         ((1.0, cut_off(10.0)), (5.0, end_leader), (0.0, cloud_out)), loses_tasks=True
     ),
-    "store out, new leader, cloud out": Meeting(
+    "store out, new leader, cloud out": Scenario(
         ((CANCEL_AT_S + 0.6, store_out), (CANCEL_AT_S + 5.0, end_leader), (0.0, cloud_out)), loses_tasks=True
     ),
 }
 
 
 COLUMNS = (
-    "meeting",
+    "scenario",
     "seeds",
     "failed",
     "cancelled",
     "longest, of `cancel_s`",
-    "refused by token, session",
+    "refused by token, epoch",
     "long tasks lost",
 )
 
@@ -288,11 +296,11 @@
 def _play_one(name: str, seed: int) -> tuple[str, int, Outcome, list[str]]:
     violations: list[str] = []
     InvariantMonitor.listener = lambda invariant, evidence: violations.append(f"{invariant.name}: {evidence}")
-    return name, seed, play(MEETINGS[name], seed)[1], violations
+    return name, seed, play(SCENARIOS[name], seed)[1], violations
 
 
 def run(names: Iterable[str], seeds: int, processes: int) -> int:
-    """Plays meetings with several seeds each; prints a row for each, and returns how many days failed."""
+    """Plays scenarios with several seeds each; prints a row for each, and returns how many days failed."""
     failed = 0
     with ProcessPoolExecutor(processes) as pool:
         days = [pool.submit(_play_one, name, seed) for name in names for seed in range(1, seeds + 1)]
@@ -306,7 +314,7 @@
         print(
             f"| {name} | {len(rows)} | {len(bad)} | {sum(o.cancelled for o in outcomes)}"
             f" | {max(o.longest_part for o in outcomes):.2f}"
-            f" | {sum(o.refused_by_token for o in outcomes)}, {sum(o.refused_by_session for o in outcomes)}"
+            f" | {sum(o.refused_by_token for o in outcomes)}, {sum(o.refused_by_epoch for o in outcomes)}"
             f" | {sum(o.long_tasks_lost for o in outcomes)} |"
         )
         for seed, broken, found in bad:
@@ -315,17 +323,18 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Held commands in meetings with other troubles.")
+    """The command line."""
+    parser = argparse.ArgumentParser(description="Held commands together with other faults.")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--processes", type=int, default=3)
-    parser.add_argument("meeting", nargs="*", help="names of meetings, or parts of them; all by default")
+    parser.add_argument("scenario", nargs="*", help="names of scenarios, or parts of them; all by default")
     options = parser.parse_args()
     for name in ("seeds", "processes"):
         if getattr(options, name) < 1:
             parser.error(f"{name}: must be 1 or more")
-    names = [name for name in MEETINGS if not options.meeting or any(part in name for part in options.meeting)]
+    names = [name for name in SCENARIOS if not options.scenario or any(part in name for part in options.scenario)]
     if not names:
-        parser.error(f"meeting: none is called like {options.meeting}")
+        parser.error(f"scenario: none is called like {options.scenario}")
     sys.exit(1 if run(names, options.seeds, options.processes) else 0)
 
 
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -77,7 +77,7 @@
     assert tokens.issue_above(5 + 2 * MOST_SPARES) is None and not tokens.has_above(5 + 2 * MOST_SPARES)
 
 
-def test_a_start_is_open_until_its_session_or_its_token_is_over() -> None:
+def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
     starts = InflightStarts()
     starts.record_sent("j-1/0", 1, 10.0, 5, 1)
     starts.record_sent("j-1/1", 1, 11.0, 7, 1)
@@ -90,8 +90,7 @@
     assert starts.by_attempt == {}
 
 
-# -- what may be sent
-# ----------------------------------------------------------------------------------------------------
+# -- what may be sent -----------------------------------------------------------------------------------------------
 
 
 def leading_controller(world: World) -> Controller:
@@ -108,24 +107,24 @@
     return leader
 
 
-def test_an_attempt_is_forgotten_only_when_its_start_is_barred() -> None:
+def test_an_attempt_is_forgotten_only_when_its_start_is_fenced() -> None:
     """A held start that comes after the forget would run the attempt again, perhaps beside a newer one elsewhere."""
     world = World(seed=31, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=400.0))
     world.run(40)
-    term = leading(world)
+    leader = leading(world)
     (name,) = {machine.name for machine in world.rules.where.values()}
-    machine, worker = term.cluster.machines[name], world.every_machine[name]
+    machine, worker = leader.cluster.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
     late = messages.command_message(token, [messages.start_command(placement.task, placement.attempt)]) | {
         "stint": worker.epoch
     }
-    assert term.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
-    assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is None
+    assert leader.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
+    assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is None
     machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
-    assert term.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
-    term.lifecycle.stop(placement, 0.0)
+    assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
+    leader.lifecycle.stop(placement, 0.0)
     machine.drain_reason = None
     world.run(4 * world.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
@@ -205,43 +204,43 @@
 
 
 def test_what_may_go_out_when_the_connection_is_there_at_last() -> None:
-    """Nothing after the term; stops while it lasts; starts only with everything that starts need."""
+    """Nothing after the leadership; stops while it lasts; starts only with everything that starts need."""
     world = busy_world(36)
-    term = leading(world)
-    machine = next(m for m in term.cluster.machines.values() if m.placements)
+    leader = leading(world)
+    machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
-    assert term.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
+    assert leader.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
     placement.reported_state = None
-    assert term.authority.check_transmission([placement], machine) is None
-    term.tokens._spares.clear()
-    assert term.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
+    assert leader.authority.check_transmission([placement], machine) is None
+    leader.tokens._spares.clear()
+    assert leader.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
     leading_controller(world).election._confirmed_until = 0.0
-    assert term.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
-    assert term.authority.check_transmission([], machine) is None
-    term.lease.active = False
-    assert term.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
+    assert leader.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
+    assert leader.authority.check_transmission([], machine) is None
+    leader.lease.active = False
+    assert leader.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
 
 
 def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
     world = busy_world(37)
-    term = leading(world)
-    machine = next(iter(term.cluster.machines.values()))
+    leader = leading(world)
+    machine = next(iter(leader.cluster.machines.values()))
     before = machine.token
-    term.tokens._spares.clear()
-    term.fencing.fence_for_forgets(machine, world.now)
+    leader.tokens._spares.clear()
+    leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token == before and no_violations == []
-    term.tokens.committed(10**6)
-    term.fencing.fence_for_forgets(machine, world.now)
+    leader.tokens.committed(10**6)
+    leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
-    term.tokens.committed(10**6 + 1)
-    term.fencing.fence_for_forgets(machine, world.now + 0.1)
+    leader.tokens.committed(10**6 + 1)
+    leader.fencing.fence_for_forgets(machine, world.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
-def test_rentals_and_returns_are_asked_for_again_when_their_connection_is_there() -> None:
-    """A leader that was replaced meanwhile would rent twice, or return what its successor uses."""
+def test_provisioning_and_releases_are_asked_for_again_when_their_connection_is_there() -> None:
+    """A leader that was replaced meanwhile would provision twice, or release what its successor uses."""
     world = busy_world(38)
-    term = leading(world)
+    leader = leading(world)
     asked: list[str] = []
     controller = leading_controller(world)
     wire = controller.clients.cloud._client
@@ -254,18 +253,18 @@
 
     machines = set(world.cloud.machines)
     wire.request = connecting
-    term.releaser.release(next(iter(term.cluster.machines.values())), "a test")
+    leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
     world.run(0.1)
     controller.election._confirm(world.now)
-    term.provisioner.provision(("small", "a", True), 1)
+    leader.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
     assert asked == ["/hosts/release", "/hosts"] and set(world.cloud.machines) == machines
 
 
 def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
     world = busy_world(33)
-    term = leading(world)
-    job = term.cluster.jobs["j-000001"]
+    leader = leading(world)
+    job = leader.cluster.jobs["j-000001"]
     seen: list[str | None] = []
     node = leading_controller(world)
     admission = node.admission
@@ -282,17 +281,17 @@
     assert seen and seen[0] is not None
 
 
-def test_a_term_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
+def test_a_leader_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
     world = busy_world(34)
-    term = leading(world)
-    term.tokens._spares.clear()
-    commits = term.commit_queue.commits
+    leader = leading(world)
+    leader.tokens._spares.clear()
+    commits = leader.commit_queue.commits
     world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
     world.run(0.2)
-    term.tokens._spares.clear()  # as if its machine's token had been raised to the newest
+    leader.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     world.run(20)
-    assert term.commit_queue.commits > commits and "j-000200/0" in world.rules.done
-    assert term.fencing.waiting_machines == {}
+    assert leader.commit_queue.commits > commits and "j-000200/0" in world.rules.done
+    assert leader.fencing.waiting_machines == {}
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
@@ -311,8 +310,7 @@
     assert told["leadership"]["knowledge"]["watch_revision"] > 0
 
 
-# -- versions, and a lost store
-# --------------------------------------------------------------------------------------------
+# -- versions, and a lost store ---------------------------------------------------------------------------------------
 
 
 def cancel_held(world: World) -> None:
@@ -349,14 +347,13 @@
     assert running <= set(world.rules.where), "what ran goes on"
 
 
-# -- invariants
-# --------------------------------------------------------------------------------------------------------------
+# -- invariants -------------------------------------------------------------------------------------------------------
 
 
 def test_a_fence_that_fails_is_seen_and_renews_no_lease(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
-    """Without it the answer would break the bound: it is refused, and the end of the lease bars the start."""
+    """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
     monkeypatch.setattr(MachineFencing, "fence_unwanted_starts", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
@@ -397,12 +394,12 @@
     no_violations.clear()
 
 
-def test_a_barred_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
+def test_a_fenced_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
     world = busy_world(47)
-    term = leading(world)
-    machine = next(m for m in term.cluster.machines.values() if m.placements)
+    leader = leading(world)
+    machine = next(m for m in leader.cluster.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
-    term.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
+    leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
     world.run(5)
     assert no_violations and no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
     assert Machine("n").fenced_starts == {}
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from tests.held_starts import MEETINGS, SMALL_JOBS, busy_world, hold_and_cancel, play, run_watched
+from tests.held_starts import SCENARIOS, SMALL_JOBS, busy_world, hold_and_cancel, play, run_watched
 
-HELD = [name for name, meeting in MEETINGS.items() if meeting.hold is MEETINGS["reports go on"].hold]
-"""Meetings in which the starts themselves are held, for longer than their jobs' cancellation may take."""
+HELD = [name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["heartbeats go on"].hold]
+"""Scenarios in which the starts themselves are held, for longer than their jobs' cancellation may take."""
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_start_that_was_held_up_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
-    """The incident: the machine goes on reporting, each answer carries a stop, and the start comes after them all."""
+    """The incident: heartbeats go on, each answer carries a stop, and the start comes after them all."""
     world = busy_world(seed)
     jobs = hold_and_cancel(world, 45.0, 80.0)
     run_watched(world, 100.0)
@@ -22,19 +22,19 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("name", MEETINGS)
-def test_a_held_command_meets_another_trouble(name: str, seed: int) -> None:
-    world, outcome = play(MEETINGS[name], seed)
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_a_held_command_together_with_another_fault(name: str, seed: int) -> None:
+    world, outcome = play(SCENARIOS[name], seed)
     assert outcome.broken == () and outcome.cancelled == SMALL_JOBS
     assert outcome.longest_part <= 1.0 and world.rules.started_after == []
     if name in HELD:
-        assert outcome.refused_by_token + outcome.refused_by_session > 0, "no held start came at all"
+        assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
 
 
-@pytest.mark.parametrize("name", ["reports go on", "the cloud is out", "the leader ends after it"])
+@pytest.mark.parametrize("name", ["heartbeats go on", "the cloud is out", "the leader ends after it"])
 def test_the_other_tasks_of_a_machine_do_not_pay(name: str) -> None:
-    """A start is barred, and what runs beside it goes on: no session ends, and no task begins again."""
-    world, outcome = play(MEETINGS[name], 3)
+    """A start is fenced, and what runs beside it goes on: no session ends, and no task begins again."""
+    world, outcome = play(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0 and outcome.long_tasks_lost == 0 and world.sessions_lost == 0
 
 
