--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -26,6 +26,7 @@
 from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.network import Hold
 from tests.simulation.world import World
+from tests.soak.cluster import COUNTED
 from tests.versions import NEW, production
 
 # -- tokens ----------------------------------------------------------------------------------------------------------
@@ -135,7 +136,7 @@
     assert world.rules.starts == starts and world.rules.broken == []
 
 
-def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease() -> None:
+def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
     """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
     world = World(seed=32, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
@@ -156,7 +157,9 @@
     world.deliver_report = delivering  # type: ignore[method-assign]
     world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
     world.cancel("j-000001")
-    run_watched(world, world.CANCEL_S + 20.0)
+    with caplog.at_level(logging.INFO):
+        run_watched(world, world.CANCEL_S + 20.0)
+    assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
     assert world.rules.broken == [] and world.rules.where == {}
@@ -294,6 +297,15 @@
     assert leader.fencing.waiting_machines == {}
 
 
+def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
+    world = busy_world(48)
+    with caplog.at_level(logging.INFO):
+        hold_and_cancel(world)
+        run_watched(world, 60.0)
+    for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
+        assert COUNTED[name].search(caplog.text), name
+
+
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
     world = busy_world(35)
     world.holds.append(Hold(world.now + 3.0, 45.0, 45.0, verb="launch"))
