--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -3,6 +3,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
+from stileloft.model.resources import EPSILON
 from stileloft.protocol.messages import JobSpec
 from stileloft.scheduling.candidates import Candidates
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
@@ -39,6 +40,8 @@
 
 def free_slots(spec: JobSpec, machine: MachineView) -> int:
     """How many of a job's tasks fit on the machine now."""
+    if machine.free_cpus + EPSILON < spec.cpus:
+        return 0  # as on most machines: the others are counted in full
     return machine.free.slots(spec)
 
 
