--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -23,7 +23,8 @@
 from stileloft.leadership.election import Election
 from stileloft.leadership.fencing_tokens import FencingTokens
 from stileloft.leadership.invariants import InvariantMonitor
-from stileloft.leadership.leader import Leader, LeaderEnvironment
+from stileloft.leadership.leader import Leader
+from stileloft.leadership.leader_environment import LeaderEnvironment
 from stileloft.leadership.lease import LeaderLease
 from stileloft.leadership.renewal_grace import renewal_grace
 from stileloft.machines.catalog import MachineCatalog
@@ -36,7 +37,7 @@
 from stileloft.store.record_format import RecordFormat
 from stileloft.transport.client import Client
 from stileloft.transport.clock import WallClock
-from stileloft.transport.server import Answer, Router, make_site, retry_later
+from stileloft.transport.server import Response, Router, make_site, retry_later
 from stileloft.transport.sockets import KEEP_COMMANDS_SHARE, SocketUsage
 from stileloft.transport.timers import sleep
 
@@ -285,7 +286,7 @@
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
-    def handle_heartbeat(self, heartbeat: Heartbeat) -> Answer:
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> Response:
         """A worker's heartbeat: answered by the leader, referred to it by the others."""
         self.integrity.observe_token(heartbeat.token)
         answer = None if self.rebuild is None else self.rebuild.on_heartbeat(heartbeat)
@@ -300,11 +301,11 @@
         if not leader.may_renew():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
-        return Answer(200, leader.on_heartbeat(heartbeat))
+        return Response(200, leader.on_heartbeat(heartbeat))
 
-    def _refer_to_leader(self, heartbeat: Heartbeat) -> Answer:
+    def _refer_to_leader(self, heartbeat: Heartbeat) -> Response:
         self.referrals.record(heartbeat)
         member = self.election.leader_member
         if member is not None and member != self.settings.member:
-            return Answer(421, {"steward": member})
-        return Answer(421, {})
+            return Response(421, {"steward": member})
+        return Response(421, {})
--- /dev/null
+++ b/stileloft/leadership/leader_environment.py
@@ -0,0 +1,41 @@
+"""What a controller hands to its leader."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from stileloft.leadership.invariants import InvariantMonitor
+from stileloft.machines.catalog import MachineCatalog
+from stileloft.protocol.admin import OperatorSettings
+from stileloft.protocol.cloud import CloudClient
+from stileloft.protocol.peers import PeerClient
+from stileloft.protocol.state import StateClient
+from stileloft.protocol.workers import WorkerClient
+from stileloft.scheduling.scheduling_loop import InThread
+from stileloft.settings import Settings
+from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.record_format import RecordFormat
+from stileloft.transport.clock import Clock, WallClock
+from stileloft.transport.rate_limit import TokenBucket
+
+
+@dataclass(frozen=True, slots=True)
+class LeaderEnvironment:
+    """What a controller hands to its leader."""
+
+    settings: Settings
+    clock: Clock
+    wall_clock: WallClock
+    state: StateClient
+    cloud: CloudClient
+    workers: WorkerClient
+    peers: PeerClient
+    write_budget: TokenBucket
+    catalog: MachineCatalog
+    record_format: RecordFormat
+    integrity: StoreIntegrity
+    invariants: InvariantMonitor
+    operator_settings: Callable[[], OperatorSettings]
+    """The operators' settings in force."""
+    run_in_thread: InThread
+    nonce: str
+    """Of this process; it keeps the names of requests to the cloud apart."""
--- /dev/null
+++ b/stileloft/leadership/leader_parts.py
@@ -0,0 +1,396 @@
+"""The parts of a leader, and what is handed from one to the other."""
+
+from stileloft.jobs.failure_attribution import FailureAttribution
+from stileloft.jobs.job_backoff import JobBackoff
+from stileloft.jobs.job_watch import JobWatch
+from stileloft.jobs.registry import JobRegistry
+from stileloft.jobs.task_exits import TaskExitHandler
+from stileloft.jobs.task_lifecycle import TaskLifecycle
+from stileloft.leadership.authority import Authority
+from stileloft.leadership.failover import Failover
+from stileloft.leadership.fencing_tokens import FencingTokens
+from stileloft.leadership.leader_environment import LeaderEnvironment
+from stileloft.leadership.lease import LeaderLease
+from stileloft.machines.boot_monitor import BootMonitor
+from stileloft.machines.image_locations import ImageLocations
+from stileloft.machines.inventory import MachineInventory
+from stileloft.machines.partition_detector import PartitionDetector
+from stileloft.machines.provision_records import ProvisionRecords
+from stileloft.machines.registry import MachineRegistry
+from stileloft.machines.scale_in import MachineReleaser
+from stileloft.machines.scale_out import MachineProvisioner
+from stileloft.machines.supervisor import MachineSupervisor
+from stileloft.machines.timeouts import FailureTimeouts
+from stileloft.machines.worker_leases import WorkerLeases
+from stileloft.model.cluster import ClusterState
+from stileloft.model.machines import Machine
+from stileloft.rebuild.operator_decisions import UnresolvedTaskKeeper
+from stileloft.scheduling.decision_applier import DecisionApplier
+from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.pending_jobs import PendingJobs
+from stileloft.scheduling.scheduling_loop import SchedulingLoop
+from stileloft.scheduling.snapshot_builder import SnapshotBuilder
+from stileloft.scheduling.workload import Workload
+from stileloft.store.access import LeaderStore
+from stileloft.store.commit_applier import CommitApplier
+from stileloft.store.commit_queue import CommitQueue
+from stileloft.store.flush_timer import FlushTimer
+from stileloft.store.format_upgrade import FormatUpgrade
+from stileloft.store.job_reloader import JobReloader
+from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.limits import StoreLimits
+from stileloft.workers.command_assertions import CommandAssertions
+from stileloft.workers.command_metrics import CommandMetrics
+from stileloft.workers.command_planner import CommandPlanner
+from stileloft.workers.dispatcher import CommandDispatcher, DispatchSettings
+from stileloft.workers.fencing import MachineFencing
+from stileloft.workers.forget_scheduler import ForgetScheduler
+from stileloft.workers.heartbeat_responder import HeartbeatResponder
+from stileloft.workers.heartbeats import HeartbeatProcessor
+from stileloft.workers.task_reconciliation import TaskReconciler
+from stileloft.workers.task_states import TaskStateTracker
+from stileloft.workers.transmission import CommandTransmitter
+
+HEARTBEAT_FLUSH_S = 0.02
+"""Heartbeats that come so close together share one commit, in seconds."""
+
+
+class LeaderParts:
+    """Composes the parts that act while this controller leads; each is given what it needs.
+
+    The parts know each other only as far as their constructors say; what would go round in a circle is a callback.
+    """
+
+    def __init__(self, environment: LeaderEnvironment, lease: LeaderLease, tokens: FencingTokens) -> None:
+        self._environment = environment
+        self._clock = environment.clock
+        self._deployment = environment.settings.deployment
+        self._timings = self._deployment.workers
+        self.timeouts = FailureTimeouts.of(self._timings)
+        self._teams = {team.name: team for team in self._deployment.teams}
+        self.lease = lease
+        self.tokens = tokens
+        self.cluster = ClusterState()
+        self.flush_timer = FlushTimer(self._clock)
+        self._build_jobs()
+        self._build_store()
+        self._build_workers()
+        self._build_scale_in()
+        self._build_scale_out()
+        self._build_membership()
+        self._build_dispatcher()
+        self._build_snapshots()
+        self._build_scheduling_loop()
+        self._build_failover()
+
+    def _build_jobs(self) -> None:
+        """The registries of jobs and machines, and the life of tasks."""
+        env, clock = self._environment, self._clock
+        self.store = LeaderStore(
+            env.state, env.write_budget, StoreLimits(self._deployment.state), env.record_format, self.lease
+        )
+        self.workload = Workload(self._deployment.objectives, env.wall_clock, lambda: env.catalog.types)
+        self.images = ImageLocations(self.store, self.cluster, self.lease, clock)
+        self.machine_registry = MachineRegistry(self.cluster, self.tokens, self.images, clock)
+        self.job_registry = JobRegistry(
+            self.cluster, self.workload, env.record_format, self.store.limits, clock, env.wall_clock
+        )
+        self.forgets = ForgetScheduler(clock, self._timings.lease_s)
+        self.lifecycle = TaskLifecycle(
+            self.cluster,
+            self.machine_registry,
+            self.lease,
+            self.forgets,
+            self.flush_timer,
+            self.workload,
+            clock,
+            self._timings,
+            self._send_commands,
+        )
+        backoff = JobBackoff(self.cluster, clock, self.request_scheduling)
+        attribution = FailureAttribution(self.cluster, self.lifecycle, backoff, self._timings.lease_s)
+        self.exits = TaskExitHandler(self.cluster, self.lifecycle, attribution, backoff, self.workload, self._timings)
+
+    def _build_store(self) -> None:
+        """What is written to the store, and read again."""
+        env, clock = self._environment, self._clock
+        self.reloader = JobReloader(
+            self.store,
+            self.cluster,
+            self.job_registry,
+            self.lifecycle,
+            clock,
+            self._flush,
+            self.request_scheduling,
+        )
+        self.commit_queue = CommitQueue(
+            self.store,
+            self.cluster,
+            self.lease,
+            self.tokens,
+            env.integrity,
+            CommitApplier(self.job_registry, self.lifecycle, clock),
+            self.flush_timer,
+            clock,
+            self.reloader.reload,
+            self._after_commit,
+        )
+        self.upgrade = FormatUpgrade(
+            self.store, self.cluster, self.lease, env.peers, env.settings, clock, self.request_scheduling
+        )
+        self.watch = JobWatch(
+            self.lease,
+            env.state,
+            self.cluster,
+            self.job_registry,
+            self.lifecycle,
+            env.integrity,
+            clock,
+            env.record_format.first_chunk_size,
+            self.reloader.reload,
+            self.request_scheduling,
+        )
+
+    def _build_workers(self) -> None:
+        """What may be sent to workers, and under which token."""
+        env = self._environment
+        self.authority = Authority(self.lease, self.tokens, self.cluster, self.job_registry, self.watch)
+        self.fencing = MachineFencing(
+            self.cluster, self.tokens, env.invariants, env.integrity, self.flush_timer, self._timings
+        )
+        self.planner = CommandPlanner(
+            self.cluster, self.authority, self.fencing, self._clock, self._timings.heartbeat_s
+        )
+
+    def _build_scale_in(self) -> None:
+        """Scaling in: worker leases, and the release of machines."""
+        env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
+        lag_s, failure_s = self._deployment.cloud.list_lag_s, self.timeouts.failure_s
+        self.boots = BootMonitor(self.lease, env.catalog, clock, failure_s, lease_s, lag_s)
+        self.worker_leases = WorkerLeases(self.lease, self.lifecycle, lease_s)
+        self.releaser = MachineReleaser(
+            self.cluster,
+            self.lease,
+            self.authority,
+            self.lifecycle,
+            self.worker_leases,
+            self.images,
+            env.cloud,
+            clock,
+            lease_s,
+            self.request_scheduling,
+        )
+
+    def _build_scale_out(self) -> None:
+        """Scaling out: machines are provisioned, and recorded for a successor."""
+        env, clock, lag_s = self._environment, self._clock, self._deployment.cloud.list_lag_s
+        self.provision_records = ProvisionRecords(self.store, self.machine_registry, clock, env.wall_clock, lag_s)
+        self.provisioner = MachineProvisioner(
+            self.cluster,
+            self.machine_registry,
+            self.lease,
+            self.authority,
+            self.boots,
+            self.provision_records,
+            env.cloud,
+            clock,
+            f"r-{env.nonce}-{self.tokens.first}",
+            self.request_scheduling,
+        )
+
+    def _build_membership(self) -> None:
+        """The inventory, and the detection of failures."""
+        env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
+        self.inventory = MachineInventory(
+            self.cluster,
+            self.machine_registry,
+            self.releaser,
+            self.lease,
+            env.cloud,
+            clock,
+            self._deployment.cloud.list_lag_s,
+            self.request_scheduling,
+        )
+        self.supervisor = MachineSupervisor(
+            self.cluster,
+            self.lease,
+            PartitionDetector(self.lease, env.peers, clock, self.timeouts, lease_s),
+            self.boots,
+            self.worker_leases,
+            self.releaser,
+            self.lifecycle,
+            clock,
+            self.timeouts.failure_s,
+        )
+
+    def _build_dispatcher(self) -> None:
+        """Heartbeats, and commands to workers."""
+        env = self._environment
+        self.heartbeats = HeartbeatProcessor(
+            self.cluster,
+            self.machine_registry,
+            self.tokens,
+            self.boots,
+            self._build_reconciler(),
+            self._clock,
+            self.request_scheduling,
+        )
+        metrics = CommandMetrics()
+        assertions = CommandAssertions(self.cluster, self.tokens, env.invariants)
+        transmitter = CommandTransmitter(
+            self.authority,
+            assertions,
+            self.lease,
+            self.tokens,
+            env.integrity,
+            env.workers,
+            self._clock,
+            self._timings.heartbeat_s,
+            metrics,
+        )
+        self.dispatcher = CommandDispatcher(
+            self.cluster,
+            self.authority,
+            self.planner,
+            self.fencing,
+            transmitter,
+            self.heartbeats,
+            self._clock,
+            DispatchSettings(
+                self._timings.heartbeat_s, self.timeouts.reachability_s, self._deployment.quota.max_sockets
+            ),
+            metrics,
+            self._after_heartbeat,
+        )
+        self.responder = HeartbeatResponder(
+            self.machine_registry,
+            self.heartbeats,
+            self.planner,
+            self.fencing,
+            assertions,
+            self.dispatcher,
+            self._clock,
+            metrics,
+        )
+
+    def _build_reconciler(self) -> TaskReconciler:
+        states = TaskStateTracker(self.cluster, self.exits, self.images, self.flush_timer, self._environment.wall_clock)
+        return TaskReconciler(
+            self.cluster,
+            self.lifecycle,
+            states,
+            self.fencing,
+            self.forgets,
+            self.authority,
+            self.request_scheduling,
+        )
+
+    def _build_snapshots(self) -> None:
+        """What the decisions are made of."""
+        env, clock = self._environment, self._clock
+        self.machine_views = MachineViews(
+            self.cluster,
+            self.lifecycle,
+            self.workload,
+            clock,
+            self.timeouts.heartbeat_overdue_s,
+            self.dispatcher.is_reachable,
+        )
+        self.snapshots = SnapshotBuilder(
+            self.cluster,
+            self.lease,
+            self.machine_views,
+            PendingJobs(self.cluster, self.workload, env.catalog, env.wall_clock),
+            self.workload,
+            env.catalog,
+            self.provisioner,
+            self._teams,
+            env.operator_settings,
+            clock,
+            env.wall_clock,
+            self._timings.heartbeat_s,
+        )
+
+    def _build_scheduling_loop(self) -> None:
+        """What decides, and what applies the decisions."""
+        env, clock = self._environment, self._clock
+        applier = DecisionApplier(
+            self.cluster,
+            self.lifecycle,
+            self.provisioner,
+            self.releaser,
+            env.catalog,
+            self._teams,
+            clock,
+            env.wall_clock,
+            self._timings.heartbeat_s,
+        )
+        self.scheduling = SchedulingLoop(
+            self.cluster,
+            self.lease,
+            self.snapshots,
+            applier,
+            self.workload,
+            self.provisioner,
+            self.boots,
+            env.catalog,
+            env.operator_settings,
+            clock,
+            env.run_in_thread,
+            self._deployment.state.txn_ops,
+            self._flush,
+        )
+
+    def _build_failover(self) -> None:
+        """What takes over from the former leader."""
+        self.unresolved = UnresolvedTaskKeeper(
+            self.store,
+            self.cluster,
+            self.job_registry,
+            self._environment.integrity,
+            self.flush_timer,
+            self._clock,
+            self.request_scheduling,
+        )
+        self.failover = Failover(
+            self.store,
+            self.cluster,
+            self.lease,
+            self.job_registry,
+            self.lifecycle,
+            self.watch,
+            self.upgrade,
+            self.provision_records,
+            self.images,
+            self.unresolved,
+            self._clock,
+        )
+
+    # -- callbacks --------------------------------------------------------------------
+
+    def request_scheduling(self) -> None:
+        """Asks for a scheduling cycle."""
+        self.scheduling.request()
+
+    def _after_heartbeat(self) -> None:
+        """Has written what a heartbeat has changed."""
+        if self.cluster.dirty and self.cluster.loaded:
+            self.flush_timer.within(HEARTBEAT_FLUSH_S)
+
+    def _after_commit(self, parts: list[JobTransaction]) -> None:
+        """Starts what was bound, at once, and looks for use of what was freed."""
+        machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
+        machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
+        with self.cluster.lock:
+            for machine_id in machine_ids:
+                machine = self.cluster.machines.get(machine_id)
+                if machine is not None:
+                    self.dispatcher.send(machine)
+        if any(part.cleared_placements for part in parts):
+            self.request_scheduling()
+
+    def _send_commands(self, machine: Machine) -> None:
+        self.dispatcher.send(machine)
+
+    def _flush(self) -> None:
+        self.commit_queue.flush()
--- a/stileloft/protocol/admin.py
+++ b/stileloft/protocol/admin.py
@@ -16,7 +16,7 @@
 )
 from stileloft.protocol.peers import VIEW_PATH, PeerView
 from stileloft.protocol.rebuild_admin import RebuildAdministered, RebuildResources
-from stileloft.transport.server import Answer, Arguments, Route, retry_later
+from stileloft.transport.server import Arguments, Response, Route, retry_later
 
 STATUS_PATH = "/status"
 SETTINGS_PATH = "/settings"
@@ -108,15 +108,15 @@
             return {"GET": self.read_settings, "PUT": self.change_settings}, {}
         return self._rebuild.match(path)
 
-    def status(self, _body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+    def status(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
         """Tells the node's state."""
-        return Answer(HTTPStatus.OK, self._node.status())
+        return Response(HTTPStatus.OK, self._node.status())
 
-    def view(self, _body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+    def view(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
         """Tells another controller what this one sees."""
-        return Answer(HTTPStatus.OK, msgspec.to_builtins(self._node.view()))
+        return Response(HTTPStatus.OK, msgspec.to_builtins(self._node.view()))
 
-    async def read_settings(self, _body: Any, _arguments: Arguments) -> Answer:
+    async def read_settings(self, _body: Any, _arguments: Arguments) -> Response:
         """Tells the settings and their version."""
         try:
             settings, version = await self._node.read_settings()
@@ -124,19 +124,19 @@
             return retry_later(error.status, error.reason, RETRY_AFTER_S)
         return _settings_answer(settings, version)
 
-    async def change_settings(self, body: Any, _arguments: Arguments) -> Answer:
+    async def change_settings(self, body: Any, _arguments: Arguments) -> Response:
         """Replaces the settings if they are still those of the version that the caller read."""
         try:
             change = parse_settings_change(body)
             version = await self._node.change_settings(change.settings, change.version)
         except InvalidSettingsError as error:
-            return Answer(error.status, {"error": error.reason})
+            return Response(error.status, {"error": error.reason})
         except StaleVersionError as error:
-            return Answer(error.status, {"error": "the settings have been changed since; read them again"})
+            return Response(error.status, {"error": "the settings have been changed since; read them again"})
         except TemporarilyUnavailableError as error:
             return retry_later(error.status, error.reason, RETRY_AFTER_S)
         return _settings_answer(change.settings, version)
 
 
-def _settings_answer(settings: OperatorSettings, version: int) -> Answer:
-    return Answer(HTTPStatus.OK, {"version": version, "settings": msgspec.to_builtins(settings)})
+def _settings_answer(settings: OperatorSettings, version: int) -> Response:
+    return Response(HTTPStatus.OK, {"version": version, "settings": msgspec.to_builtins(settings)})
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -8,17 +8,17 @@
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError, TemporarilyUnavailableError
 from stileloft.protocol.messages import JOB_ID
 from stileloft.protocol.peers import CHANGE_NOTICE_PATH, SNAPSHOT_PATH
-from stileloft.transport.server import Answer, Handler, retry_later
+from stileloft.transport.server import Handler, Response, retry_later
 
 STATUS_PATH = "/rebuild"
 DECISION_PATH = "/rebuild/undecided/"
 JOB_PATTERN = re.compile(JOB_ID)
 MAX_NUMBER_DIGITS = 9
 RETRY_AFTER_S = 1
-FEATURE_OFF = Answer(404, {"error": "the feature rebuild is not enabled"})
-NO_SUCH_PIECE = Answer(404, {"error": "no such piece"})
-INVALID_CHANGE_NOTICE = Answer(400, {"error": "these are no notes of a controller"})
-NO_UNRESOLVED_TASKS = Answer(404, {"error": "the job has no undecided tasks"})
+FEATURE_OFF = Response(404, {"error": "the feature rebuild is not enabled"})
+NO_SUCH_PIECE = Response(404, {"error": "no such piece"})
+INVALID_CHANGE_NOTICE = Response(400, {"error": "these are no notes of a controller"})
+NO_UNRESOLVED_TASKS = Response(404, {"error": "the job has no undecided tasks"})
 
 
 class RebuildAdministered(Protocol):
@@ -81,24 +81,24 @@
             return {"PUT": self.decide}, {"job": path[len(DECISION_PATH) :]}
         return None
 
-    def status(self, _body: Any, _arguments: dict[str, str]) -> Answer:
+    def status(self, _body: Any, _arguments: dict[str, str]) -> Response:
         """What is known of the store, and of a rebuild."""
         status = self._controller.rebuild_status()
-        return FEATURE_OFF if status is None else Answer(200, status)
+        return FEATURE_OFF if status is None else Response(200, status)
 
-    def piece(self, _body: Any, arguments: dict[str, str]) -> Answer:
+    def piece(self, _body: Any, arguments: dict[str, str]) -> Response:
         """A piece of this controller's replica of the store, for another one that rebuilds it."""
         number = arguments["number"]
         if not number.isdecimal() or len(number) > MAX_NUMBER_DIGITS:
             return NO_SUCH_PIECE
         piece = self._controller.snapshot_piece(int(number))
-        return NO_SUCH_PIECE if piece is None else Answer(200, {"piece": piece.decode()})
+        return NO_SUCH_PIECE if piece is None else Response(200, {"piece": piece.decode()})
 
-    def receive_change_notice(self, body: Any, _arguments: dict[str, str]) -> Answer:
+    def receive_change_notice(self, body: Any, _arguments: dict[str, str]) -> Response:
         """Applies another controller's notice of what it has just told its users."""
-        return Answer(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
+        return Response(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
 
-    async def decide(self, body: Any, arguments: dict[str, str]) -> Answer:
+    async def decide(self, body: Any, arguments: dict[str, str]) -> Response:
         """Stores an operator's decision about tasks of which a rebuild could not tell whether they completed."""
         job = arguments["job"]
         try:
@@ -107,9 +107,9 @@
                 await self._controller.decide(job, request.task, request.decision) if JOB_PATTERN.match(job) else None
             )
         except (MalformedDecisionError, InvalidSettingsError) as error:
-            return Answer(400, {"error": str(error)})
+            return Response(400, {"error": str(error)})
         except StaleVersionError:
-            return Answer(409, {"error": "the job's record has been changed since; try again"})
+            return Response(409, {"error": "the job's record has been changed since; try again"})
         except TemporarilyUnavailableError as error:
             return retry_later(503, str(error), RETRY_AFTER_S)
-        return NO_UNRESOLVED_TASKS if decided is None else Answer(200, decided)
+        return NO_UNRESOLVED_TASKS if decided is None else Response(200, decided)
--- a/stileloft/protocol/users.py
+++ b/stileloft/protocol/users.py
@@ -8,7 +8,7 @@
 
 from stileloft.protocol.errors import MalformedError, RequestError
 from stileloft.protocol.messages import JOB_ID, Heartbeat, JobSpec, parse_heartbeat, parse_job
-from stileloft.transport.server import Answer, Arguments, Handler, Route, retry_later
+from stileloft.transport.server import Arguments, Handler, Response, Route, retry_later
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
     """Routes of the public address."""
 
     def __init__(
-        self, service: JobService, on_heartbeat: Callable[[Heartbeat], Answer], is_healthy: Callable[[], bool]
+        self, service: JobService, on_heartbeat: Callable[[Heartbeat], Response], is_healthy: Callable[[], bool]
     ) -> None:
         self._service = service
         self._on_heartbeat = on_heartbeat
@@ -62,61 +62,61 @@
             return {"POST": self.cancel}, {"job": found.group(1)}
         return None
 
-    def heartbeat(self, body: Any, _arguments: Arguments) -> Answer:
+    def heartbeat(self, body: Any, _arguments: Arguments) -> Response:
         """Takes in a worker's heartbeat."""
         try:
             heartbeat = parse_heartbeat(body)
         except MalformedError as error:
-            return Answer(HTTPStatus.BAD_REQUEST, {"error": error.reason})
+            return Response(HTTPStatus.BAD_REQUEST, {"error": error.reason})
         return self._on_heartbeat(heartbeat)
 
-    def health(self, _body: Any, _arguments: Arguments) -> Answer:
+    def health(self, _body: Any, _arguments: Arguments) -> Response:
         """Tells a load balancer whether users may be sent here."""
         if self._is_healthy():
-            return Answer(HTTPStatus.OK, {"ok": True})
+            return Response(HTTPStatus.OK, {"ok": True})
         return retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", NOT_READY_RETRY_S)
 
-    def submit(self, body: Any, _arguments: Arguments) -> Answer | Awaitable[Answer]:
+    def submit(self, body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
         """Accepts a job; a repeated submission is answered with the job's status."""
         try:
             spec = parse_job(body)
         except MalformedError as error:
-            return Answer(HTTPStatus.BAD_REQUEST, {"error": error.reason})
+            return Response(HTTPStatus.BAD_REQUEST, {"error": error.reason})
 
-        async def answer() -> Answer:
+        async def answer() -> Response:
             is_new, status = await self._service.submit(spec)
-            return Answer(HTTPStatus.CREATED if is_new else HTTPStatus.OK, status)
+            return Response(HTTPStatus.CREATED if is_new else HTTPStatus.OK, status)
 
         return self._with_errors_told(answer())
 
-    def status(self, _body: Any, arguments: Arguments) -> Answer | Awaitable[Answer]:
+    def status(self, _body: Any, arguments: Arguments) -> Response | Awaitable[Response]:
         """Tells a job's status."""
         return self._answer_about(arguments["job"], self._service.status)
 
-    def cancel(self, _body: Any, arguments: Arguments) -> Answer | Awaitable[Answer]:
+    def cancel(self, _body: Any, arguments: Arguments) -> Response | Awaitable[Response]:
         """Cancels a job, unless it has ended."""
         return self._answer_about(arguments["job"], self._service.cancel)
 
     def _answer_about(
         self, job: str, request: Callable[[str], Awaitable[dict[str, Any] | None]]
-    ) -> Answer | Awaitable[Answer]:
-        no_such_job = Answer(HTTPStatus.NOT_FOUND, {"error": "no such job"})
+    ) -> Response | Awaitable[Response]:
+        no_such_job = Response(HTTPStatus.NOT_FOUND, {"error": "no such job"})
         if not VALID_ID.match(job):
             return no_such_job  # no job of such a name can have been accepted
 
-        async def answer() -> Answer:
+        async def answer() -> Response:
             status = await request(job)
-            return no_such_job if status is None else Answer(HTTPStatus.OK, status)
+            return no_such_job if status is None else Response(HTTPStatus.OK, status)
 
         return self._with_errors_told(answer())
 
     @staticmethod
-    async def _with_errors_told(pending: Awaitable[Answer]) -> Answer:
+    async def _with_errors_told(pending: Awaitable[Response]) -> Response:
         """The answer, or what the error that comes instead says to its user."""
         try:
             return await pending
         except RequestError as error:
             if error.retry_after_s is None:
-                return Answer(error.status, {"error": error.reason})
+                return Response(error.status, {"error": error.reason})
             log.debug("user told to retry reason=%s", error.reason)
             return retry_later(error.status, error.reason, error.retry_after_s)
--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -7,7 +7,7 @@
 from stileloft.rebuild.job_outcomes import JobOutcomes
 from stileloft.rebuild.loss_detector import LossDetector
 from stileloft.rebuild.token_history import TokenHistory
-from stileloft.transport.server import Answer, retry_later
+from stileloft.transport.server import Response, retry_later
 
 # An answer with a token below all that were ever issued is dropped by its worker.
 DROPPED_TOKEN = 0
@@ -29,7 +29,7 @@
         self.newest: dict[str, Heartbeat] = {}
         """The newest heartbeat of each machine that has our token."""
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Response:
         """Renews a worker's lease, and has it stop what is over.
 
         Nobody can cancel a job meanwhile, so an answer that names all jobs known to be over keeps no other alive.
@@ -39,15 +39,15 @@
             self._tokens.observe(heartbeat.token)
             self._detector.request_check()
             leadership.suspect(f"{heartbeat.machine} knows token {heartbeat.token}")
-            return Answer(421, {})
+            return Response(421, {})
         if self.outcomes is None or not leadership.holds_lease():
             return retry_later(503, "lost records are being rebuilt", RETRY_AFTER_S)
         if self._is_late_copy(heartbeat):
-            return Answer(200, CommandMessage(DROPPED_TOKEN, []))
+            return Response(200, CommandMessage(DROPPED_TOKEN, []))
         if heartbeat.token == self._token:
             # Only a worker that has our token can't be told anything by a former leader any more.
             self.newest[heartbeat.machine] = heartbeat
-        return Answer(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
+        return Response(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
 
     def _is_late_copy(self, heartbeat: Heartbeat) -> bool:
         known = self.newest.get(heartbeat.machine)
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -26,7 +26,7 @@
 from stileloft.rebuild.store_status import StoreStatus
 from stileloft.rebuild.token_history import TokenHistory
 from stileloft.transport.clock import MAX_CLOCK_DRIFT
-from stileloft.transport.server import Answer
+from stileloft.transport.server import Response
 
 log = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
         """Ends the attempt: another leader goes on."""
         self._active = False
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Response:
         """Answers a worker's heartbeat while the records are written back."""
         return self._heartbeats.on_heartbeat(heartbeat)
 
--- a/stileloft/rebuild/replica_follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -16,6 +16,7 @@
 from stileloft.rebuild.replica import RESTORED_KEYS, RESTORED_PREFIXES, Replica
 from stileloft.rebuild.snapshot_provider import SnapshotProvider
 from stileloft.rebuild.store_status import StorePhase, StoreStatus
+from stileloft.transport.retry import RetryPolicy, repeat
 
 log = logging.getLogger(__name__)
 
@@ -49,20 +50,17 @@
 
     async def run(self) -> None:
         """Follows for as long as the process lives; the replica stands still while the store is not sound."""
-        while True:
-            try:
-                await self._step()
-            except CompactedError:
-                self._replicas.current.complete = False
-            except (StoreLostError, ConflictError):
-                # A record that reconciliation adds is being written by another: all is compared once more.
-                await self._environment.sleep(UNSOUND_INTERVAL_S)
-            except (UnavailableError, UnknownOutcomeError) as error:
-                log.debug("replica not updated error=%s", error)
-                await self._environment.sleep(RETRY_S)
-            except Exception:
-                log.exception("replica not updated")
-                await self._environment.sleep(RETRY_S)
+        policy = RetryPolicy((UnavailableError, UnknownOutcomeError), RETRY_S, RETRY_S)
+        await repeat("replica update", self._step_unless_unsound, policy, self._environment.clock)
+
+    async def _step_unless_unsound(self) -> None:
+        try:
+            await self._step()
+        except CompactedError:
+            self._replicas.current.complete = False
+        except (StoreLostError, ConflictError):
+            # A record that reconciliation adds is being written by another: all is compared once more.
+            await self._environment.sleep(UNSOUND_INTERVAL_S)
 
     async def _step(self) -> None:
         identity = self._store.identity
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -23,7 +23,7 @@
 from stileloft.rebuild.status_report import RebuildReport, ReplicaReport
 from stileloft.rebuild.store_status import StoreStatus
 from stileloft.rebuild.token_history import TokenHistory
-from stileloft.transport.server import Answer
+from stileloft.transport.server import Response
 
 log = logging.getLogger(__name__)
 
@@ -78,7 +78,7 @@
             self._rebuilder.stop()
             self._rebuilder = None
 
-    def on_heartbeat(self, heartbeat: Heartbeat) -> Answer | None:
+    def on_heartbeat(self, heartbeat: Heartbeat) -> Response | None:
         """Answers a worker's heartbeat during a rebuild; None if this controller leads none."""
         return None if self._rebuilder is None else self._rebuilder.on_heartbeat(heartbeat)
 
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """What a handler returns: the response's status, its body before it is encoded, and additional headers."""
 
     status: int
@@ -28,15 +28,15 @@
 
 Arguments = dict[str, str]
 """The variable parts of a request's path, by name."""
-Handler = Callable[[Any, Arguments], "Awaitable[Answer] | Answer"]
+Handler = Callable[[Any, Arguments], "Awaitable[Response] | Response"]
 """Takes a request's decoded body, None if it has none, and its arguments."""
 Route = tuple[dict[str, Handler], Arguments]
 """A path's handlers by method, and the arguments that the path holds."""
 
 
-def retry_later(status: int, reason: str, after_s: float) -> Answer:
+def retry_later(status: int, reason: str, after_s: float) -> Response:
     """An error that tells when to come back, in whole seconds as the header requires."""
-    return Answer(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
+    return Response(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
 class LimitedRequest(server.Request):
@@ -96,7 +96,7 @@
         """Has a request answered, now or later."""
         route = self._match(_path_of(request))
         if route is None:
-            self._send(request, Answer(HTTPStatus.NOT_FOUND, {"error": "no such path"}))
+            self._send(request, Response(HTTPStatus.NOT_FOUND, {"error": "no such path"}))
         else:
             self._dispatch(request, *route)
         return server.NOT_DONE_YET
@@ -107,19 +107,19 @@
         handler = handlers.get("GET" if method == "HEAD" else method)
         if handler is None:
             allowed = {"Allow": ", ".join(sorted(handlers))}
-            self._send(request, Answer(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method not allowed"}, allowed))
+            self._send(request, Response(HTTPStatus.METHOD_NOT_ALLOWED, {"error": "method not allowed"}, allowed))
             return
         try:
             body = self._read_body(request) if method in METHODS_WITH_BODY else None
         except Exception:
-            self._send(request, Answer(HTTPStatus.BAD_REQUEST, {"error": "the body cannot be decoded"}))
+            self._send(request, Response(HTTPStatus.BAD_REQUEST, {"error": "the body cannot be decoded"}))
             return
         try:
             result = handler(body, arguments)
         except Exception:
             self._send_internal_error(request)
             return
-        if isinstance(result, Answer):
+        if isinstance(result, Response):
             self._send(request, result)
         else:
             self._send_later(request, result)
@@ -130,7 +130,7 @@
         data = content.read()
         return self._decode(data) if data else None
 
-    def _send_later(self, request: server.Request, pending: Awaitable[Answer]) -> None:
+    def _send_later(self, request: server.Request, pending: Awaitable[Response]) -> None:
         """Sends the answer once there is one, unless the connection has been closed by then."""
         disconnected: list[Any] = []
         request.notifyFinish().addErrback(disconnected.append)
@@ -152,7 +152,7 @@
         log.exception("request failed method=%s path=%s", request.method, request.path)
         self._send(request, retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "internal error", INTERNAL_ERROR_RETRY_S))
 
-    def _send(self, request: server.Request, answer: Answer) -> None:
+    def _send(self, request: server.Request, answer: Response) -> None:
         request.setResponseCode(int(answer.status))
         data = b"" if answer.body is None else self._encode(answer.body)
         request.setHeader(b"content-type", self._media)
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -18,7 +18,7 @@
 from stileloft.protocol import messages
 from stileloft.protocol.commands import CommandMessage
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
-from stileloft.transport.server import Answer, Router, make_site
+from stileloft.transport.server import Response, Router, make_site
 from stileloft.workers.heartbeat_responder import HeartbeatResponder
 from tests.simulation.fleet import FleetWorld
 
@@ -110,7 +110,7 @@
 
 def measure_report_requests(connections_kept: bool) -> None:
     """A report through the real server, with an answer that has nothing to say."""
-    handlers = {"POST": lambda _body, _arguments: Answer(200, CommandMessage(7, []))}
+    handlers = {"POST": lambda _body, _arguments: Response(200, CommandMessage(7, []))}
     router = Router(
         lambda _path: (handlers, {}), messages.encode, messages.decode, "application/cbor", lambda _: connections_kept
     )
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -6,7 +6,7 @@
 from stileloft.protocol.admin import OperatorSettings, parse_operator_settings
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError
 from stileloft.protocol.rebuild_admin import RebuildResources
-from stileloft.transport.server import Answer
+from stileloft.transport.server import Response
 from tests.simulation.world import World
 
 
@@ -53,7 +53,7 @@
 def test_requests_about_a_rebuild(method: str, path: str, body: object, status: int) -> None:
     handlers, arguments = RebuildResources(StubNode()).match(path)
     answer = handlers[method](body, arguments)
-    if not isinstance(answer, Answer):
+    if not isinstance(answer, Response):
         answer = defer.ensureDeferred(answer).result
     assert answer.status == status
     assert status == 200 or answer.body["error"]
--- a/tests/test_public_api.py
+++ b/tests/test_public_api.py
@@ -12,7 +12,7 @@
 from stileloft.protocol.errors import RequestError
 from stileloft.protocol.messages import JobPhase
 from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
-from stileloft.transport.server import Answer, Router, make_site
+from stileloft.transport.server import Response, Router, make_site
 from stileloft.transport.sockets import SocketUsage
 from tests.simulation.world import World
 
@@ -45,7 +45,7 @@
 
 
 def exchange(data: bytes, keep: Callable[[str], bool] = lambda _: True) -> tuple[int, dict[str, str], bytes]:
-    public = PublicResources(Service(), lambda _: Answer(421, {"steward": "node-1"}), lambda: True)
+    public = PublicResources(Service(), lambda _: Response(421, {"steward": "node-1"}), lambda: True)
     site = make_site(Router(public.match, messages.encode, messages.decode, "application/cbor", keep), 60.0)
     channel = site.buildProtocol(None)
     transport = StringTransport()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.protocol import messages
 from stileloft.protocol.commands import CommandMessage, StartCommand
-from stileloft.scheduling.snapshot_builder import SnapshotBuilder
+from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.settings import Workers
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
@@ -407,7 +407,7 @@
 
 def test_the_checker_sees_unserved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without ageing the overload keeps old jobs out; a node that answers no question about one job forgets it."""
-    monkeypatch.setattr(SnapshotBuilder, "_aged", lambda *_: False)
+    monkeypatch.setattr(PendingJobs, "_is_aged", lambda *_: False)
     world = overloaded(4)
 
     plain = Admission.status
@@ -434,17 +434,18 @@
     term = world.nodes[world.leader()].leader
     name = next(task.name for task in world.cloud.machines.values() if task.up)
     machine = term.cluster.machines[name]
-    assert term.snapshots.is_ready(machine, world.now)
+    assert term.machine_views.is_ready(machine, world.now)
     # All its reports go to the leader, as often as a worker without answers can send them.
     world.deaf[name] = world.now + 11.0
     for seconds in (5.0, 10.0):
         world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
     world.run(10.5)
-    assert world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s and not term.snapshots.is_ready(
-        machine, world.now
+    assert (
+        world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
+        and not term.machine_views.is_ready(machine, world.now)
     )
     world.run(8.0)
-    assert term.snapshots.is_ready(machine, world.now) and world.rules.broken == []
+    assert term.machine_views.is_ready(machine, world.now) and world.rules.broken == []
 
 
 def test_late_copies_show_no_sign_of_life() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,9 +4,9 @@
 
 from stileloft.model import records
 from stileloft.scheduling import placement
+from stileloft.scheduling.machine_views import MachineViews
 from stileloft.scheduling.preemption_trials import PreemptionTrials
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
-from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
 from tests.simulation.deployment import TYPES, with_settings
 from tests.simulation.world import World
@@ -38,7 +38,7 @@
         monkeypatch.setattr(owner, name, call)
 
     counted(SchedulingLoop, "_decide", "rounds")
-    counted(SnapshotBuilder, "_node", "copies")
+    counted(MachineViews, "_build", "copies")
     counted(placement.Candidates, "_score", "scored")
     counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
