--- a/stileloft/controller/operator_settings.py
+++ b/stileloft/controller/operator_settings.py
@@ -62,7 +62,7 @@
             return parse_operator_settings(found[0]), found[1]
         except InvalidSettingsError as error:
             # Written by another version of the program: its own defaults are safer than a guess.
-            log.error("stored operators' settings unusable version=%d: %s", found[1], error)
+            log.error("stored operators' settings unusable version=%d: %s", found[1], error)  # noqa: TRY400 - expected: the text says all
             return OperatorSettings(), found[1]
 
     async def change(self, settings: OperatorSettings, version: int) -> int:
--- a/stileloft/jobs/feasibility.py
+++ b/stileloft/jobs/feasibility.py
@@ -56,4 +56,4 @@
 def _can_spread(spec: JobSpec, types: dict[str, MachineType]) -> bool:
     """Whether the job may use more than one zone, and there are machine types for it in more than one."""
     zones = {zone for kind in types.values() if fits_type(spec, kind) for zone in kind.zones}
-    return not spec.one_zone and spec.zone is None and len(zones) >= 2
+    return not spec.one_zone and spec.zone is None and len(zones) > 1
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -44,7 +44,7 @@
         return max(machine.last_heartbeat_at, self._lease.began_at)
 
     async def _ask_peers(self, silent: list[Machine]) -> None:
-        """Most machines are silent: have they failed, or is it we who cannot hear them?
+        """Finds out whether the silent machines have failed, or it is we who cannot hear them.
 
         Workers that do not reach us try the other controllers, which remember whom they referred to us.
         """
--- a/stileloft/rebuild/environment.py
+++ b/stileloft/rebuild/environment.py
@@ -13,7 +13,7 @@
 
 
 class Leadership(Protocol):
-    """This controller's part in the election."""
+    """What the feature asks of this controller's part in the election."""
 
     @property
     def key_version(self) -> int:
--- a/stileloft/rebuild/peer_replicas.py
+++ b/stileloft/rebuild/peer_replicas.py
@@ -55,7 +55,7 @@
                 pieces.append(read_piece(data, deployment))
             return from_pieces(pieces)
         except InvalidSnapshotError as error:
-            log.error("replica skipped member=%s error=%s", member, error)
+            log.error("replica skipped member=%s error=%s", member, error)  # noqa: TRY400 - expected: the text says all
             return None
 
     def merge(self) -> MergedReplica:
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -105,7 +105,7 @@
     def record_commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
     ) -> None:
-        """This controller has changed the store: its replica follows, and the other controllers are notified."""
+        """Applies a change of ours to the replica, and notifies the other controllers."""
         identity = self._store.identity
         if self._store.phase is not StorePhase.SOUND or identity is None:
             return
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -91,7 +91,7 @@
         except InvalidChangeNoticeError as error:
             self._refused_notices += 1
             if self._refused_notices == 1:
-                log.error("change notice refused, later ones are only counted error=%s", error)
+                log.error("change notice refused, later ones are only counted error=%s", error)  # noqa: TRY400 - expected: the text says all
             return False
         self.protection.apply_notice(notice)
         return True
--- a/stileloft/rebuild/snapshot_directory.py
+++ b/stileloft/rebuild/snapshot_directory.py
@@ -35,7 +35,7 @@
             for old in self._files()[KEPT_SNAPSHOTS:]:
                 old.unlink()
         except OSError as error:
-            log.error("snapshot cannot be written directory=%s error=%s", self._directory, error)
+            log.error("snapshot cannot be written directory=%s error=%s", self._directory, error)  # noqa: TRY400 - expected: the text says all
             with contextlib.suppress(OSError):
                 temporary.unlink()
 
@@ -44,16 +44,16 @@
         try:
             files = self._files()
         except OSError as error:
-            log.error("snapshot directory cannot be read directory=%s error=%s", self._directory, error)
+            log.error("snapshot directory cannot be read directory=%s error=%s", self._directory, error)  # noqa: TRY400 - expected: the text says all
             return None
         for path in files:
             try:
                 return from_pieces([read_piece(line, None) for line in path.read_bytes().splitlines()])
             except (OSError, InvalidSnapshotError) as error:
-                log.error("snapshot skipped file=%s error=%s", path.name, error)
+                log.error("snapshot skipped file=%s error=%s", path.name, error)  # noqa: TRY400 - expected: the text says all
         return None
 
     def _files(self) -> list[Path]:
-        """This controller's snapshots, the newest first."""
+        """The snapshots of this controller, the newest first."""
         found = [path for path in self._directory.iterdir() if path.name.startswith(f"{self._member}-")]
         return sorted((path for path in found if path.suffix == SUFFIX), reverse=True)
--- a/stileloft/rebuild/status_report.py
+++ b/stileloft/rebuild/status_report.py
@@ -6,7 +6,7 @@
 
 
 class ReplicaReport(Struct, frozen=True):
-    """This controller's replica of the store."""
+    """The replica of the store that this controller has."""
 
     complete: bool
     revision: int
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -57,7 +57,7 @@
     def record_commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
     ) -> None:
-        """This controller has changed the store; `announce_all`: users are told of all of it, not only of outcomes."""
+        """Takes note of a change of ours; `announce_all`: users are told of all of it, not only of outcomes."""
 
     def outcome_of(self, _job: str) -> JobOutcome | None:
         """How a job ended of which the store has no record of its own."""
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -207,7 +207,8 @@
     assert len({key for key, _ in decision.placed}) == len(decision.placed)
     for (job_id, _), name in decision.placed:
         job, (kind, zone, ready, _, machine) = jobs[job_id], before[name]
-        assert ready and machine_allowed(job, machine)
+        assert ready
+        assert machine_allowed(job, machine)
         taken[name] += job.cpus
         usage[job.team] += job.cpus
         assert taken[name] <= kind.cpus
@@ -221,7 +222,8 @@
         assert usage[name] <= max(team.cpus_max or 1e9, used(list(snapshot.machines.values()))[name].cpus)
     for key, eviction in decision.preemptions:
         for victim in eviction.victims:
-            assert victim.rank <= jobs[key[0]].rank and victim.key[0] != key[0]
+            assert victim.rank <= jobs[key[0]].rank
+            assert victim.key[0] != key[0]
 
 
 @DERANDOMIZED
@@ -358,7 +360,8 @@
         assert not {key[0] for key, _ in decision.preemptions} & {
             j.spec.id for j in snapshot.pending_jobs if j.spec.is_gang
         }
-    assert gangs_placed > 200 and gangs_stopped > 5
+    assert gangs_placed > 200
+    assert gangs_stopped > 5
 
 
 @DERANDOMIZED
@@ -407,7 +410,8 @@
         waits = [PendingJob(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
         snapshot = Snapshot(0.0, {n.id: n for n in machines}, waits, TEAMS, used(machines), {}, {"small": SMALL})
         decision = decide(snapshot, 10, 8)
-        assert len(decision.placed) == expected and decision.preemptions == []
+        assert len(decision.placed) == expected
+        assert decision.preemptions == []
         assert [job.spec.id for job, _ in decision.unmet] == (["j-1"] if expected == 0 else [])
         assert sum(n.free_cpus for n in snapshot.machines.values()) == 8.0 * count - 4.0 * expected
 
@@ -440,7 +444,8 @@
 
 def test_rentals_are_cheap_and_fit_the_task() -> None:
     large = scale([UnmetDemand(waiting(spec(1, 16.0), 2), 2)], [])
-    assert list(large.provision) == [("large", "a", True)] and sum(large.provision.values()) == 1
+    assert list(large.provision) == [("large", "a", True)]
+    assert sum(large.provision.values()) == 1
     small = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [])
     assert list(small.provision) == [("small", "a", True)]
     elsewhere = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
@@ -494,7 +499,8 @@
     for owner, admits in (("", True), ("j-000002", False)):
         hold = Reservation(20.0, Resources(2.0, 0.0, 8.0), owner)
         assert hold.admits(small, 40.0, starving=True) is admits
-        assert not hold.admits(small, 40.0) and hold.admits(spec(1, 2.0), 40.0, starving=True)
+        assert not hold.admits(small, 40.0)
+        assert hold.admits(spec(1, 2.0), 40.0, starving=True)
 
 
 def test_an_old_job_of_many_tasks_is_not_held_to_the_part_of_the_old() -> None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -58,8 +58,10 @@
                 issued = tokens.issue_above(machine)
                 assert (issued is None) == (machine >= max(tokens._spares, default=0))
                 if issued is not None:
-                    assert issued > machine and owners.setdefault(issued, number) == number
-                    assert tokens.is_own(issued) and not tokens.is_later(issued)
+                    assert issued > machine
+                    assert owners.setdefault(issued, number) == number
+                    assert tokens.is_own(issued)
+                    assert not tokens.is_later(issued)
                     machine = issued
             else:
                 revision += 1
@@ -67,7 +69,8 @@
                     tokens.committed(revision)
                     assert tokens.has_above(machine)
         given_out = max(given_out, tokens.highest_issued)
-        assert given_out <= offset + revision and tokens.is_later(offset + revision + 1)
+        assert given_out <= offset + revision
+        assert tokens.is_later(offset + revision + 1)
 
 
 def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
@@ -76,8 +79,10 @@
         tokens.committed(revision)
     tokens.committed(7)  # its answer came late
     first = 6 + MAX_SPARE_TOKENS
-    assert tokens.issue_above(5) == first and tokens.issue_above(first) == first + 1
-    assert tokens.issue_above(5 + 2 * MAX_SPARE_TOKENS) is None and not tokens.has_above(5 + 2 * MAX_SPARE_TOKENS)
+    assert tokens.issue_above(5) == first
+    assert tokens.issue_above(first) == first + 1
+    assert tokens.issue_above(5 + 2 * MAX_SPARE_TOKENS) is None
+    assert not tokens.has_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
 def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
@@ -86,7 +91,8 @@
     starts.record_sent("j-1/1", 1, 11.0, 7, 1)
     starts.record_sent("j-1/0", 1, 12.0, 6, 1)  # sent again: when it was first sent stays
     first = starts.get("j-1/0", 1)
-    assert first is not None and (first.first_sent_at, first.token) == (10.0, 6)
+    assert first is not None
+    assert (first.first_sent_at, first.token) == (10.0, 6)
     starts.drop_fenced(1, 6)
     assert set(starts.by_attempt) == {("j-1/0", 1), ("j-1/1", 1)}
     assert starts.highest_token([("j-1/0", 1), ("j-9/9", 1)]) == 6
@@ -138,7 +144,8 @@
     starts = world.rules.starts
     assert worker.command(late).status == 409
     world.run(5)
-    assert world.rules.starts == starts and world.rules.broken == []
+    assert world.rules.starts == starts
+    assert world.rules.broken == []
 
 
 def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
@@ -167,7 +174,8 @@
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
-    assert world.rules.broken == [] and world.rules.where == {}
+    assert world.rules.broken == []
+    assert world.rules.where == {}
 
 
 def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
@@ -179,7 +187,8 @@
     assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
     world.cancel("j-000001")
     run_watched(world, 0.6 * World.LEASE_S)
-    assert set(world.rules.where) == {"j-000002/0"} and world.sessions_lost == 0
+    assert set(world.rules.where) == {"j-000002/0"}
+    assert world.sessions_lost == 0
     assert world.rules.starts_by_task["j-000002/0"] == 1
 
 
@@ -203,7 +212,8 @@
 
     body = messages.encode({"baton": 1})
     ask()
-    assert body in connect().value() and failures == []
+    assert body in connect().value()
+    assert failures == []
     ask()
     wanted[0] = False
     assert body not in connect().value()
@@ -235,7 +245,8 @@
     before = machine.token
     leader.tokens._spares.clear()
     leader.fencing.fence_for_forgets(machine, world.now)
-    assert machine.token == before and no_violations == []
+    assert machine.token == before
+    assert no_violations == []
     leader.tokens.committed(10**6)
     leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
@@ -265,7 +276,8 @@
     controller.election._confirm(world.now)
     leader.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
-    assert asked == ["/hosts/release", "/hosts"] and set(world.cloud.machines) == machines
+    assert asked == ["/hosts/release", "/hosts"]
+    assert set(world.cloud.machines) == machines
 
 
 def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
@@ -285,7 +297,8 @@
     world.rules.cancelling("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     world.run(1.0)
-    assert seen and seen[0] is not None
+    assert seen
+    assert seen[0] is not None
 
 
 def test_a_leader_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
@@ -297,7 +310,8 @@
     world.run(0.2)
     leader.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     world.run(20)
-    assert leader.commit_queue.commits > commits and "j-000200/0" in world.rules.done
+    assert leader.commit_queue.commits > commits
+    assert "j-000200/0" in world.rules.done
     assert leader.fencing.waiting_machines == {}
 
 
@@ -316,13 +330,17 @@
     submit_small_jobs(world)
     world.run(7)
     shown = leading(world).status()["commands"]
-    assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0 and shown["starts_sent"] > shown["starts_answered"]
+    assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0
+    assert shown["starts_sent"] > shown["starts_answered"]
     row = shown["in_doubt"][0]
-    assert row["first_sent_at"] < row["in_doubt_since"] <= world.now and row["token"] > 0 and row["session"] == 1
+    assert row["first_sent_at"] < row["in_doubt_since"] <= world.now
+    assert row["token"] > 0
+    assert row["session"] == 1
     told = orjson.loads(
         orjson.dumps(leading_controller(world).administration.status())
     )  # as the administration API tells it
-    assert told["invariants"] == {"violations": {}, "newest": []} and told["leadership"]["commands"] == shown
+    assert told["invariants"] == {"violations": {}, "newest": []}
+    assert told["leadership"]["commands"] == shown
     assert told["leadership"]["knowledge"]["watch_revision"] > 0
 
 
@@ -347,8 +365,10 @@
         world.kill(name, 0.3, production() or NEW)
     run_watched(world, 100.0)
     leader = world.leader()
-    assert leader is not None and world.nodes[leader].election.token > raised
-    assert world.rules.broken == [] and world.rules.refused_starts["token"] > 0
+    assert leader is not None
+    assert world.nodes[leader].election.token > raised
+    assert world.rules.broken == []
+    assert world.rules.refused_starts["token"] > 0
 
 
 def test_a_store_that_is_lost_after_tokens_were_raised_is_rebuilt() -> None:
@@ -359,7 +379,8 @@
     assert tokens.last_term_token == leading(world).tokens.highest_issued == tokens.highest
     world.state.wipe()
     run_watched(world, 100.0)
-    assert leading(world).tokens.first > tokens.last_term_token - 1 and world.rules.broken == []
+    assert leading(world).tokens.first > tokens.last_term_token - 1
+    assert world.rules.broken == []
     assert running <= set(world.rules.where), "what ran goes on"
 
 
@@ -375,7 +396,8 @@
     hold_and_cancel(world)
     run_watched(world, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
-    assert world.rules.broken == [] and world.sessions_lost > 0
+    assert world.rules.broken == []
+    assert world.sessions_lost > 0
     assert leading_controller(world).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
 
@@ -403,11 +425,11 @@
     with caplog.at_level(logging.ERROR):
         for number in range(MAX_LOGGED_PER_INVARIANT + 50):
             assert not monitor.check(False, Invariant.TOKENS_RISE, "case %d", number)
-    assert len(caplog.records) == MAX_LOGGED_PER_INVARIANT and "case 0" in caplog.text
+    assert len(caplog.records) == MAX_LOGGED_PER_INVARIANT
+    assert "case 0" in caplog.text
     shown = monitor.status()
-    assert (
-        shown["violations"] == {"TOKENS_RISE": MAX_LOGGED_PER_INVARIANT + 50} and len(shown["newest"]) == MAX_EVIDENCE
-    )
+    assert shown["violations"] == {"TOKENS_RISE": MAX_LOGGED_PER_INVARIANT + 50}
+    assert len(shown["newest"]) == MAX_EVIDENCE
     assert len(no_violations) == MAX_LOGGED_PER_INVARIANT + 50
     no_violations.clear()
 
@@ -419,6 +441,7 @@
     task = next(iter(machine.placements.values()))
     leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
     world.run(5)
-    assert no_violations and no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
+    assert no_violations
+    assert no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
     assert Machine("n").fenced_starts == {}
     no_violations.clear()
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -123,7 +123,8 @@
     met = when(world, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
     finish(world, 300)
     assert met
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
 
 
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
@@ -154,7 +155,8 @@
         world.run(0.5)
     assert {len(launches), len(world.gangs)} == {0} or stored != "in part"
     finish(world, 200)
-    assert world.rules.broken == [] and world.rules.last["j-000001"] == "done"
+    assert world.rules.broken == []
+    assert world.rules.last["j-000001"] == "done"
     # Taken back: a second attempt. Started in part: the first goes on.
     assert sorted(attempt for _, attempt in world.gangs) == ([2] if stored == "in part" else [1])
 
@@ -184,7 +186,8 @@
         world.clock.callLater(0.8, machine.send_report)
         machine.target = leader
     world.run(6)
-    assert world.leader() is not None and world.rules.broken == []
+    assert world.leader() is not None
+    assert world.rules.broken == []
     assert {task: world.rules.where.get(task) for task in before} == before
 
 
@@ -227,9 +230,12 @@
     assert [g.running_since is not None for g in world.gangs.values()] == [True]
     world.submit(world.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
     finish(world, 250)
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
-    assert world.lost_gangs == 0 and world.saved["j-000001"] > 4.0
-    assert len(world.gangs) == 2 and world.rules.final_at["j-000002"] < world.rules.final_at["j-000001"]
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
+    assert world.lost_gangs == 0
+    assert world.saved["j-000001"] > 4.0
+    assert len(world.gangs) == 2
+    assert world.rules.final_at["j-000002"] < world.rules.final_at["j-000001"]
 
 
 def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
@@ -251,7 +257,8 @@
         world.run(2.0)
     assert world.rules.begun_at["j-000001"] - world.rules.submitted_at["j-000001"] < 240
     (only,) = world.gangs.values()
-    assert world.rules.broken == [] and max(only.gathered) - min(only.gathered) < 3.0
+    assert world.rules.broken == []
+    assert max(only.gathered) - min(only.gathered) < 3.0
 
 
 def job_of(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
@@ -295,10 +302,12 @@
         return infeasibility_reason(parse_job(body), teams, types, 4096)
 
     assert reason() is None
-    assert "limit" in str(reason(pieces=5)) and reason(pieces=5, shape="array") is None
+    assert "limit" in str(reason(pieces=5))
+    assert reason(pieces=5, shape="array") is None
     assert reason(pieces=5, crew="free") is None  # what is merely not there now is no reason
     assert "machine type" in str(reason(pieces=2, vcpus=8.5, crew="free"))
-    assert "zone" in str(reason(spread=True, together=True)) and reason(spread=True) is None
+    assert "zone" in str(reason(spread=True, together=True))
+    assert reason(spread=True) is None
     assert "long" in str(reason(builds=["small", *["é" * 60] * 12], crew="free"))
     assert reason(builds=["small", *["e" * 60] * 12], crew="free") is None
 
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -25,8 +25,10 @@
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_held_command_together_with_another_fault(name: str, seed: int) -> None:
     world, outcome = play(SCENARIOS[name], seed)
-    assert outcome.broken == () and outcome.cancelled == SMALL_JOBS
-    assert outcome.longest_part <= 1.0 and world.rules.started_after == []
+    assert outcome.broken == ()
+    assert outcome.cancelled == SMALL_JOBS
+    assert outcome.longest_part <= 1.0
+    assert world.rules.started_after == []
     if name in HELD:
         assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
 
@@ -35,7 +37,9 @@
 def test_the_other_tasks_of_a_machine_do_not_pay(name: str) -> None:
     """A start is fenced, and what runs beside it goes on: no session ends, and no task begins again."""
     world, outcome = play(SCENARIOS[name], 3)
-    assert outcome.refused_by_token > 0 and outcome.long_tasks_lost == 0 and world.sessions_lost == 0
+    assert outcome.refused_by_token > 0
+    assert outcome.long_tasks_lost == 0
+    assert world.sessions_lost == 0
 
 
 def test_a_start_that_is_hours_late_is_refused() -> None:
@@ -56,4 +60,5 @@
     for arrive in held:
         arrive()  # no matter when: the worker knows a higher token for good
     run_watched(world, 10.0)
-    assert world.rules.starts == starts and world.rules.refused_starts["token"] > refused
+    assert world.rules.starts == starts
+    assert world.rules.refused_starts["token"] > refused
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -64,7 +64,8 @@
         world.clock.callLater(number * 1.0, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=8.0))
     finish(world)
     jobs = {kind: count for kind, count in counted.items() if "active" in kind or "final" in kind or "tasks" in kind}
-    assert set(world.rules.last.values()) == {"done"} and world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
     assert jobs["set final"] == jobs["delete active"] == 30
     assert jobs["set active"] <= 3 * 30
     assert set(jobs) == {"set active", "set final", "delete active"}
@@ -84,12 +85,14 @@
     while world.rules.last.get("j-000001") != "aborted":
         world.run(0.1)
     kept = world.state.items[records.chunk_key("j-000001", 0)][0]
-    assert len(kept["p"]) == 3 and kept["r"] == ["core", 4.0, 0.0, 4.0]
+    assert len(kept["p"]) == 3
+    assert kept["r"] == ["core", 4.0, 0.0, 4.0]
     world.kill(leader, 30.0)
     # Well within a worker's lease: they are stopped by a successor that found them, and have not merely lapsed.
     world.run(7)
     assert world.leader() not in (None, leader)
-    assert world.rules.where == {} and world.rules.broken == []
+    assert world.rules.where == {}
+    assert world.rules.broken == []
     world.run(20)
     assert [key for key in world.state.items if "j-000001" in key] == ["final/j-000001"]
 
@@ -114,9 +117,11 @@
     starts = world.rules.starts
     crash_leader(world)
     world.run(8)
-    assert world.rules.starts == starts and len(world.rules.where) == 12
+    assert world.rules.starts == starts
+    assert len(world.rules.where) == 12
     finish(world)
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
 
 
 def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
@@ -127,7 +132,8 @@
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
     world.state.value_bytes = 1024
     finish(world)
-    assert world.rules.broken == [] and world.rules.last == {"j-000001": "done"}
+    assert world.rules.broken == []
+    assert world.rules.last == {"j-000001": "done"}
     world.run(20)
     assert [key for key in world.state.items if key.startswith(("active/", "tasks/"))] == []
 
@@ -156,7 +162,8 @@
     world.clock.callLater(14.0, outage, world)
     world.rules.troubled_until = world.now + 40.0
     finish(world)
-    assert world.rules.broken == [] and [job for job in world.jobs if not world.rules.is_final(job)] == []
+    assert world.rules.broken == []
+    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
 def test_an_inline_chunk_is_read_as_it_was_written() -> None:
@@ -202,7 +209,8 @@
         world.kill(name, 0.2)
     world.run(6)
     leader = world.leader()
-    assert leader is not None and world.nodes[leader].record_format.number == 0
+    assert leader is not None
+    assert world.nodes[leader].record_format.number == 0
     world.submit(world.job(2, pieces=2))  # some change of the first job is written too: its counts
     for machine in list({m.name: m for task, m in world.rules.where.items()}.values())[:1]:
         machine.die()
@@ -214,7 +222,8 @@
     crash_leader(world)
     finish(world)
     world.run(30)
-    assert world.rules.where == {} and world.rules.broken == []
+    assert world.rules.where == {}
+    assert world.rules.broken == []
     assert [key for key in world.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -166,7 +166,8 @@
     assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
     world.cancel("j-000900")
     finish(world, 60)
-    assert world.rules.last["j-000900"] == "aborted" and world.rules.broken == []
+    assert world.rules.last["j-000900"] == "aborted"
+    assert world.rules.broken == []
 
 
 def test_polls_do_not_starve_the_leader_or_submissions() -> None:
@@ -208,6 +209,8 @@
 
     monkeypatch.setattr(node.clients.workers, "command", commanding)
     world.run(2)
-    assert not term.lease.active and sent == []
+    assert not term.lease.active
+    assert sent == []
     finish(world)
-    assert world.rules.broken == [] and world.rules.last == {"j-000001": "done"}
+    assert world.rules.broken == []
+    assert world.rules.last == {"j-000001": "done"}
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -295,12 +295,14 @@
 def test_the_gap(apart_s: float, trouble: Trouble) -> None:
     """What users were told is cancelled is gone in time, though its leader never hears of it while it answers."""
     world = gap(int(apart_s * 10), apart_s, trouble)
-    assert world.rules.cancelled_at and world.rules.broken == []
+    assert world.rules.cancelled_at
+    assert world.rules.broken == []
 
 
 def test_the_gap_twice_in_a_row() -> None:
     world = gap(5, 1.0, nothing, twice=True)
-    assert len(world.rules.cancelled_at) >= 4 and world.rules.broken == []
+    assert len(world.rules.cancelled_at) >= 4
+    assert world.rules.broken == []
 
 
 def graces_in_a_row(seed: int, wait_s: float) -> World:
@@ -331,7 +333,8 @@
 def test_graces_are_not_added_up(seed: int, wait_s: float) -> None:
     """The last has read the store or not; workers go from one leader that can't ask to another."""
     world = graces_in_a_row(seed, wait_s)
-    assert len(world.rules.cancelled_at) == 4 and world.rules.broken == []
+    assert len(world.rules.cancelled_at) == 4
+    assert world.rules.broken == []
 
 
 def test_a_leader_whose_watch_fails_answers_no_longer_than_its_grace() -> None:
@@ -351,7 +354,8 @@
     for number in range(4):
         world.cancel(f"j-{number:06d}")
     watch_over_cancellations(world, CANCEL_S + 30.0)
-    assert len(world.rules.cancelled_at) == 4 and world.rules.broken == []
+    assert len(world.rules.cancelled_at) == 4
+    assert world.rules.broken == []
 
 
 def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -587,8 +591,10 @@
         job = f"j-{number % 12:06d}"
         world.clock.callLater(number / 200, world._look, world.names[number % 3], world._question(job), job)
     world.run(11)
-    assert len(answers) >= 0.99 * 2000 and world.state.refused_rates == 0
-    assert asked[0] < 11 * 0.75 * world.state.rps and world.rules.broken == []
+    assert len(answers) >= 0.99 * 2000
+    assert world.state.refused_rates == 0
+    assert asked[0] < 11 * 0.75 * world.state.rps
+    assert world.rules.broken == []
 
 
 @pytest.mark.parametrize("inline", [True, False])
@@ -625,7 +631,8 @@
     # It has been read again; were it carried out now, its placements would come on top of what follows.
     assert handle(*late[0]).status == 409
     finish(world, 120)
-    assert world.rules.broken == [] and world.rules.last["j-000001"] == "done"
+    assert world.rules.broken == []
+    assert world.rules.last["j-000001"] == "done"
 
 
 # -- old reports and a new leader ------------------------------------------------------------------------------------
@@ -647,7 +654,8 @@
     for body in old:
         assert world.deliver_report(leader, body).status == 200
     known = term.cluster.machines[machine.name]
-    assert known.placements and not known.claimed
+    assert known.placements
+    assert not known.claimed
     assert not term.dispatcher.is_reachable(known, world.now)
     assert not term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
     assert not term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 12.0)
@@ -691,7 +699,8 @@
     world.state.handle = scan  # type: ignore[method-assign]
     world.run(2)
     answer = world.deliver_report(leader, machine.report())
-    assert answer.status == 200 and answer.body["baton"] == world.nodes[leader].leader.tokens.first
+    assert answer.status == 200
+    assert answer.body["baton"] == world.nodes[leader].leader.tokens.first
 
 
 def test_a_worker_with_an_older_token_is_told_what_is_cancelled() -> None:
@@ -711,7 +720,8 @@
     world.cancel(job)
     world.run(0.01)
     term.watch.on_change(job, None, world.state.revision)
-    assert term.cluster.jobs[job].reload_pending and not term.cluster.machines[machine.name].claimed
+    assert term.cluster.jobs[job].reload_pending
+    assert not term.cluster.machines[machine.name].claimed
     told = world.deliver_report(leader, machine.report()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
         name for name, on in world.rules.where.items() if on is machine and name.startswith(job)
@@ -787,7 +797,8 @@
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
     """Where no command is held up on its way, beyond what was on it."""
     world = play(name, 3)
-    assert len(world.rules.cancelled_at) >= 3 and world.rules.started_after == []
+    assert len(world.rules.cancelled_at) >= 3
+    assert world.rules.started_after == []
 
 
 def test_a_replacement_is_rented_before_a_late_machine_is_given_up() -> None:
@@ -803,7 +814,8 @@
     # A boot takes up to 22.5 s here; plans are made every two seconds.
     assert world.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
     world.run(60)
-    assert not lost & set(world.cloud.machines) and world.rules.broken == []
+    assert not lost & set(world.cloud.machines)
+    assert world.rules.broken == []
 
 
 def test_a_zone_whose_boots_fail_is_tried_less_and_again_later() -> None:
@@ -836,7 +848,8 @@
     before = set(world.every_machine)
     world.run(8)
     instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
-    assert len(instead) >= 2 and set(instead) == {"b"}
+    assert len(instead) >= 2
+    assert set(instead) == {"b"}
     fails[0] = False
     world.run(200)  # all is done, and machines go back
     assert term.boots.unreliable_offers() == set()
@@ -870,12 +883,14 @@
     world.clock.callLater(60.0, spot_wave, world)
     world.rules.troubled_until = 110.0
     finish(world)
-    assert len(held) >= 3 and world.rules.broken == []
+    assert len(held) >= 3
+    assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
     # What was rented is found again, by the cloud's list if not by its record; what nobody wants goes back.
     world.run(100)
     leader = world.nodes[world.leader()]
-    assert set(world.cloud.machines) == set(leader.leader.cluster.machines) and len(world.cloud.machines) <= 6
+    assert set(world.cloud.machines) == set(leader.leader.cluster.machines)
+    assert len(world.cloud.machines) <= 6
 
 
 def test_a_new_leader_takes_no_machine_that_is_up_for_late() -> None:
@@ -894,6 +909,7 @@
             machine.id for machine in term.cluster.machines.values() if machine.boot_overdue and machine.cloud_state
         ] == []
         assert term.boots.unreliable_offers() == set()
-        assert before <= set(world.cloud.machines) and len(world.cloud.machines) <= len(before) + 3
+        assert before <= set(world.cloud.machines)
+        assert len(world.cloud.machines) <= len(before) + 3
     finish(world)
     assert world.rules.broken == []
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -215,11 +215,14 @@
     assert len(world.rules.where) == 3
     loss(world)
     world.run(70.0)
-    assert len(world.rules.where) == 3 and world.rules.broken == []
+    assert len(world.rules.where) == 3
+    assert world.rules.broken == []
     world.cancel(service["nameId"])
     world.run(10.0)
     world.rules.check_cancelled()
-    assert not world.rules.where and world.rules.last[service["nameId"]] == "aborted" and world.rules.broken == []
+    assert not world.rules.where
+    assert world.rules.last[service["nameId"]] == "aborted"
+    assert world.rules.broken == []
 
 
 # -- real processes --------------------------------------------------------------------------------------------------
@@ -241,6 +244,8 @@
         assert played["broken"] == []
         assert played["answers"] == undisturbed["answers"]
     assert set(undisturbed["answers"].values()) == {"done", "aborted"}
-    assert not undisturbed["rebuilt"] and wiped_once["rebuilt"] and all_at_once["rebuilt"]
+    assert not undisturbed["rebuilt"]
+    assert wiped_once["rebuilt"]
+    assert all_at_once["rebuilt"]
     # With the last leader's word nothing is run again.
     assert wiped_once["repeated"] == undisturbed["repeated"] == []
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -57,16 +57,19 @@
     assert {key: record.value() for key, record in replica.records.items()} == {"active/j-1": {"c": 2}}
     replica.apply("images/n-1", ["img"], 13)
     replica.apply("final/j-2", {"phase": "done", "n": 3}, 13)
-    assert set(replica.records) == {"active/j-1"} and replica.outcomes.get("j-2") == JobOutcome("done", 3)
+    assert set(replica.records) == {"active/j-1"}
+    assert replica.outcomes.get("j-2") == JobOutcome("done", 3)
 
 
 def test_change_notices_of_another_store_change_nothing() -> None:
     replica = replica_of({"active/j-1": ({"c": 1}, 5)}, 6, generation=2)
     changes = [["active/j-1", None, 9], ["final/j-1", {"phase": "cancelled", "n": 0}, 9]]
     parse_change_notice({"deployment": DEPLOYMENT, "generation": 1, "changes": changes}).apply_to(replica)
-    assert "active/j-1" in replica.records and not len(replica.outcomes)
+    assert "active/j-1" in replica.records
+    assert not len(replica.outcomes)
     parse_change_notice({"deployment": DEPLOYMENT, "generation": 2, "changes": changes}).apply_to(replica)
-    assert not replica.records and replica.outcomes.get("j-1") == JobOutcome("cancelled", 0)
+    assert not replica.records
+    assert replica.outcomes.get("j-1") == JobOutcome("cancelled", 0)
 
 
 @pytest.mark.parametrize(
@@ -110,7 +113,9 @@
     outcomes = JobOutcomes()
     outcomes.add("j-7", JobOutcome("cancelled", 0))
     outcomes.add("j-7", JobOutcome("done", 3))
-    assert outcomes.get("j-7") == JobOutcome("cancelled", 0) and outcomes.get("j-07") is None and len(outcomes) == 1
+    assert outcomes.get("j-7") == JobOutcome("cancelled", 0)
+    assert outcomes.get("j-07") is None
+    assert len(outcomes) == 1
 
 
 @pytest.mark.parametrize("value", [None, {}, {"groups": [{"phase": "done"}]}, {"groups": 3}])
@@ -142,10 +147,13 @@
 def test_a_snapshot_comes_back_from_its_pieces() -> None:
     snapshot = large_snapshot()
     pieces = to_pieces(snapshot)
-    assert len(pieces) > 4 and all(len(piece) < 64 * 1024 for piece in pieces)
+    assert len(pieces) > 4
+    assert all(len(piece) < 64 * 1024 for piece in pieces)
     read = from_pieces([read_piece(piece, DEPLOYMENT) for piece in pieces])
-    assert read.holder == snapshot.holder and read.replica.records == snapshot.replica.records
-    assert read.replica.outcomes.get("j-999999") == JobOutcome("done", 3) and read.replica.revision == 400
+    assert read.holder == snapshot.holder
+    assert read.replica.records == snapshot.replica.records
+    assert read.replica.outcomes.get("j-999999") == JobOutcome("done", 3)
+    assert read.replica.revision == 400
 
 
 def damaged(piece: bytes, **changes: Any) -> bytes:
@@ -197,7 +205,8 @@
     assert len(files) == 2  # the oldest is gone
     files[-1].write_bytes(files[-1].read_bytes()[:-500])
     found = directory.load()
-    assert found is not None and found.replica.revision == 500
+    assert found is not None
+    assert found.replica.revision == 500
     assert "snapshot skipped" in caplog.text
 
 
@@ -207,7 +216,8 @@
     directory = SnapshotDirectory(str(tmp_path / "none"), "node-1")
     directory.save(large_snapshot())
     assert directory.load() is None
-    assert "cannot be written" in caplog.text and "cannot be read" in caplog.text
+    assert "cannot be written" in caplog.text
+    assert "cannot be read" in caplog.text
 
 
 # -- merging -------------------------------------------------------------------------------------------------------
@@ -221,7 +231,9 @@
     # j-2 was deleted before revision 30, and j-4 was accepted after it by the controller that is behind.
     assert merged.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
     assert merged.outcomes.get("j-9") == JobOutcome("cancelled", 0)
-    assert merged.has_last_leader and merged.token == 4 and merged.sources == ["b", "a"]
+    assert merged.has_last_leader
+    assert merged.token == 4
+    assert merged.sources == ["b", "a"]
 
 
 def test_only_the_newest_generation_and_the_same_deployment_count() -> None:
@@ -230,7 +242,9 @@
     stranger = snapshot_of("c", replica_of({"active/j-3": ({}, 5)}, 900, generation=3))
     stranger.holder = Holder("c", "fedcba9876543210")
     merged = merge([snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), stranger], DEPLOYMENT, 12, 20)
-    assert merged.records == {"active/j-2": {}} and not merged.has_last_leader and merged.token == 12
+    assert merged.records == {"active/j-2": {}}
+    assert not merged.has_last_leader
+    assert merged.token == 12
 
 
 def test_a_leader_whose_replica_is_of_an_earlier_store_does_not_know_what_it_placed() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -320,7 +320,8 @@
     world.lengths = SameLength()
     finish(world)
     assert slow not in world.cloud.machines
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
 
 
 class SameLength(dict):
@@ -335,10 +336,13 @@
     world.submit(world.job(1, shape="standing", pieces=3, guessS=1000.0))
     world.clock.callLater(60.0, crash_leader, world)
     world.run(120)
-    assert len(world.rules.where) == 3 and world.rules.last["j-000001"] == "running"
+    assert len(world.rules.where) == 3
+    assert world.rules.last["j-000001"] == "running"
     world.cancel("j-000001")
     world.run(10)
-    assert world.rules.where == {} and world.rules.last["j-000001"] == "aborted" and world.rules.broken == []
+    assert world.rules.where == {}
+    assert world.rules.last["j-000001"] == "aborted"
+    assert world.rules.broken == []
 
 
 def test_a_large_job_is_one_record_until_its_tasks_start() -> None:
@@ -350,7 +354,8 @@
     assert world.rules.starts >= 24
     world.cancel("j-000001")
     world.run(20)
-    assert world.rules.where == {} and world.rules.broken == []
+    assert world.rules.where == {}
+    assert world.rules.broken == []
     assert [key for key in world.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
@@ -440,12 +445,11 @@
     for seconds in (5.0, 10.0):
         world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
     world.run(10.5)
-    assert (
-        world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
-        and not term.machine_views.is_ready(machine, world.now)
-    )
+    assert world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
+    assert not term.machine_views.is_ready(machine, world.now)
     world.run(8.0)
-    assert term.machine_views.is_ready(machine, world.now) and world.rules.broken == []
+    assert term.machine_views.is_ready(machine, world.now)
+    assert world.rules.broken == []
 
 
 def test_late_copies_show_no_sign_of_life() -> None:
@@ -499,7 +503,8 @@
     assert world.rules.where["j-000001/0"].name != name
     world.every_machine[name].command(start)  # a repeat of what was carried out
     world.run(5)
-    assert world.rules.broken == [] and world.rules.where["j-000001/0"].name != name
+    assert world.rules.broken == []
+    assert world.rules.where["j-000001/0"].name != name
 
 
 def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
@@ -538,10 +543,12 @@
     world.state.handle = refusing  # type: ignore[method-assign]
     world.clock.callLater(1.5, setattr, world.state, "compacted", 0)
     world.run(5)
-    assert world.leader() == name and watch.staleness_s() < 2.0
+    assert world.leader() == name
+    assert watch.staleness_s() < 2.0
     world.cancel("j-000001")
     world.run(8)
-    assert not world.rules.where and world.rules.broken == []
+    assert not world.rules.where
+    assert world.rules.broken == []
 
 
 class StrictLock:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -22,7 +22,8 @@
     their mean is held to less than a single day is.
     """
     tried = [count_work(seed, monkeypatch)["tried"] / (JOBS * TASKS * MACHINES) for seed in (23, 24, 25)]
-    assert sum(tried) / len(tried) < 0.28 and max(tried) < 0.33
+    assert sum(tried) / len(tried) < 0.28
+    assert max(tried) < 0.33
 
 
 def count_work(seed: int, monkeypatch: pytest.MonkeyPatch) -> dict[str, int]:
@@ -87,7 +88,8 @@
     before = counts["releases"]
     world.run(40)
     returned = MACHINES - len([m for m in world.cloud.machines.values() if m.name < f"n-{MACHINES:06d}"])
-    assert returned > 100 and counts["releases"] - before < returned / 4
+    assert returned > 100
+    assert counts["releases"] - before < returned / 4
     return counts
 
 
@@ -167,4 +169,5 @@
     assert max(asked.values()) <= 2 * world.CLOUD_RPS
     assert max(changed.values()) <= 2 * world.WRITE_RPS
     # Those that were lost went back many at a time.
-    assert len(world.cloud.machines) < machines and sum(asked.values()) < 5 * 75
+    assert len(world.cloud.machines) < machines
+    assert sum(asked.values()) < 5 * 75
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -109,7 +109,8 @@
     assert any(value["f"] for key, value in items.items() if key.startswith(records.ACTIVE))
     read = json.loads(json.dumps(read_jobs(NEW, items, 16.0)))
     assert read == expected
-    assert sum(len(job["placed"]) for job in read.values()) > 50 and any(job["done"] for job in read.values())
+    assert sum(len(job["placed"]) for job in read.values()) > 50
+    assert any(job["done"] for job in read.values())
     version = from_history(LAST_LEGACY)
     if version is not None:
         assert json.loads(json.dumps(read_jobs(version, items, 16.0))) == expected
@@ -118,7 +119,8 @@
 def test_what_production_stored_and_told_is_read() -> None:
     stored = json.loads(PRODUCTION_DAY.read_text())
     read = json.loads(json.dumps(read_jobs(NEW, stored["items"], 16.0)))
-    assert read == stored["contents"] and sum(len(job["placed"]) for job in read.values()) > 50
+    assert read == stored["contents"]
+    assert sum(len(job["placed"]) for job in read.values()) > 50
     for view in stored["views"]:
         assert msgspec.convert(view, PeerView).reads == 0  # so no new format is written beside it
 
@@ -141,10 +143,8 @@
     world.lower_limits()
     world.run(60)
     items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    assert (
-        all(node is None or node.record_format.number == 0 for node in world.nodes.values())
-        and records.FORMAT not in items
-    )
+    assert all(node is None or node.record_format.number == 0 for node in world.nodes.values())
+    assert records.FORMAT not in items
     expected = record_kinds(json.loads(PRODUCTION_DAY.read_text())["items"])
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
     assert record_kinds(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
@@ -155,7 +155,8 @@
     if version is not None:
         assert read_jobs(version, items, 16.0) == read
     finish(world)
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
 
 
 @needs_history
@@ -201,7 +202,8 @@
     world.clock.callLater(15.0, crash_leader, world)
     world.rules.troubled_until = world.now + 20.0
     finish(world)
-    assert world.rules.broken == [] and world.state.refused_sizes == 0
+    assert world.rules.broken == []
+    assert world.state.refused_sizes == 0
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
@@ -224,7 +226,8 @@
     crash_leader(world)
     world.cancel("j-000701")
     finish(world, 400)
-    assert world.rules.broken == [] and world.state.refused_sizes == 0
+    assert world.rules.broken == []
+    assert world.state.refused_sizes == 0
     assert world.rules.last == {"j-000700": "done", "j-000701": "aborted"}
     world.run(20)
     assert [key for key in world.state.items if key.startswith(("tasks/", "active/"))] == []
@@ -243,7 +246,8 @@
     world.submit(world.job(1, pieces=30, vcpus=0.5))
     world.run(20)
     record = world.state.items["active/j-000001"][0]
-    assert record["n"] == 65 and job_from_record(record, 1, 5).chunk_size == 65
+    assert record["n"] == 65
+    assert job_from_record(record, 1, 5).chunk_size == 65
 
 
 def test_a_day_under_limits_that_come_without_notice() -> None:
@@ -260,7 +264,8 @@
         world.clock.callLater(45.0 + number, world.cancel, f"j-{number:06d}")
     world.rules.troubled_until = 110.0
     finish(world)
-    assert world.rules.broken == [] and world.state.refused_sizes == 0
+    assert world.rules.broken == []
+    assert world.state.refused_sizes == 0
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
@@ -272,7 +277,8 @@
     world.coming = LOWER_LIMITS
     world.clock.callLater(30.0, world.lower_limits)
     finish(world)
-    assert world.rules.broken == [] and set(world.rules.last.values()) == {"done"}
+    assert world.rules.broken == []
+    assert set(world.rules.last.values()) == {"done"}
     assert 0 < world.state.refused_sizes < 20
 
 
@@ -291,14 +297,16 @@
     assert (limits.ops, limits.value_bytes) == (5, 2048)
     for _ in range(40):
         limits.reduce_after_refusal(["small"], 1)
-    assert limits.ops == 5 and limits.value_bytes == 512
+    assert limits.ops == 5
+    assert limits.value_bytes == 512
     # Of large values too fewer changes are tried first: smaller values would make more of them.
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.reduce_after_refusal(["x" * 3000] * 6, 6)
     assert (limits.ops, limits.value_bytes) == (3, 4096)
     for _ in range(3):
         limits.reduce_after_refusal(["x" * 3000] * 3, 3)
-    assert limits.ops == 2 and limits.value_bytes < 4096
+    assert limits.ops == 2
+    assert limits.value_bytes < 4096
 
 
 def stored_spec(pieces: int) -> JobSpec:
@@ -336,7 +344,8 @@
 def test_a_chunk_with_overflow_records_is_read_as_it_was(placed: int, done: int, name: str) -> None:
     job, chunk = chunk_with(placed, done, name)
     values = chunk_values(chunk, job.spec, job.chunk_size, 2048)
-    assert all(records.json_bytes(value) <= 2048 for value in values) and (len(values) == 1 or placed > 30)
+    assert all(records.json_bytes(value) <= 2048 for value in values)
+    assert len(values) == 1 or placed > 30
     again = Job(job.spec, 0.0, 256)
     apply_chunk_records(
         again,
@@ -345,7 +354,8 @@
             for part, value in enumerate(values)
         ],
     )
-    assert again.chunks[0].done == chunk.done and again.chunks[0].attempt == 999
+    assert again.chunks[0].done == chunk.done
+    assert again.chunks[0].attempt == 999
     assert [(p.index, p.attempt, p.machine) for p in again.placements()] == [
         (p.index, p.attempt, p.machine) for p in job.placements()
     ]
