--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -74,7 +74,7 @@
                 "attempt": key[1],
                 "first_sent_at": round(start.first_sent_at, 3),
                 "token": start.token,
-                "session": start.epoch,
+                "epoch": start.epoch,
                 "answered_at": start.answered_at and round(start.answered_at, 3),
                 "in_doubt_since": start.in_doubt_since and round(start.in_doubt_since, 3),
             }
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -335,7 +335,7 @@
     row = shown["in_doubt"][0]
     assert row["first_sent_at"] < row["in_doubt_since"] <= world.now
     assert row["token"] > 0
-    assert row["session"] == 1
+    assert row["epoch"] == 1
     told = orjson.loads(
         orjson.dumps(leading_controller(world).administration.status())
     )  # as the administration API tells it
