--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -64,7 +64,7 @@
     _add_node_argument(parser)
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
     actions.add_parser("show", help="print the settings")
-    change = actions.add_parser("set", help="change some of them, on all nodes")
+    change = actions.add_parser("set", help="change some of them, on all controllers")
     change.add_argument("changes", metavar="NAME=VALUE", nargs="+", help="the value as JSON, such as headroom=1.5")
 
 
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -134,7 +134,7 @@
                 first_chunk_size=self.record_format.first_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
                 forget_record_versions=self.record_format.forget_record_version,
-                begin_term=self.begin_leading,
+                begin_leading=self.begin_leading,
             )
         )
 
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -1,4 +1,4 @@
-"""The watch over the jobs' records: submissions, and cancellations by whichever node was asked."""
+"""The watch over the jobs' records: submissions, and cancellations by whichever controller was asked."""
 
 import logging
 from collections.abc import Callable
--- a/stileloft/protocol/admin.py
+++ b/stileloft/protocol/admin.py
@@ -25,7 +25,7 @@
 
 
 class OperatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What operators may change while the service runs; in force on all nodes."""
+    """What operators may change while the service runs; in force on all controllers."""
 
     headroom: Factor = 1.0
     """Room kept free for a class that cannot wait for a machine to boot, in jobs of its usual size."""
@@ -36,7 +36,7 @@
     rent_full_price: bool = True
     """Whether machines other than spot ones may be provisioned."""
     max_machines: Annotated[int, Meta(ge=0, le=100_000)] = 100_000
-    """No scale-out makes the fleet larger than this."""
+    """No scale-out makes the cluster larger than this, in machines."""
 
 
 FACTORS = ("headroom", "headroom_wait", "keep_idle_boots")
@@ -73,13 +73,13 @@
 
 
 class Administered(RebuildAdministered, Protocol):
-    """What a node tells its operators, and takes from them."""
+    """What a controller tells its operators, and takes from them."""
 
     def status(self) -> dict[str, Any]:
-        """The node's state, for people and monitoring."""
+        """The controller's state, for people and monitoring."""
 
     def view(self) -> PeerView:
-        """What the node tells other controllers."""
+        """What the controller tells other controllers."""
 
     async def read_settings(self) -> tuple[OperatorSettings, int]:
         """The settings in force and their version; raises `TemporarilyUnavailableError`."""
@@ -94,9 +94,9 @@
 class AdminResources:
     """Routes of the peer address: those of the administration API, and what other controllers ask."""
 
-    def __init__(self, node: Administered) -> None:
-        self._node = node
-        self._rebuild = RebuildResources(node)
+    def __init__(self, controller: Administered) -> None:
+        self._controller = controller
+        self._rebuild = RebuildResources(controller)
 
     def match(self, path: str) -> Route | None:
         """The handlers of a path, by method, and its arguments."""
@@ -109,17 +109,17 @@
         return self._rebuild.match(path)
 
     def status(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
-        """Tells the node's state."""
-        return Response(HTTPStatus.OK, self._node.status())
+        """Tells the controller's state."""
+        return Response(HTTPStatus.OK, self._controller.status())
 
     def view(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
         """Tells another controller what this one sees."""
-        return Response(HTTPStatus.OK, msgspec.to_builtins(self._node.view()))
+        return Response(HTTPStatus.OK, msgspec.to_builtins(self._controller.view()))
 
     async def read_settings(self, _body: Any, _arguments: Arguments) -> Response:
         """Tells the settings and their version."""
         try:
-            settings, version = await self._node.read_settings()
+            settings, version = await self._controller.read_settings()
         except TemporarilyUnavailableError as error:
             return retry_later(error.status, error.reason, RETRY_AFTER_S)
         return _settings_answer(settings, version)
@@ -128,7 +128,7 @@
         """Replaces the settings if they are still those of the version that the caller read."""
         try:
             change = parse_settings_change(body)
-            version = await self._node.change_settings(change.settings, change.version)
+            version = await self._controller.change_settings(change.settings, change.version)
         except InvalidSettingsError as error:
             return Response(error.status, {"error": error.reason})
         except StaleVersionError as error:
--- a/stileloft/rebuild/environment.py
+++ b/stileloft/rebuild/environment.py
@@ -49,8 +49,8 @@
     """How long a leader may answer heartbeats without a confirmed lease."""
     forget_record_versions: Callable[[], None]
     """Called when the store was rebuilt: its records have other versions now."""
-    begin_term: Callable[[int], None]
-    """Begins the ordinary term of a leader with this token, once all records are there."""
+    begin_leading: Callable[[int], None]
+    """Begins the ordinary leadership with this token, once all records are there."""
 
     @property
     def member(self) -> str:
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -70,7 +70,7 @@
 
     def _finish(self, token: int) -> None:
         self._rebuilder = None
-        self._environment.begin_term(token)
+        self._environment.begin_leading(token)
 
     def stop(self) -> None:
         """Ends the rebuild that this controller leads: its leadership is over."""
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -136,7 +136,7 @@
         self.identity, self.identity_version = present, version
         self.phase = StorePhase.REBUILDING if present.rebuilding else StorePhase.SOUND
         if known is None and before is StorePhase.UNPROTECTED:
-            # A term that began before the store had an identity goes on in its first generation.
+            # A leadership that began before the store had an identity goes on in its first generation.
             self._tokens.last_term_generation = present.generation
         if self.phase is StorePhase.SOUND:
             self.lost_at, self.reason = None, ""
