--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -1,4 +1,4 @@
-"""Tasks that a rebuild left undecided: held back by the leader until an operator has decided."""
+"""Unresolved tasks: held back by the leader until an operator has decided."""
 
 import logging
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.jobs import Job
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
-from stileloft.rebuild import unresolved_tasks as undecided
+from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
 from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
@@ -53,7 +53,10 @@
         if not self._integrity.detects_loss:
             return {}
         items, _ = await self._store.client.scan(records.UNDECIDED)
-        return {key[len(records.UNDECIDED) :]: (undecided.from_record(value), version) for key, value, version in items}
+        return {
+            key[len(records.UNDECIDED) :]: (unresolved_tasks.from_record(value), version)
+            for key, value, version in items
+        }
 
     def apply(self, stored: Stored) -> None:
         """Has no unresolved task started; called with the cluster's lock held."""
