--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -101,12 +101,12 @@
         """Ends what is left of a gang of which a task is done, or lost."""
         if job.end_phase or job.reload_pending:
             return
-        if gangs.completed(job):
+        if gangs.is_completed(job):
             for placement in list(job.placements()):
                 placement.done = True
                 self.end(placement, EndReason.GANG_DONE)
             self._cluster.mark_dirty(job)
-        for placement in gangs.left_over(job):
+        for placement in gangs.remaining_placements(job):
             self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def untrack(self, placement: Placement) -> None:
--- a/stileloft/model/gangs.py
+++ b/stileloft/model/gangs.py
@@ -42,7 +42,7 @@
     return Stage.BINDING if any(p.state == PlacementState.PLANNED for p in placements) else Stage.WHOLE
 
 
-def completed(job: Job) -> bool:
+def is_completed(job: Job) -> bool:
     """Whether one task of the gang is done, and so all are."""
     return stage(job) is Stage.COMPLETED
 
@@ -52,7 +52,7 @@
     return not job.spec.is_gang or stage(job) is Stage.WHOLE
 
 
-def left_over(job: Job) -> list[Placement]:
+def remaining_placements(job: Job) -> list[Placement]:
     """What is still placed of a gang that has lost a task."""
     return [p for p in job.placements() if p.state != PlacementState.ENDED] if stage(job) is Stage.BROKEN else []
 
--- a/stileloft/store/job_transaction_builder.py
+++ b/stileloft/store/job_transaction_builder.py
@@ -26,7 +26,7 @@
     def build(self, job: Job, room: int) -> JobTransaction | None:
         """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
         part = JobTransaction(job, is_inline=self._policy.holds_chunk(job))
-        gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
+        gang_completed = job.spec.is_gang and not job.end_phase and gangs.is_completed(job)
         newly_done = self._add_chunks(part, room)
         if job.end_phase:
             return part if part.changes or part.removed_chunks else None
