--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -148,14 +148,14 @@
             return free
         return itertools.islice(free, max(0, self.max_placed_per_chunk - len(chunk.placements)))
 
-    def add(self, placement: Placement) -> None:
+    def add_placement(self, placement: Placement) -> None:
         """Places a task."""
         self.chunk_of(placement.index).placements[placement.index] = placement
         self.placed += 1
         self._free_tasks_limit = 0
         self.zones[placement.zone] = self.zones.get(placement.zone, 0) + 1
 
-    def remove(self, placement: Placement) -> None:
+    def remove_placement(self, placement: Placement) -> None:
         """Removes a placement that the store does not hold any more."""
         del self.chunk_of(placement.index).placements[placement.index]
         self.placed -= 1
--- a/stileloft/scheduling/decision_applier.py
+++ b/stileloft/scheduling/decision_applier.py
@@ -145,7 +145,7 @@
             preemption_exempt=preemption_exempt,
         )
         planned.placed_by_this_leader = True
-        job.add(planned)
+        job.add_placement(planned)
         job.last_placed_at = self._clock.seconds()
         machine.placements[planned.key] = planned
         machine.idle_since = machine.scheduling_view = None
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -47,7 +47,7 @@
                 chunk.done.add(placement.index)
                 job.done += 1
             if chunk.placements.get(placement.index) is placement:
-                job.remove(placement)
+                job.remove_placement(placement)
             self._lifecycle.untrack(placement)
 
     @staticmethod
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -266,7 +266,7 @@
     job = Job(parse_job(body), 0.0, size)
     for index, (attempt, state, done) in enumerate(states):
         placement = Placement(job.id, index, attempt, "n-0", "a", False, state, done=done)
-        job.add(placement)
+        job.add_placement(placement)
         job.chunk_of(index).attempt = attempt
     return job
 
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -170,8 +170,8 @@
     job = Job(stored_spec(pieces=5), 7.0, 22)
     chunk = job.chunk_of(0)
     chunk.attempt, chunk.done = 3, {0, 4}
-    job.add(Placement("j-1", 1, 2, "n-000001", "a", True))
-    job.add(Placement("j-1", 2, 3, "n-000002", "b", False))
+    job.add_placement(Placement("j-1", 1, 2, "n-000001", "a", True))
+    job.add_placement(Placement("j-1", 2, 3, "n-000002", "b", False))
     value = records.to_stored(job_record(job, True, with_chunk=True))
     again = job_from_record(json.loads(json.dumps(value)), 9, 5)
     assert (again.done, again.placed, again.version, again.chunk_size) == (2, 2, 9, 22)
@@ -244,7 +244,7 @@
     chunk.done, chunk.attempt = {i for i in done if i < job.spec.tasks}, attempts
     for index in set(range(job.spec.tasks)) - chunk.done:
         name = names[index % len(names)]
-        job.add(Placement(job.id, index, attempts, name, name[::-1], index % 2 == 0))
+        job.add_placement(Placement(job.id, index, attempts, name, name[::-1], index % 2 == 0))
     record = records.to_stored(job_record(job, True, with_chunk=True))
     assert records.INLINE_CHUNK in record
     assert records.json_bytes(record) <= max_inline_record_bytes(job)
@@ -263,7 +263,7 @@
     job = Job(stored_spec(pieces=96), 1e9, 96)
     for index in range(placed):
         name = names[index % len(names)]
-        job.add(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
+        job.add_placement(Placement("j-1", index, 10**6, name, name[::-1], index % 2 == 0))
     values = chunk_values(job.chunk_of(0), job.spec, job.chunk_size, value_bytes)
     assert all(records.json_bytes(value) <= value_bytes for value in values)
     assert sum(len(value["p"]) for value in values) == placed
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -26,5 +26,5 @@
         spec = messages.parse_job(World(1).job(1) | {"nameId": "j-1"} | {"pieces": size, "crew": "t" * 60})
         held = Job(spec, 0.0, size)
         for index in range(size):
-            held.add(Placement(spec.id, index, 123456, "n-" + "9" * 18, "zone-of-a-long-name-1", True))
+            held.add_placement(Placement(spec.id, index, 123456, "n-" + "9" * 18, "zone-of-a-long-name-1", True))
         assert len(orjson.dumps(whole_chunk_value(held.chunks[0], spec, None))) < value_kb * 1024
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -334,7 +334,7 @@
     chunk = job.chunk_of(0)
     chunk.attempt, chunk.done = 999, set(range(0, 2 * done, 2))
     for index in range(2 * done, 2 * done + placed):
-        job.add(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PlacementState.PLANNED))
+        job.add_placement(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PlacementState.PLANNED))
     return job, chunk
 
 
