--- a/stileloft/model/records/keys.py
+++ b/stileloft/model/records/keys.py
@@ -12,7 +12,7 @@
 IMAGES = "images/"
 PROVISIONED = "rented/"
 ENDED = "ended/"
-UNDECIDED = "undecided/"
+UNRESOLVED = "undecided/"
 
 
 class ChunkKey(NamedTuple):
--- a/stileloft/rebuild/decision_recorder.py
+++ b/stileloft/rebuild/decision_recorder.py
@@ -43,7 +43,7 @@
         return value
 
     async def _record(self, job: str, task: int | None, decision: Decision) -> dict[str, Any] | None:
-        key = records.UNDECIDED + job
+        key = records.UNRESOLVED + job
         found = await self._state.lookup(key)
         if found is None:
             return None
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -52,9 +52,9 @@
         """All that is unresolved; nothing is asked without the feature."""
         if not self._integrity.detects_loss:
             return {}
-        items, _ = await self._store.client.scan(records.UNDECIDED)
+        items, _ = await self._store.client.scan(records.UNRESOLVED)
         return {
-            key[len(records.UNDECIDED) :]: (unresolved_tasks.from_record(value), version)
+            key[len(records.UNRESOLVED) :]: (unresolved_tasks.from_record(value), version)
             for key, value, version in items
         }
 
@@ -92,7 +92,7 @@
         elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
             return
         # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
-        key = records.UNDECIDED + job_id
+        key = records.UNRESOLVED + job_id
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks settled job=%s", job_id)
         with self._cluster.lock:
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -135,7 +135,7 @@
 
     def has_lost_spec(self, job: str) -> bool:
         """Whether a job is known by workers' heartbeats alone."""
-        record = self._replicas.current.records.get(records.UNDECIDED + job)
+        record = self._replicas.current.records.get(records.UNRESOLVED + job)
         return record is not None and unresolved_tasks.from_record(record.value()).spec_lost
 
 
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -119,7 +119,7 @@
 
     def _restore_other_records(self) -> None:
         for key, value in self._replica.records.items():
-            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNDECIDED)):
+            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNRESOLVED)):
                 self._wanted.setdefault(key, value)
 
     @functools.cached_property
@@ -138,7 +138,7 @@
 
     def _add_unresolved(self, job: str, unresolved: UnresolvedTasks) -> None:
         self._result.unresolved[job] = unresolved
-        self._wanted[records.UNDECIDED + job] = unresolved_tasks.to_record(unresolved)
+        self._wanted[records.UNRESOLVED + job] = unresolved_tasks.to_record(unresolved)
 
     def _keep_jobs_without_spec(self) -> None:
         """Jobs that only heartbeats name: a worker has only what was accepted, so they stay known."""
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -12,7 +12,7 @@
 from stileloft.rebuild.job_outcomes import JobOutcomes
 
 # What is written back as it was. Cached images are learned again from the workers, and outcomes are kept apart.
-RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED)
+RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNRESOLVED)
 RESTORED_KEYS = (records.SETTINGS, records.FORMAT)
 
 
--- a/tests/test_rebuild_unresolved.py
+++ b/tests/test_rebuild_unresolved.py
@@ -60,7 +60,7 @@
 def test_impossible_decisions_change_nothing() -> None:
     world = loaded_world(5, features=ONCE)
     world.run(24.0)
-    key = f"{records.UNDECIDED}j-000001"
+    key = f"{records.UNRESOLVED}j-000001"
     world.state.items[key] = {"evidence": {"0": "placed"}}, world.state.revision, None
     before = dict(world.state.items)
     assert decide(world, "j-000002", None, "run") is None
