--- a/stileloft/model/records/__init__.py
+++ b/stileloft/model/records/__init__.py
@@ -28,10 +28,10 @@
 """
 
 from stileloft.model.records.forms import (
+    CHUNK_SIZE_FORMAT,
     INLINE_CHUNK,
     INLINE_FORMAT,
     NEWEST_FORMAT,
-    SIZED_FORMAT,
     FinalPhase,
     FormatRecord,
     ProvisionRecord,
@@ -71,12 +71,13 @@
     chunk_size,
     json_bytes,
     max_compact_bytes,
-    max_placements_in,
-    sized_chunk_size,
+    max_placements_per_record,
+    recorded_chunk_size,
 )
 
 __all__ = [
     "ACTIVE",
+    "CHUNK_SIZE_FORMAT",
     "ENDED",
     "FINAL",
     "FORMAT",
@@ -89,7 +90,6 @@
     "NEWEST_FORMAT",
     "PROVISIONED",
     "SETTINGS",
-    "SIZED_FORMAT",
     "TASKS",
     "UNRESOLVED",
     "ChunkKey",
@@ -109,12 +109,12 @@
     "images_key",
     "json_bytes",
     "max_compact_bytes",
-    "max_placements_in",
+    "max_placements_per_record",
     "provisioned_key",
     "read_final",
     "read_format",
     "read_provision",
-    "sized_chunk_size",
+    "recorded_chunk_size",
     "split_chunk_key",
     "split_task",
     "to_ranges",
--- a/stileloft/model/records/forms.py
+++ b/stileloft/model/records/forms.py
@@ -15,7 +15,7 @@
 
 NEWEST_FORMAT = 2
 """The format that this version reads, and writes once all controllers do."""
-SIZED_FORMAT = 1
+CHUNK_SIZE_FORMAT = 1
 """The first format in which records say how many tasks a chunk has."""
 INLINE_FORMAT = 2
 """The first format in which a job's record may hold its only chunk."""
--- a/stileloft/model/records/sizes.py
+++ b/stileloft/model/records/sizes.py
@@ -6,14 +6,14 @@
 import orjson
 
 MIN_TASKS_PER_CHUNK = 8
-MAX_TASKS_PER_UNSIZED_CHUNK = 256
+MAX_TASKS_PER_FORMAT_0_CHUNK = 256
 """The most tasks of a chunk whose record does not say how many it has (format 0)."""
 MAX_TASKS_PER_CHUNK = 96
-UNSIZED_BYTES_PER_TASK = 90
+FORMAT_0_BYTES_PER_TASK = 90
 """Bytes reckoned for a task in format 0: a placement and its share of the ranges. The size follows from it for good."""
-USUAL_BYTES_PER_TASK = 42
+TYPICAL_PLACEMENT_BYTES = 42
 """Bytes of a placement with names of the usual length."""
-LONG_BYTES_PER_TASK = 56
+LONG_PLACEMENT_BYTES = 56
 """Bytes of a placement with rather long names of machines and zones."""
 CHUNK_OVERHEAD_BYTES = 450
 """Bytes of a chunk's record beside its placements, usually."""
@@ -31,22 +31,22 @@
 
 def chunk_size(value_kb: float) -> int:
     """Tasks per chunk in format 0: a chunk's record stays within half of the limit."""
-    fitting = int(value_kb * 1024 / 2 / UNSIZED_BYTES_PER_TASK)
-    return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_UNSIZED_CHUNK, fitting))
+    fitting = int(value_kb * 1024 / 2 / FORMAT_0_BYTES_PER_TASK)
+    return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_FORMAT_0_CHUNK, fitting))
 
 
-def sized_chunk_size(value_bytes: int) -> int:
+def recorded_chunk_size(value_bytes: int) -> int:
     """Tasks per chunk where the records say how many: as many as a record has room for, and some to spare.
 
     Each chunk that is written is a change of the store, however many of its tasks have changed. But it must not take
     more records than a transaction has changes if the store's limits become lower than was announced.
     """
-    return min(MAX_TASKS_PER_CHUNK, _placements_within(value_bytes, LONG_BYTES_PER_TASK))
+    return min(MAX_TASKS_PER_CHUNK, _placements_within(value_bytes, LONG_PLACEMENT_BYTES))
 
 
-def max_placements_in(value_bytes: int) -> int:
+def max_placements_per_record(value_bytes: int) -> int:
     """Placements of the usual length that a chunk's record has room for."""
-    return _placements_within(value_bytes, USUAL_BYTES_PER_TASK)
+    return _placements_within(value_bytes, TYPICAL_PLACEMENT_BYTES)
 
 
 def _placements_within(value_bytes: int, bytes_per_task: int) -> int:
