--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -73,7 +73,7 @@
         else:
             machine.images = dict.fromkeys([*images, *machine.images])
 
-    def of_former_leader(self, machine_id: str) -> list[str]:
+    def take_loaded(self, machine_id: str) -> list[str]:
         """What a former leader recorded of a machine that is new to us."""
         return self._loaded.pop(machine_id, [])
 
--- a/stileloft/machines/registry.py
+++ b/stileloft/machines/registry.py
@@ -21,6 +21,6 @@
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, first_seen_at=self._clock.seconds(), token=self._tokens.first)
-            machine.images = dict.fromkeys(self._images.of_former_leader(machine_id))
+            machine.images = dict.fromkeys(self._images.take_loaded(machine_id))
             self._cluster.machines[machine_id] = machine
         return machine
