--- a/stileloft/controller/budgets.py
+++ b/stileloft/controller/budgets.py
@@ -24,7 +24,7 @@
     leader_writes: TokenBucket
 
     @classmethod
-    def of(cls, deployment: Deployment, clock: Clock) -> "StateBudgets":
+    def from_deployment(cls, deployment: Deployment, clock: Clock) -> "StateBudgets":
         """The budgets that follow from the deployment's limits."""
         # One controller may be down at any time, and the others then get its users.
         sharing = max(1, max(1, deployment.size) - 1)
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -91,7 +91,7 @@
         deployment = self.settings.deployment
         self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
-        self.budgets = StateBudgets.of(deployment, self.reactor)
+        self.budgets = StateBudgets.from_deployment(deployment, self.reactor)
         self.catalog = MachineCatalog(self.clients.cloud, self.reactor)
         self.state_service_check = StateServiceCheck(self.reactor, self.clients.state, self.clients.peers)
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -66,7 +66,7 @@
         self._clock = environment.clock
         self._deployment = environment.settings.deployment
         self._timings = self._deployment.workers
-        self.timeouts = FailureTimeouts.of(self._timings)
+        self.timeouts = FailureTimeouts.from_settings(self._timings)
         self._teams = {team.name: team for team in self._deployment.teams}
         self.lease = lease
         self.tokens = tokens
--- a/stileloft/machines/timeouts.py
+++ b/stileloft/machines/timeouts.py
@@ -30,7 +30,7 @@
     """Silence after which a machine is given up and released."""
 
     @classmethod
-    def of(cls, timings: Workers) -> "FailureTimeouts":
+    def from_settings(cls, timings: Workers) -> "FailureTimeouts":
         """The time-outs that follow from the workers' heartbeat interval and lease."""
         interval_s = timings.heartbeat_s
         return cls(
