--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -53,7 +53,7 @@
             "role": "leader" if self.election.leading else "standby",
             "leader": self.election.leader_member,
             "token": self.election.token,
-            "served": self.state_service_check.served(),
+            "served": self.state_service_check.is_served(),
             "confirmed": self.election.holds_lease(),
             "machine_types": sorted(self.catalog.types),
             "settings": msgspec.to_builtins(self.operator_settings.current),
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -217,7 +217,7 @@
 
     def healthy(self) -> bool:
         """Whether the load balancer should send users here."""
-        return bool(self.catalog.types) and not self.state_service_check.refused
+        return bool(self.catalog.types) and not self.state_service_check.is_refused
 
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -26,10 +26,10 @@
         self._state = state
         self._peers = peers
         self._failing_since: float | None = None
-        self.refused = False
+        self.is_refused = False
         """The state service serves other controllers, but not this one."""
 
-    def served(self) -> bool:
+    def is_served(self) -> bool:
         """Whether the state service has executed a request of ours lately."""
         return self._clock.seconds() - self._state.served_at < SERVED_S
 
@@ -44,9 +44,9 @@
     async def _wait_and_check(self) -> None:
         await sleep(self._clock, SERVED_S / 2)
         try:
-            if not self.served():
+            if not self.is_served():
                 await self._state.get(records.LEADER)
-            self.refused, self._failing_since = False, None
+            self.is_refused, self._failing_since = False, None
         except (UnavailableError, UnknownOutcomeError):
             now = self._clock.seconds()
             if self._failing_since is None:
@@ -58,9 +58,9 @@
         views = await self._peers.views()
         # Being served before our own failures began says nothing: the outage may be for all.
         refused = any(view.served_ago_s < now - failing_since for view in views)
-        if refused and not self.refused:
+        if refused and not self.is_refused:
             log.info("state service refuses this controller and serves others")
         if not views and self._peers.addresses and now - failing_since > ISOLATED_S:
             # Cut off, rather than in an outage: others can serve our users.
             refused = True
-        self.refused = refused
+        self.is_refused = refused
