--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -1,4 +1,4 @@
-"""Where images are: learned from the tasks that run, and recorded as a hint for the next leader."""
+"""The images cached on machines: inferred from the tasks that run there, and recorded as a hint for the next leader."""
 
 import logging
 from dataclasses import dataclass
@@ -15,70 +15,70 @@
 log = logging.getLogger(__name__)
 
 RECORD_INTERVAL_S = 4.0
-"""How often it is recorded where images are, in seconds."""
+"""Interval between writes of image records, in seconds."""
 MIN_RECORD_INTERVAL_S = 0.5
-"""The same while there are many machines to record, in seconds."""
-MAX_ROUNDS = 64
-"""Intervals are shorter when all machines would take more than so many transactions."""
-MAX_IMAGES = 40
-"""Images that a machine is believed to have."""
+"""Shortest interval, used while the images of many machines are unrecorded, in seconds."""
+FULL_INTERVAL_TRANSACTIONS = 64
+"""Intervals become shorter when the unrecorded machines take more transactions than this."""
+MAX_IMAGES_PER_MACHINE = 40
+"""Images that a machine is assumed to keep; beyond these the least recently used one is dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class ImageChanges:
-    """What one transaction changes: records of machines to write, and of machines that are gone."""
+    """Image records that one transaction writes, and the released machines whose records it deletes."""
 
     written: list[Machine]
     deleted: list[str]
 
     @property
     def count(self) -> int:
-        """Changes of the store."""
+        """Number of records written or deleted."""
         return len(self.written) + len(self.deleted)
 
 
 class ImageLocations:
-    """The images that machines are likely to have, as far as seen."""
+    """Tracks the images that machines probably have, by the tasks seen there."""
 
     def __init__(self, store: LeaderStore, cluster: ClusterState, lease: LeaderLease, clock: Clock) -> None:
         self._store = store
         self._cluster = cluster
         self._lease = lease
         self._clock = clock
-        self._loaded: dict[str, list[str]] = {}
-        """What a former leader recorded of machines that are not known yet."""
-        self._released: set[str] = set()
-        """Machines that are gone, and whose records have to be deleted."""
+        self._loaded_images: dict[str, list[str]] = {}
+        """Images that a former leader recorded, by the ids of machines that this leader does not know yet."""
+        self._records_to_delete: set[str] = set()
+        """Ids of released machines whose records have to be deleted."""
 
     def machine_released(self, machine: Machine) -> None:
-        """Has the record of a machine removed."""
+        """Schedules the deletion of a released machine's record."""
         if machine.images:
-            self._released.add(machine.id)
+            self._records_to_delete.add(machine.id)
 
     def record_use(self, machine: Machine, image: str) -> None:
-        """A task that needs this image runs there."""
+        """Records that a task that uses this image runs on the machine."""
         if image not in machine.images:
             machine.images_recorded = False
             machine.scheduling_view = None
         machine.images.pop(image, None)
         machine.images[image] = None
-        while len(machine.images) > MAX_IMAGES:
+        while len(machine.images) > MAX_IMAGES_PER_MACHINE:
             del machine.images[next(iter(machine.images))]
 
     def load(self, machine_id: str, images: list[str]) -> None:
-        """Takes in what a former leader recorded of a machine."""
+        """Adds the images that a former leader recorded for a machine."""
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
-            self._loaded[machine_id] = images
+            self._loaded_images[machine_id] = images
         else:
             machine.images = dict.fromkeys([*images, *machine.images])
 
     def take_loaded(self, machine_id: str) -> list[str]:
-        """What a former leader recorded of a machine that is new to us."""
-        return self._loaded.pop(machine_id, [])
+        """Removes and returns the images that a former leader recorded for a machine that is new to this leader."""
+        return self._loaded_images.pop(machine_id, [])
 
     async def run(self) -> None:
-        """Records where images are, for a successor, with what others leave of the write budget."""
+        """Writes image records periodically for the next leader, from write budget that other writes leave unused."""
         interval_s = RECORD_INTERVAL_S
         while self._lease.active:
             await sleep(self._clock, interval_s)
@@ -86,42 +86,44 @@
                 continue
             unrecorded = [m for m in self._cluster.machines.values() if not m.images_recorded]
             interval_s = self._interval_s(len(unrecorded))
-            changes = ImageChanges(unrecorded[: self._max_changes()], sorted(self._released)[: self._max_changes()])
+            changes = ImageChanges(
+                unrecorded[: self._max_changes()], sorted(self._records_to_delete)[: self._max_changes()]
+            )
             if self._take_budget(changes):
                 await self._commit(changes)
 
     def _max_changes(self) -> int:
-        """Records that are written, and that are deleted, in one transaction."""
+        """Limit on the records written, and on the records deleted, by one transaction."""
         return max(1, self._store.limits.ops // 2)
 
     def _interval_s(self, unrecorded: int) -> float:
-        rounds = max(unrecorded / self._max_changes(), 1.0)
-        return max(MIN_RECORD_INTERVAL_S, RECORD_INTERVAL_S * min(1.0, MAX_ROUNDS / rounds))
+        transactions = max(unrecorded / self._max_changes(), 1.0)
+        return max(MIN_RECORD_INTERVAL_S, RECORD_INTERVAL_S * min(1.0, FULL_INTERVAL_TRANSACTIONS / transactions))
 
     def _take_budget(self, changes: ImageChanges) -> bool:
-        """Takes the changes from the write budget, if at least as much is left for others."""
+        """Takes the changes from the write budget if at least as much remains for other writes."""
         budget = self._store.write_budget
         return changes.count > 0 and budget.level() >= 2 * changes.count and budget.try_take(changes.count)
 
     async def _commit(self, changes: ImageChanges) -> None:
-        """Writes the changes; after an error of the store they are tried again at the next interval."""
+        """Writes the changes; after a store error they are retried at the next interval."""
         images = {machine.id: self._recorded_images(machine) for machine in changes.written}
         puts = {records.images_key(machine_id): value for machine_id, value in images.items()}
         deletes = [records.images_key(machine_id) for machine_id in changes.deleted]
         try:
             await self._store.commit(puts, deletes)
         except TooLargeError as error:
-            log.debug("image records too large changes=%d: %s", changes.count, error)
+            log.debug("image records too large changes=%d error=%s", changes.count, error)
             self._store.limits.reduce_after_refusal(puts.values(), changes.count)
         except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
-            log.debug("image records not written changes=%d: %s", changes.count, error)
+            log.debug("image records not written changes=%d error=%s", changes.count, error)
         else:
             for machine in changes.written:
                 machine.images_recorded = images[machine.id] == self._recorded_images(machine)
-            self._released -= set(changes.deleted)
+            self._records_to_delete -= set(changes.deleted)
 
     def _recorded_images(self, machine: Machine) -> list[str]:
-        """The images that a machine has, the ones used last, as far as a value holds them."""
+        """Returns the machine's most recently used images that fit into one value."""
         images = list(machine.images)
         while records.json_bytes(images) > self._store.limits.value_bytes:
             images = images[1 + len(images) // 8 :]
--- a/stileloft/machines/inventory.py
+++ b/stileloft/machines/inventory.py
@@ -1,4 +1,4 @@
-"""The inventory of machines, reconciled with the cloud's list."""
+"""The inventory of machines, reconciled with the cloud's machine list."""
 
 import logging
 from collections.abc import Callable
@@ -16,19 +16,19 @@
 log = logging.getLogger(__name__)
 
 MIN_LIST_INTERVAL_S = 1.0
-LAG_PART = 0.25
-"""The list is read anew after this part of the time by which it lags."""
-PAGES_AT_ONCE = 2
-"""Pages of the list that are read without a pause."""
-LIST_BUDGET_PART = 0.5
-"""The part of our requests to the cloud that further pages may take: scaling out and in needs the rest."""
+LIST_INTERVAL_LAG_FRACTION = 0.25
+"""Interval between two reads of the list, as a fraction of the list's lag."""
+UNPACED_PAGES = 2
+"""Pages at the start of the list that are read without a pause between them."""
+LIST_BUDGET_FRACTION = 0.5
+"""Fraction of the leader's request rate to the cloud that further pages may use: scaling out and in needs the rest."""
 
 
 class MachineInventory:
-    """Reads the cloud's list page by page, over and over.
+    """Reads the cloud's machine list page by page, in a loop.
 
-    Each page is taken in as it comes, and a page that fails is asked for again: a list of many pages that had to be
-    read in one go would use up the cloud's limit of requests before its end, and would never be complete.
+    Each page is applied as it arrives, and a failed page is requested again: if a list of many pages had to be read in
+    one go, it would exhaust the cloud's request limit before its end, and would never be complete.
     """
 
     def __init__(
@@ -50,35 +50,35 @@
         self._clock = clock
         self._list_lag_s = list_lag_s
         self._request_scheduling = request_scheduling
-        self._between_lists_s = max(MIN_LIST_INTERVAL_S, LAG_PART * list_lag_s)
-        self._between_pages_s = 1.0 / (LIST_BUDGET_PART * cloud.requests_per_s)
-        self._after = ""
-        """The last machine of the page that was read last; empty at the start of a list."""
+        self._list_interval_s = max(MIN_LIST_INTERVAL_S, LIST_INTERVAL_LAG_FRACTION * list_lag_s)
+        self._page_interval_s = 1.0 / (LIST_BUDGET_FRACTION * cloud.requests_per_s)
+        self._cursor = ""
+        """Id of the last machine on the page read last; empty at the start of the list."""
         self._pages = 0
 
     async def run(self) -> None:
-        """Keeps the inventory for as long as the leadership lasts."""
-        policy = RetryPolicy((CloudError,), self._between_lists_s, self._between_lists_s)
-        await repeat("machine list", self._read_page, policy, self._clock, lambda: self._lease.active)
+        """Keeps the inventory up to date while the leadership lasts."""
+        policy = RetryPolicy((CloudError,), self._list_interval_s, self._list_interval_s)
+        await repeat("machine list read", self._read_page, policy, self._clock, lambda: self._lease.active)
 
     async def _read_page(self) -> None:
-        page = await self._cloud.machines_after(self._after)
+        page = await self._cloud.machines_after(self._cursor)
         if not self._lease.active:
             return
         with self._cluster.lock:
             self._reconcile(page.machines)
         self._request_scheduling()
         self._pages += 1
-        pause_s = self._between_lists_s
+        pause_s = self._list_interval_s
         if page.more:
-            self._after = page.machines[-1].id
-            pause_s = self._between_pages_s if self._pages >= PAGES_AT_ONCE else 0.0
+            self._cursor = page.machines[-1].id
+            pause_s = self._page_interval_s if self._pages >= UNPACED_PAGES else 0.0
         else:
-            self._after, self._pages = "", 0
+            self._cursor, self._pages = "", 0
         await sleep(self._clock, pause_s)
 
     def _reconcile(self, listed: list[ListedMachine]) -> None:
-        """Adds machines; a list never removes what may be alive, since it can be old."""
+        """Adds and updates listed machines; never removes unlisted ones, because the list may be out of date."""
         now = self._clock.seconds()
         for item in listed:
             if item.id in self._releaser.released:
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -1,4 +1,4 @@
-"""Whether most machines have failed, or it is this leader that is cut off from them."""
+"""Tells a failure of most machines from a partition that cuts the leader off from them."""
 
 from twisted.internet import defer
 
@@ -8,12 +8,12 @@
 from stileloft.protocol.peers import PeerClient
 from stileloft.transport.clock import Clock
 
-MISSED_PART = 0.25
-"""The leader counts as cut off when its peers hear this part of the silent machines."""
+PARTITION_FRACTION = 0.25
+"""The leader counts as partitioned when at least this fraction of the silent machines reaches its peers."""
 
 
 class PartitionDetector:
-    """Asks the other controllers when most machines fall silent at once, and steps down if they are heard there."""
+    """Queries the peers when most machines fall silent at once, and steps down if the machines reach the peers."""
 
     def __init__(
         self, lease: LeaderLease, peers: PeerClient, clock: Clock, timeouts: FailureTimeouts, worker_lease_s: float
@@ -23,54 +23,59 @@
         self._clock = clock
         self._timeouts = timeouts
         self._worker_lease_s = worker_lease_s
-        self._asking = False
-        self._cleared_until = 0.0
-        """Until when the peers' word holds that the machines have failed."""
+        self._query_in_flight = False
+        self._failures_confirmed_until = 0.0
+        """Time until which the peers' answer that the silent machines have failed stays valid."""
 
     def is_suspected(self, machines: list[Machine], now: float) -> bool:
-        """Whether so many machines are silent that none of them may be given up yet."""
+        """Whether so many machines are silent that a partition is suspected, and none of them may be released yet."""
         up = [m for m in machines if m.up_since is not None or m.cloud_state == "running"]
-        # Heartbeats come at different times, so a lost link shows on all machines only after an interval.
-        # What counts is who is overdue when the first one's failure time-out is over; else that one would be given up.
+        # Heartbeats arrive at different times, so a lost link affects all machines only after a heartbeat interval.
+        # Machines count as silent well before the failure time-out: otherwise the first one whose failure time-out ends
+        # would be released before most of them are silent.
         silent = [m for m in up if now - self._last_heartbeat_at(m) > self._timeouts.suspicion_s]
-        suspected = len(up) > 1 and len(silent) * 2 > len(up) and now > self._cleared_until
-        if suspected and not self._asking:
-            self._asking = True
-            defer.ensureDeferred(self._ask_peers(silent))
+        suspected = len(up) > 1 and len(silent) * 2 > len(up) and now > self._failures_confirmed_until
+        if suspected and not self._query_in_flight:
+            self._query_in_flight = True
+            defer.ensureDeferred(self._query_peers(silent))
         return suspected
 
     def _last_heartbeat_at(self, machine: Machine) -> float:
-        """When the machine was last heard, or the leadership began."""
+        """Returns the time of the machine's last heartbeat, or of the leadership's start if that is later."""
         return max(machine.last_heartbeat_at, self._lease.began_at)
 
-    async def _ask_peers(self, silent: list[Machine]) -> None:
-        """Finds out whether the silent machines have failed, or it is we who cannot hear them.
+    async def _query_peers(self, silent: list[Machine]) -> None:
+        """Finds out whether the silent machines have failed, or the leader is partitioned from them.
 
-        Workers that do not reach us try the other controllers, which remember whom they referred to us.
+        Workers that do not reach the leader try the other controllers, which remember the heartbeats that they refer
+        to the leader.
         """
-        asked = {machine.id: machine.last_heartbeat_at for machine in silent}
+        heartbeats_at_query = {machine.id: machine.last_heartbeat_at for machine in silent}
         views = await self._peers.views()
-        self._asking = False
+        self._query_in_flight = False
         if not self._lease.active:
             return
-        # One that has reached us meanwhile was only slow.
-        still = [machine for machine in silent if machine.last_heartbeat_at == asked[machine.id]]
-        # A late copy that came to a peer does not show that a machine is alive: only what we have not heard counts.
-        missed = sum(
+        # A machine whose heartbeat has arrived during the query was only slow.
+        still_silent = [machine for machine in silent if machine.last_heartbeat_at == heartbeats_at_query[machine.id]]
+        # A delayed duplicate that reached a peer does not show that a machine is alive: only heartbeats newer than the
+        # last one received here count.
+        reaching_peers = sum(
             1
-            for machine in still
+            for machine in still_silent
             if any(tuple(view.machines.get(machine.id, (0, 0))) > (machine.epoch, machine.sequence) for view in views)
         )
         now = self._clock.seconds()
-        certain = all(now - self._last_heartbeat_at(machine) > self._timeouts.confirmation_s for machine in still)
-        if missed and missed >= MISSED_PART * len(still):
-            reason = f"{len(still)} machines are silent, and peers hear {missed} of them"
-        elif not still or not certain:
-            return  # they may still be on their way to a peer: ask again
+        confirmed = all(
+            now - self._last_heartbeat_at(machine) > self._timeouts.confirmation_s for machine in still_silent
+        )
+        if reaching_peers and reaching_peers >= PARTITION_FRACTION * len(still_silent):
+            reason = f"{len(still_silent)} machines are silent, {reaching_peers} of them reach peers"
+        elif not still_silent or not confirmed:
+            return  # workers may still be on their way to a peer: the next check queries again
         elif views:
-            self._cleared_until = now + self._timeouts.failure_s
+            self._failures_confirmed_until = now + self._timeouts.failure_s
             return
         else:
-            reason = f"{len(still)} machines are silent, and so are the peers"
+            reason = f"{len(still_silent)} machines are silent, and no peer answers"
         self._lease.step_down(reason)
         self._lease.stand_aside(self._worker_lease_s / 2)
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -1,4 +1,4 @@
-"""Records in the store of machines that were provisioned lately, for a successor."""
+"""Store records of recently provisioned machines, for the next leader."""
 
 import logging
 
@@ -11,15 +11,15 @@
 
 log = logging.getLogger(__name__)
 
-LISTED_LAGS = 4
-LISTED_MARGIN_S = 5.0
+RETENTION_LAGS = 4
+RETENTION_MARGIN_S = 5.0
 
 
 class ProvisionRecords:
-    """Tells a successor of machines that the cloud's list may not show yet.
+    """Records newly provisioned machines, which the cloud's list may not show yet, for the next leader.
 
-    There is a record for each request, written over when it is no longer needed: all of a large cluster's in one would
-    be over the store's limit for a value.
+    Each request has its own record, which is overwritten once it is no longer needed: one record for all machines of a
+    large cluster would exceed the store's limit on values.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         self._machines = machines
         self._clock = clock
         self._wall_clock = wall_clock
-        self._listed_after_s = LISTED_LAGS * list_lag_s + LISTED_MARGIN_S
-        """After this long a machine is surely in the cloud's list."""
+        self._retention_s = RETENTION_LAGS * list_lag_s + RETENTION_MARGIN_S
+        """Age at which a machine is certain to be in the cloud's list, so that its record is no longer needed."""
         self._slots: dict[int, float] = {}
-        """The records, and the time of day until which each may be needed."""
+        """Slots of the records, and the time of day until which each record may be needed, in seconds."""
 
     async def write(self, offer: InstanceOffer, machines: list[str]) -> None:
-        """Records machines, as far as the write budget allows; an error of the store is logged only."""
+        """Records machines if the write budget allows; a store error is only logged."""
         now = self._wall_clock()
         record = records.to_stored(records.ProvisionRecord(round(now, 1), records.StoredOffer(*offer), machines))
         if len(machines) > 1 and records.json_bytes(record) > self._store.limits.value_bytes:
@@ -45,25 +45,25 @@
         if not self._store.write_budget.try_take(1.0):
             return
         slot = next(n for n in range(len(self._slots) + 1) if self._slots.get(n, 0.0) < now)
-        self._slots[slot] = now + self._listed_after_s
+        self._slots[slot] = now + self._retention_s
         try:
             await self._store.commit({records.provisioned_key(slot): record})
         except TooLargeError:
             self._store.limits.reduce_after_refusal([record], 1)
             await self.write(offer, machines)
         except (ConflictError, UnavailableError, UnknownOutcomeError) as error:
-            log.debug("recording provisioned machines failed: %s", error)
+            log.debug("provision record not written slot=%d machines=%d error=%s", slot, len(machines), error)
 
     def load(self, key: str, value: records.StoredValue) -> None:
-        """Takes in what a former leader provisioned, unless the cloud's list shows it by now."""
-        wall, now = self._wall_clock(), self._clock.seconds()
+        """Adds the machines that a former leader provisioned, unless the cloud's list surely shows them by now."""
+        time_of_day, now = self._wall_clock(), self._clock.seconds()
         record = records.read_provision(value)
         provisioned_at = record.provisioned_at
-        self._slots[int(key[len(records.PROVISIONED) :])] = provisioned_at + self._listed_after_s
-        if wall > provisioned_at + self._listed_after_s:
+        self._slots[int(key[len(records.PROVISIONED) :])] = provisioned_at + self._retention_s
+        if time_of_day > provisioned_at + self._retention_s:
             return
         for machine_id in record.machines:
             machine = self._machines.get_or_create(machine_id)
             offer = record.offer
             machine.type, machine.zone, machine.spot = offer.type, offer.zone, offer.spot
-            machine.provisioned_at = now - max(0.0, wall - provisioned_at)
+            machine.provisioned_at = now - max(0.0, time_of_day - provisioned_at)
--- a/stileloft/machines/registry.py
+++ b/stileloft/machines/registry.py
@@ -8,7 +8,7 @@
 
 
 class MachineRegistry:
-    """Finds machines by name, and takes in new ones. Called with the cluster's lock held."""
+    """Looks up machines by id, and adds new ones. Called with the cluster's lock held."""
 
     def __init__(self, cluster: ClusterState, tokens: FencingTokens, images: ImageLocations, clock: Clock) -> None:
         self._cluster = cluster
@@ -17,7 +17,7 @@
         self._clock = clock
 
     def get_or_create(self, machine_id: str) -> Machine:
-        """The machine of this name, new or known."""
+        """Returns the machine with this id, which is added if the leader does not know it."""
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, first_seen_at=self._clock.seconds(), token=self._tokens.first)
--- a/stileloft/machines/scale_in.py
+++ b/stileloft/machines/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale-in: machines are released to the cloud, and with them all that runs on them."""
+"""Scale-in: releases machines to the cloud, which ends the tasks on them."""
 
 import logging
 from collections.abc import Callable
@@ -18,18 +18,18 @@
 
 log = logging.getLogger(__name__)
 
-BATCH_S = 0.05
-"""Machines to be released are gathered for so long into one request, in seconds."""
+BATCH_DELAY_S = 0.05
+"""How long machines to release are collected into one request, in seconds."""
 REFUSED_RETRY_S = 0.5
-"""Pause while releases are not allowed, in seconds."""
+"""Pause while the leader may not release machines, in seconds."""
 FAILED_RETRY_S = 1.0
-"""Pause after a request that failed, in seconds."""
-REMEMBERED_LEASES = 40.0
-"""Released machines are remembered for so many worker leases: packets held back may come minutes late."""
+"""Pause after a failed request, in seconds."""
+RELEASED_RETENTION_LEASES = 40.0
+"""How long released machines are remembered, in worker leases: delayed packets may arrive minutes late."""
 
 
 class MachineReleaser:
-    """Releases machines; once the cloud has confirmed it, everything on them is gone."""
+    """Releases machines; once the cloud has confirmed a release, no task runs on the machine any more."""
 
     def __init__(
         self,
@@ -56,10 +56,10 @@
         self._request_scheduling = request_scheduling
         self._queue: dict[str, Machine] = {}
         self.released: dict[str, float] = {}
-        """Machines whose release is confirmed, and when."""
+        """Ids of machines whose release the cloud has confirmed, and when, by the leader's clock."""
 
     def release(self, machine: Machine, reason: str) -> None:
-        """Has a machine released."""
+        """Queues a machine for release, unless it is being released; `reason` is its drain reason if it has none."""
         if machine.releasing:
             return
         machine.releasing = True
@@ -70,9 +70,9 @@
             defer.ensureDeferred(self._release_queued())
 
     async def _release_queued(self) -> None:
-        """Releases machines until the queue is empty; many to a request, as the cloud takes few of them."""
+        """Releases machines until the queue is empty, many per request, because the cloud limits the request rate."""
         while self._lease.active and self._queue:
-            await sleep(self._clock, BATCH_S)
+            await sleep(self._clock, BATCH_DELAY_S)
             if self._authority.check_scale_in() is not None:
                 await sleep(self._clock, REFUSED_RETRY_S)
                 continue
@@ -82,7 +82,7 @@
                     [machine.id for machine in batch], lambda: not self._authority.check_scale_in()
                 )
             except CloudError as error:
-                log.debug("scale-in failed machines=%d: %s", len(batch), error)
+                log.debug("scale-in failed machines=%d error=%s", len(batch), error)
                 await sleep(self._clock, FAILED_RETRY_S)
                 self._end_expired_tasks()
                 continue
@@ -90,23 +90,25 @@
                 return
             with self._cluster.lock:
                 for machine in batch:
-                    self._confirm(machine)
+                    self._complete_release(machine)
             self._request_scheduling()
 
     def _end_expired_tasks(self) -> None:
-        """Tasks of a machine that can't be released end with its worker's lease."""
+        """Ends the tasks of machines that cannot be released and whose worker's lease has expired."""
         now = self._clock.seconds()
         with self._cluster.lock:
             for machine in self._queue.values():
                 self._worker_leases.end_expired_tasks(machine, now)
 
-    def _confirm(self, machine: Machine) -> None:
-        """The cloud has confirmed that the machine and everything on it is gone."""
+    def _complete_release(self, machine: Machine) -> None:
+        """Removes a machine whose release the cloud has confirmed, and ends the tasks that were on it."""
         self._queue.pop(machine.id, None)
         now = self.released[machine.id] = self._clock.seconds()
-        while now - self.released[oldest := next(iter(self.released))] > REMEMBERED_LEASES * self._worker_lease_s:
+        while (
+            now - self.released[oldest := next(iter(self.released))] > RELEASED_RETENTION_LEASES * self._worker_lease_s
+        ):
             del self.released[oldest]
         for placement in list(machine.placements.values()):
-            self._lifecycle.end(placement, "its machine was released")
+            self._lifecycle.end(placement, "machine released")
         self._cluster.machines.pop(machine.id, None)
         self._images.machine_released(machine)
--- a/stileloft/machines/scale_out.py
+++ b/stileloft/machines/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out: machines are provisioned from the cloud."""
+"""Scale-out: provisions machines from the cloud."""
 
 import logging
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-NO_CAPACITY_BOOTS = 0.5
-"""How long an offer without capacity is left alone, in boot times of its type."""
-ATTEMPTS = 6
-"""How often a request is tried, with a pause that grows by a second each time."""
+NO_CAPACITY_BACKOFF_BOOT_TIMES = 0.5
+"""Back-off after the cloud had no capacity for an offer, in boot times of the offer's type."""
+MAX_ATTEMPTS = 6
+"""Attempts at one request; the pause between them grows by a second each time."""
 FIRST_RETRY_S = 1.0
 
 
 class MachineProvisioner:
-    """Provisions machines; each request has a name, so that a repetition provisions nothing more."""
+    """Provisions machines; each request has an id, so that a retry provisions no further machines."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         request_prefix: str,
         request_scheduling: Callable[[], None],
     ) -> None:
-        """`request_prefix` keeps the names of requests apart between controllers, restarts and leaderships."""
+        """`request_prefix` makes request ids unique across controllers, restarts and leaderships."""
         self._cluster = cluster
         self._machines = machines
         self._lease = lease
@@ -53,18 +53,18 @@
         self._request_prefix = request_prefix
         self._request_scheduling = request_scheduling
         self.pending: dict[str, tuple[InstanceOffer, int]] = {}
-        """Requests under way: what each asks for, and how many."""
+        """Requests in flight by id: the offer, and the number of machines requested."""
         self._no_capacity_until: dict[InstanceOffer, float] = {}
         self._requests = 0
 
     def offers_without_capacity(self) -> frozenset[InstanceOffer]:
-        """Offers that the cloud had none of lately."""
+        """Returns the offers for which the cloud recently had no capacity."""
         now = self._clock.seconds()
         return frozenset(offer for offer, until in self._no_capacity_until.items() if until > now)
 
     def provision(self, offer: InstanceOffer, wanted: int) -> None:
-        """Begins to provision machines."""
-        # A request for more than the limit would be filled in part, and read as a sign that there are no more of these.
+        """Starts to provision machines."""
+        # A request for more than the limit would be filled in part, which would be taken for a lack of capacity.
         for first in range(0, wanted, PROVISION_LIMIT):
             self._begin_request(offer, min(PROVISION_LIMIT, wanted - first))
 
@@ -77,7 +77,7 @@
     async def _provision(self, request: str, offer: InstanceOffer, count: int) -> None:
         machine_type, zone, spot = offer
         sent_at = self._clock.seconds()
-        machines = await self._ask_cloud(request, offer, count)
+        machines = await self._request_machines(request, offer, count)
         if not self._lease.active:
             return
         with self._cluster.lock:
@@ -94,11 +94,11 @@
             await self._records.write(offer, machines)
         self._request_scheduling()
 
-    async def _ask_cloud(self, request: str, offer: InstanceOffer, count: int) -> list[str]:
-        """The machines that the cloud gives, fewer than wanted if it has no more."""
+    async def _request_machines(self, request: str, offer: InstanceOffer, count: int) -> list[str]:
+        """Returns the ids of the machines that the cloud provisions: fewer than `count` if it lacks capacity."""
         machine_type, zone, spot = offer
-        backoff_s = NO_CAPACITY_BOOTS * self._boots.boot_s(machine_type)
-        for attempt in range(ATTEMPTS):
+        backoff_s = NO_CAPACITY_BACKOFF_BOOT_TIMES * self._boots.boot_s(machine_type)
+        for attempt in range(MAX_ATTEMPTS):
             if self._authority.check_scale_out() is not None:
                 return []
             try:
@@ -109,8 +109,8 @@
                 self._no_capacity_until[offer] = self._clock.seconds() + backoff_s
                 return []
             except CloudError as error:
-                # The same name again: if the first was carried out, nothing more is provisioned.
-                log.info("scale-out failed request=%s attempt=%d: %s", request, attempt + 1, error)
+                # The retry has the same id: if the first request was executed, no further machines are provisioned.
+                log.info("scale-out failed request=%s attempt=%d error=%s", request, attempt + 1, error)
                 await sleep(self._clock, FIRST_RETRY_S + attempt)
                 continue
             if len(machines) < count:
--- a/stileloft/machines/supervisor.py
+++ b/stileloft/machines/supervisor.py
@@ -1,4 +1,4 @@
-"""Watches over the machines: failures, late boots, spot reclaims and drains."""
+"""Supervision of the machines: failures, late boots, spot reclaims and drains."""
 
 from stileloft.jobs.task_lifecycle import TaskLifecycle
 from stileloft.leadership.lease import LeaderLease
@@ -12,7 +12,7 @@
 
 
 class MachineSupervisor:
-    """Decides which machines are given up. Called with the cluster's lock held."""
+    """Decides which machines are released. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -37,9 +37,9 @@
         self._failure_timeout_s = failure_timeout_s
 
     def check(self) -> None:
-        """Releases machines that are silent, never came up or are drained, and evicts from reclaimed ones."""
+        """Releases machines that are silent, did not come up or are drained; evicts tasks from reclaimed ones."""
         if not self._lease.is_held():
-            return  # nothing may be decided now, and heartbeats may be going to another leader
+            return  # without the lease nothing may be decided, and heartbeats may be going to another leader
         now = self._clock.seconds()
         machines = list(self._cluster.machines.values())
         partitioned = self._partitions.is_suspected(machines, now)
@@ -64,7 +64,7 @@
             self._releaser.release(machine, machine.drain_reason)
 
     def _check_boot(self, machine: Machine, now: float) -> None:
-        """A machine that is not up yet: overdue, or given up."""
+        """Marks a machine that is not up yet as overdue, or releases it if it is not expected to come up."""
         self._boots.check(machine, now)
         if self._boots.is_abandoned(machine, now):
             self._releaser.release(machine, "it did not come up")
--- a/stileloft/machines/worker_leases.py
+++ b/stileloft/machines/worker_leases.py
@@ -1,4 +1,4 @@
-"""When the lease of a machine's worker has surely expired, and its tasks with it."""
+"""Expiry of workers' leases, on which workers kill their tasks."""
 
 import logging
 
@@ -14,7 +14,7 @@
 
 
 class WorkerLeases:
-    """Tells of which machines all tasks are certainly killed."""
+    """Finds machines on which all tasks are certain to have been killed, and ends these tasks."""
 
     def __init__(self, lease: LeaderLease, lifecycle: TaskLifecycle, worker_lease_s: float) -> None:
         self._lease = lease
@@ -22,11 +22,11 @@
         self._worker_lease_s = worker_lease_s
 
     def has_expired(self, machine: Machine, now: float) -> bool:
-        """Whether the machine's tasks are certainly killed, as its worker's lease has expired."""
+        """Whether the worker's lease has certainly expired, so that the worker has killed the machine's tasks."""
         margin_s = self._worker_lease_s * (EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
-        # Until the worker is known to have our token, a former leader may answer it without being confirmed,
-        # for its grace. That we answered a heartbeat shows nothing: it may have been an old one, which came just
-        # as our leadership began, and whose worker hears the former leader still.
+        # Until the worker is known to have this leader's token, a former leader may still renew its lease, without a
+        # confirmed leadership, for its renewal grace. An answered heartbeat does not rule this out: it may be a delayed
+        # one that arrived just as this leadership began, from a worker that still reaches the former leader.
         renewed_at = machine.lease_renewed_at
         if not machine.claimed:
             renewed_at = max(renewed_at, self._lease.began_at + self._lease.renewal_grace_s)
@@ -37,4 +37,4 @@
         if machine.placements and self.has_expired(machine, now):
             log.info("lease expired machine=%s epoch=%d tasks=%d", machine.id, machine.epoch, len(machine.placements))
             for placement in list(machine.placements.values()):
-                self._lifecycle.end(placement, "its machine's lease expired")
+                self._lifecycle.end(placement, "worker lease expired")
