--- a/stileloft/controller/__init__.py
+++ b/stileloft/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller process: it composes clients, servers, the election and, while it leads, the leader."""
+"""One controller process: its clients and servers, the election and, while it leads, the leader."""
--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -1,4 +1,4 @@
-"""What a controller tells its operators and its peers, and takes from them."""
+"""The requests of operators and peers that a controller answers on its peer address."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:
     from stileloft.rebuild.service import Rebuild
 
-NEVER_SERVED_S = 1e9
-"""Told in place of an age that has no bound, in seconds."""
+MAX_SERVED_AGE_S = 1e9
+"""Reported in place of an unbounded age, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,10 +44,10 @@
     budgets: StateBudgets
     rebuild: "Rebuild | None"
     leadership_status: Callable[[], dict[str, Any] | None]
-    """What is shown of the leadership; None while this controller doesn't lead."""
+    """Returns the status of the leadership; None while this controller does not lead."""
 
     def status(self) -> dict[str, Any]:
-        """What an operator may ask of this controller."""
+        """Returns the status of this controller for operators."""
         answer: dict[str, Any] = {
             "member": self.member,
             "role": "leader" if self.election.leading else "standby",
@@ -69,9 +69,9 @@
         return answer
 
     def view(self) -> PeerView:
-        """What this controller sees, for a peer that doubts its own view."""
+        """Returns this controller's view of the state service and the machines, which a peer compares with its own."""
         return PeerView(
-            min(self.clock.seconds() - self.clients.state.served_at, NEVER_SERVED_S),
+            min(self.clock.seconds() - self.clients.state.served_at, MAX_SERVED_AGE_S),
             self.referrals.recent(),
             self.member,
             records.NEWEST_FORMAT,
@@ -81,19 +81,19 @@
         )
 
     async def read_settings(self) -> tuple[OperatorSettings, int]:
-        """The operators' settings in the store, and their version (0: never set)."""
+        """Returns the operators' settings in the store, and their version (0: never set)."""
         return await self.operator_settings.read()
 
     async def change_settings(self, settings: OperatorSettings, version: int) -> int:
-        """Replaces the operators' settings of a version; returns the new version."""
+        """Replaces the operators' settings if `version` is the stored one; returns the new version."""
         return await self.operator_settings.change(settings, version)
 
     def rebuild_status(self) -> dict[str, Any] | None:
-        """What is known of the store and of a rebuild; None without the feature."""
+        """Returns the status of the store and of a rebuild; None if the feature is disabled."""
         return None if self.rebuild is None else self.rebuild.status()
 
     def snapshot_piece(self, number: int) -> bytes | None:
-        """A piece of this controller's replica of the store, for a peer that rebuilds it."""
+        """Returns a piece of this controller's replica for a peer that rebuilds the store; None if there is none."""
         return None if self.rebuild is None else self.rebuild.snapshots.piece(number)
 
     def receive_change_notice(self, body: Any) -> bool:
@@ -101,5 +101,5 @@
         return self.rebuild is not None and self.rebuild.receive_change_notice(body)
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Takes an operator's word on unresolved tasks; None if the job has none."""
+        """Applies an operator's decision on a job's unresolved tasks; returns None if the job has none."""
         return None if self.rebuild is None else await self.rebuild.decide(job, task, decision)
--- a/stileloft/controller/budgets.py
+++ b/stileloft/controller/budgets.py
@@ -1,4 +1,4 @@
-"""How a controller shares the state service's limits with the others."""
+"""A controller's share of the state service's rate limits."""
 
 from dataclasses import dataclass
 
@@ -6,18 +6,18 @@
 from stileloft.transport.clock import Clock
 from stileloft.transport.rate_limit import TokenBucket
 
-USER_READS_PART = 0.3
-"""Parts of the state service's limits; with one controller down, the parts of all together stay below it."""
-LEADER_WRITES_PART = 0.7
-USER_WRITES_PART = 0.3
+USER_READS_FRACTION = 0.3
+"""Fractions of the state service's limits; with one controller down, all budgets together stay below the limits."""
+LEADER_WRITES_FRACTION = 0.7
+USER_WRITES_FRACTION = 0.3
 MIN_USER_WRITES_PER_S = 2.0
 USER_BURST_S = 2.0
-"""Users come in bursts: their writes may use up so many seconds' worth at once."""
+"""Users' requests arrive in bursts: their writes may use this many seconds' worth of the rate at once."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateBudgets:
-    """What this controller may ask of the state service."""
+    """Rate limits of this controller's requests to the state service."""
 
     user_reads: TokenBucket
     user_writes: TokenBucket
@@ -25,14 +25,16 @@
 
     @classmethod
     def from_deployment(cls, deployment: Deployment, clock: Clock) -> "StateBudgets":
-        """The budgets that follow from the deployment's limits."""
-        # One controller may be down at any time, and the others then get its users.
-        sharing = max(1, max(1, deployment.size) - 1)
-        least = deployment.state.least()
+        """Returns the budgets for a deployment's limits."""
+        # One controller may be down at any time; the others then serve its users.
+        sharing_controllers = max(1, max(1, deployment.size) - 1)
+        limits = deployment.state.least()
         return cls(
-            user_reads=TokenBucket(clock, least.rps * USER_READS_PART / sharing),
+            user_reads=TokenBucket(clock, limits.rps * USER_READS_FRACTION / sharing_controllers),
             user_writes=TokenBucket(
-                clock, max(MIN_USER_WRITES_PER_S, least.write_rps * USER_WRITES_PART / sharing), USER_BURST_S
+                clock,
+                max(MIN_USER_WRITES_PER_S, limits.write_rps * USER_WRITES_FRACTION / sharing_controllers),
+                USER_BURST_S,
             ),
-            leader_writes=TokenBucket(clock, least.write_rps * LEADER_WRITES_PART),
+            leader_writes=TokenBucket(clock, limits.write_rps * LEADER_WRITES_FRACTION),
         )
--- a/stileloft/controller/clients.py
+++ b/stileloft/controller/clients.py
@@ -18,22 +18,22 @@
 CBOR = b"application/cbor"
 JSON = b"application/json"
 WORKER_TIMEOUT_S = 4.0
-"""A worker drops answers after so long, so waiting longer for one of its own has no use."""
+"""Workers drop answers after this time, so waiting longer for an answer from a worker is useless."""
 STATE_TIMEOUT_S = 1.5
 CLOUD_TIMEOUT_S = 5.0
 PEER_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 2.0
 WORKER_CONNECT_TIMEOUT_S = 1.0
-IDLE_S = 60.0
-"""How long an unused connection is kept, in seconds."""
-CONNECTIONS_TO_SERVICES = 8
-CLOUD_BUDGET_PART = 0.75
-"""The leader's part of the cloud's limit; the others ask for prices, and a former leader may ask a little."""
+IDLE_TIMEOUT_S = 60.0
+"""How long an unused connection is kept open, in seconds."""
+MAX_CONNECTIONS_PER_SERVICE = 8
+CLOUD_BUDGET_FRACTION = 0.75
+"""The leader's fraction of the cloud's limit; the rest is for price reads of the others, and for a former leader."""
 
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """Everything that a controller asks others with."""
+    """The clients for all services that a controller uses."""
 
     state: StateClient
     cloud: CloudClient
@@ -44,9 +44,9 @@
 def make_clients(
     clock: Clock, settings: Settings, connect: Callable[..., Any], keep_worker_connection: Callable[[], bool]
 ) -> Clients:
-    """Makes the clients; `connect` makes a pooled HTTP client, for which tests have a fake.
+    """Creates the clients; `connect` creates a pooled HTTP client, which tests replace by a fake.
 
-    `keep_worker_connection` says whether a connection to a worker is kept once its request is answered.
+    `keep_worker_connection` returns whether a connection to a worker is kept open after its request is answered.
     """
     external, cloud_limits = settings.external, settings.deployment.cloud
     services = connect(
@@ -54,9 +54,9 @@
         messages.encode,
         messages.decode,
         CBOR,
-        per_host=CONNECTIONS_TO_SERVICES,
+        per_host=MAX_CONNECTIONS_PER_SERVICE,
         connect_s=CONNECT_TIMEOUT_S,
-        idle_s=IDLE_S,
+        idle_s=IDLE_TIMEOUT_S,
     )
     workers = connect(
         clock,
@@ -65,14 +65,16 @@
         CBOR,
         per_host=1,
         connect_s=WORKER_CONNECT_TIMEOUT_S,
-        idle_s=IDLE_S,
+        idle_s=IDLE_TIMEOUT_S,
         keep=keep_worker_connection,
     )
-    peers = connect(clock, orjson.dumps, orjson.loads, JSON, per_host=1, connect_s=PEER_TIMEOUT_S, idle_s=IDLE_S)
+    peers = connect(
+        clock, orjson.dumps, orjson.loads, JSON, per_host=1, connect_s=PEER_TIMEOUT_S, idle_s=IDLE_TIMEOUT_S
+    )
     return Clients(
         state=StateClient(clock, services, external.state, STATE_TIMEOUT_S),
         cloud=CloudClient(
-            services, external.cloud, CLOUD_TIMEOUT_S, TokenBucket(clock, cloud_limits.rps * CLOUD_BUDGET_PART)
+            services, external.cloud, CLOUD_TIMEOUT_S, TokenBucket(clock, cloud_limits.rps * CLOUD_BUDGET_FRACTION)
         ),
         peers=PeerClient(peers, [peer.address for peer in settings.peers], PEER_TIMEOUT_S),
         workers=WorkerClient(workers, WORKER_TIMEOUT_S),
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: it composes clients, servers, the election and, while it leads, the leader."""
+"""One controller process: its clients and servers, the election and, while it leads, the leader."""
 
 import logging
 import os
@@ -46,18 +46,18 @@
 
 log = logging.getLogger(__name__)
 
-LEADER_LEASE_PART = 0.1
-"""The leader's lease, as a part of the workers'."""
+LEADER_LEASE_FRACTION = 0.1
+"""The leader's lease, as a fraction of the workers' lease."""
 CLAIMING_LEASES = 0.5
-"""A new leader claims machines before their workers have come to it: for so long, in the workers' leases."""
-IDLE_LEASES = 4
-"""Unused connections to the servers are kept for so long, in the workers' leases."""
-BACKLOG_FRACTION = 4
-"""One part in so many of the sockets may wait to be accepted."""
+"""How long a new leader claims machines whose workers have not turned to it yet, in worker leases."""
+IDLE_TIMEOUT_LEASES = 4
+"""How long unused connections to the servers are kept open, in worker leases."""
+BACKLOG_DIVISOR = 4
+"""The listen backlog is the limit on sockets divided by this."""
 
 
 class Controller:
-    """Everything of one process."""
+    """The clients, servers and background work of one process."""
 
     def __init__(
         self,
@@ -67,17 +67,17 @@
         connect: Callable[..., Any] = Client,
         features: Features | None = None,
     ) -> None:
-        """`connect` makes a pooled HTTP client; tests put a fake there."""
+        """`connect` creates a pooled HTTP client, which tests replace by a fake."""
         self.features = features or Features()
         self.reactor = reactor
         self.settings = settings
         self.wall_clock = wall_clock
         self.nonce = secrets.token_hex(8)
-        """Tells this process from others that ran as the same member."""
+        """Distinguishes this process from others that ran as the same member."""
         self.leader: Leader | None = None
         self.invariants = InvariantMonitor()
         timings = settings.deployment.workers
-        self._leader_lease_s = timings.lease_s * LEADER_LEASE_PART
+        self._leader_lease_s = timings.lease_s * LEADER_LEASE_FRACTION
         self.renewal_grace_s = renewal_grace(timings, self._leader_lease_s, STATE_TIMEOUT_S)
         self._build_clients(connect)
         self._build_store()
@@ -87,7 +87,7 @@
     # -- composition ------------------------------------------------------------------
 
     def _build_clients(self, connect: Callable[..., Any]) -> None:
-        """What others are asked with, and how much."""
+        """Builds the clients, and the limits on their requests and sockets."""
         deployment = self.settings.deployment
         self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
@@ -97,7 +97,7 @@
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
 
     def _build_store(self) -> None:
-        """What is known of the store and of its records, and what users ask of it."""
+        """Builds what follows the store and its records, and what serves users' requests."""
         deployment = self.settings.deployment
         self.record_format = RecordFormat(deployment.state)
         self.record_format.on_advance = self._on_format_advance
@@ -111,13 +111,13 @@
             self.record_format,
             self.reactor,
             self.wall_clock,
-            self._on_cancelled_here,
+            self._on_local_cancellation,
         )
 
     def _rebuild_feature(self) -> "Rebuild | None":
         if not self.features.rebuild.enabled:
             return None
-        # Imported here, as its library takes memory that controllers without the feature have no use for.
+        # Imported here, because its library takes memory that controllers without the feature do not need.
         from stileloft.rebuild.environment import RebuildEnvironment
         from stileloft.rebuild.service import Rebuild
 
@@ -167,15 +167,15 @@
             lambda: None if self.leader is None else self.leader.status(),
         )
 
-    # -- life -------------------------------------------------------------------------
+    # -- lifecycle --------------------------------------------------------------------
 
     def start(self) -> None:
-        """Serves, and begins the background work."""
+        """Starts the servers and the background work."""
         self.serve()
         self.begin()
 
     def begin(self) -> None:
-        """Begins the background work: what is followed in the store and the cloud, and the election."""
+        """Starts the background work: watches of the store and the cloud, and the election."""
         defer.ensureDeferred(self.catalog.run())
         defer.ensureDeferred(self.operator_settings.run())
         defer.ensureDeferred(self.record_format.follow(self.clients.state, self.reactor))
@@ -185,7 +185,7 @@
             self.rebuild.run()
 
     def serve(self) -> None:
-        """Listens on the public and on the peer address."""
+        """Listens on the public address and on the peer address."""
         public = PublicResources(self.admission, self.handle_heartbeat, self.healthy)
         self._listen(
             self.settings.listen,
@@ -199,41 +199,42 @@
 
     def _listen(self, address: str, router: Router) -> None:
         host, port = split_address(address)
-        idle_s = IDLE_LEASES * self.settings.deployment.workers.lease_s
-        # All workers may come at once, to a new leader or after a restart, and are taken in within moments. While
-        # the process stands still those that wait fill up, and the rest is wanted for its own when it goes on.
-        backlog = self.settings.deployment.quota.max_sockets // BACKLOG_FRACTION
+        idle_s = IDLE_TIMEOUT_LEASES * self.settings.deployment.workers.lease_s
+        # All workers may connect at once, to a new leader or after a restart, and are accepted within moments. While
+        # the process is paused the backlog fills up, and the process needs the other sockets for its own connections
+        # when it resumes.
+        backlog = self.settings.deployment.quota.max_sockets // BACKLOG_DIVISOR
         self.reactor.listenTCP(port, make_site(router, idle_s), interface=host, backlog=backlog)
 
     def sleep(self, seconds: float) -> defer.Deferred[None]:
-        """A pause on this controller's clock."""
+        """Waits for a time on this controller's clock."""
         return sleep(self.reactor, seconds)
 
     def in_thread(self, function: Callable[..., Any], *arguments: Any) -> defer.Deferred[Any]:
-        """Calls a function in a thread of its own."""
+        """Calls a function in a thread of the reactor's pool."""
         return threads.deferToThread(function, *arguments)
 
     # -- connections --------------------------------------------------------------------
 
     def healthy(self) -> bool:
-        """Whether the load balancer should send users here."""
+        """Whether the load balancer should send users to this controller."""
         return bool(self.catalog.types) and not self.state_service_check.is_refused
 
     def keep_request_connection(self, path: str) -> bool:
-        """Whether a connection on which something was asked here is kept once that is answered."""
+        """Whether an incoming connection is kept open after a request to `path` is answered."""
         if path != HEARTBEAT_PATH:
             return self.sockets.keeps_users()
-        # Workers leave a controller that does not lead by themselves.
+        # Workers themselves disconnect from a controller that does not lead.
         return self.leader is None or self.sockets.keeps_heartbeats(len(self.leader.cluster.machines))
 
     def keep_worker_connection(self) -> bool:
-        """Whether a connection to a worker is kept once its request is answered."""
+        """Whether a connection to a worker is kept open after its request is answered."""
         leader, deployment = self.leader, self.settings.deployment
         if leader is not None:
             leading_s = self.reactor.seconds() - leader.lease.began_at
             is_claiming = leading_s < CLAIMING_LEASES * deployment.workers.lease_s
             if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
-                return False  # the sockets will be wanted by the workers themselves
+                return False  # the workers' own connections will need the sockets
         return self.sockets.keeps_commands()
 
     # -- leadership ---------------------------------------------------------------------
@@ -245,7 +246,7 @@
             self.begin_leading(token)
 
     def begin_leading(self, token: int) -> None:
-        """Leads, with a store whose records are all there."""
+        """Starts to lead, with a store that has all its records."""
         lease = LeaderLease(self.election, self.reactor, self.renewal_grace_s)
         tokens = FencingTokens(token, self.election.key_version)
         self.leader = Leader(self._leader_environment(), lease, tokens)
@@ -281,20 +282,20 @@
         if self.leader is not None:
             self.leader.upgrade.format_changed()
 
-    def _on_cancelled_here(self, job: str, revision: int) -> None:
-        """A user of this controller has cancelled a job: as the leader we know it at once, not with the next watch."""
+    def _on_local_cancellation(self, job: str, revision: int) -> None:
+        """Passes a cancellation that this controller wrote to the leader here, before the watch reports it."""
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> Response:
-        """A worker's heartbeat: answered by the leader, referred to it by the others."""
+        """Answers a worker's heartbeat if this controller leads; otherwise refers the worker to the leader."""
         self.integrity.observe_token(heartbeat.token)
         answer = None if self.rebuild is None else self.rebuild.on_heartbeat(heartbeat)
         if answer is not None:
             return answer
         leader = self.leader
         if leader is not None and leader.tokens.is_later(heartbeat.token):
-            self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
+            self.election.suspect(f"machine {heartbeat.machine} has later token {heartbeat.token}")
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
--- a/stileloft/controller/operator_settings.py
+++ b/stileloft/controller/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operators' own settings, kept in the state service and in force on all controllers."""
+"""The operators' settings, stored in the state service and in force on all controllers."""
 
 import logging
 
@@ -20,37 +20,39 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_S = 30.0
-"""How long one watch of the settings waits, in seconds."""
+WATCH_TIMEOUT_S = 30.0
+"""How long one watch of the settings waits for a change, in seconds."""
 RETRY = RetryPolicy(
-    (TemporarilyUnavailableError, UnavailableError, UnknownOutcomeError, CompactedError), WATCH_S / 10, WATCH_S / 10
+    (TemporarilyUnavailableError, UnavailableError, UnknownOutcomeError, CompactedError),
+    WATCH_TIMEOUT_S / 10,
+    WATCH_TIMEOUT_S / 10,
 )
 
 
 class OperatorSettingsStore:
-    """Follows the settings in the store, and changes them."""
+    """Follows the operators' settings in the store, and changes them."""
 
     def __init__(self, state: StateClient, integrity: StoreIntegrity, clock: Clock) -> None:
         self._state = state
         self._integrity = integrity
         self._clock = clock
         self.current = OperatorSettings()
-        """The settings in force, as far as this controller knows."""
+        """The newest settings that this controller has read or written."""
 
     async def run(self) -> None:
-        """Follows the settings as they change, for as long as the process lives."""
-        await repeat("operators' settings", self._read_and_watch, RETRY, self._clock)
+        """Follows changes of the settings for the lifetime of the process."""
+        await repeat("operator settings watch", self._read_and_watch, RETRY, self._clock)
 
     async def _read_and_watch(self) -> None:
         settings, version = await self.read()
         if self._integrity.is_sound():
             self.current = settings
-        await self._state.watch(records.SETTINGS, version or 1, WATCH_S)
+        await self._state.watch(records.SETTINGS, version or 1, WATCH_TIMEOUT_S)
 
     async def read(self) -> tuple[OperatorSettings, int]:
-        """The settings in the store, and their version (0: never set).
+        """Returns the settings in the store, and their version (0: never set).
 
-        Raises `TemporarilyUnavailableError` while the state service can't be asked.
+        Raises `TemporarilyUnavailableError` if the state service does not answer.
         """
         try:
             found = await self._state.get(records.SETTINGS)
@@ -61,15 +63,15 @@
         try:
             return parse_operator_settings(found[0]), found[1]
         except InvalidSettingsError as error:
-            # Written by another version of the program: its own defaults are safer than a guess.
-            log.error("stored operators' settings unusable version=%d: %s", found[1], error)  # noqa: TRY400 - expected: the text says all
+            # Another version of the program wrote the settings: the defaults are safer than a guess at their meaning.
+            log.error("stored operator settings invalid version=%d error=%s", found[1], error)  # noqa: TRY400 - expected error, no traceback
             return OperatorSettings(), found[1]
 
     async def change(self, settings: OperatorSettings, version: int) -> int:
-        """Replaces the settings of a version; returns the new version.
+        """Replaces the settings if `version` is the stored one; returns the new version.
 
-        Raises `StaleVersionError` if they have changed since, and `TemporarilyUnavailableError` if they can't be
-        changed now.
+        Raises `StaleVersionError` if another version is stored, and `TemporarilyUnavailableError` if the state service
+        does not answer or lost records are being rebuilt.
         """
         if not self._integrity.is_sound():
             raise TemporarilyUnavailableError("lost records are being rebuilt")
@@ -82,6 +84,6 @@
             raise StaleVersionError from None
         except (UnavailableError, UnknownOutcomeError) as error:
             raise TemporarilyUnavailableError(f"state service: {error}") from None
-        log.info("operators' settings changed version=%d settings=%s", changed, settings)
+        log.info("operator settings changed version=%d settings=%s", changed, settings)
         self.current = settings
         return changed
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -1,4 +1,4 @@
-"""Whether the state service serves this controller as it serves the others."""
+"""Detection of a state service that serves the other controllers but not this one."""
 
 import logging
 
@@ -11,15 +11,15 @@
 
 log = logging.getLogger(__name__)
 
-SERVED_S = 2.0
-"""A request that was executed within this time shows that the service serves us, in seconds."""
-ISOLATED_S = 3 * SERVED_S
-"""A controller that neither the state service nor any peer answers for so long sends users elsewhere, in seconds."""
+SERVED_WINDOW_S = 2.0
+"""A request executed within this time shows that the service serves this controller, in seconds."""
+ISOLATION_TIMEOUT_S = 3 * SERVED_WINDOW_S
+"""Time without an answer from the service or any peer after which a controller turns users away, in seconds."""
 RETRY = RetryPolicy((), 0.0, 0.0)
 
 
 class StateServiceCheck:
-    """Probes the service now and then, and compares with what the other controllers say."""
+    """Probes the state service, and compares its answers with the other controllers' views of it."""
 
     def __init__(self, clock: Clock, state: StateClient, peers: PeerClient) -> None:
         self._clock = clock
@@ -27,22 +27,22 @@
         self._peers = peers
         self._failing_since: float | None = None
         self.is_refused = False
-        """The state service serves other controllers, but not this one."""
+        """Whether the service serves other controllers but not this one, or this controller is isolated."""
 
     def is_served(self) -> bool:
-        """Whether the state service has executed a request of ours lately."""
-        return self._clock.seconds() - self._state.served_at < SERVED_S
+        """Whether the state service has recently executed a request of this controller."""
+        return self._clock.seconds() - self._state.served_at < SERVED_WINDOW_S
 
     async def run(self) -> None:
-        """Finds out whether the state service serves the others and not us, for as long as the process lives.
+        """Checks for the lifetime of the process whether the state service serves other controllers but not this one.
 
-        Users are then better off elsewhere. In an outage for all they are not: a controller that was called unhealthy
-        gets no users for some seconds more.
+        If so, the other controllers can serve the users. In an outage that affects all controllers they cannot, and a
+        controller that was reported unhealthy would get no users for some seconds after the outage.
         """
         await repeat("state service check", self._wait_and_check, RETRY, self._clock)
 
     async def _wait_and_check(self) -> None:
-        await sleep(self._clock, SERVED_S / 2)
+        await sleep(self._clock, SERVED_WINDOW_S / 2)
         try:
             if not self.is_served():
                 await self._state.get(records.LEADER)
@@ -51,16 +51,16 @@
             now = self._clock.seconds()
             if self._failing_since is None:
                 self._failing_since = now
-            await self._ask_peers(now, self._failing_since)
+            await self._compare_with_peers(now, self._failing_since)
 
-    async def _ask_peers(self, now: float, failing_since: float) -> None:
-        """Compares with what the other controllers say, once our own requests fail."""
+    async def _compare_with_peers(self, now: float, failing_since: float) -> None:
+        """Compares with the other controllers' views, after a request of this controller has failed."""
         views = await self._peers.views()
-        # Being served before our own failures began says nothing: the outage may be for all.
+        # Peers that were served only before this controller's failures began prove nothing: the outage may affect all.
         refused = any(view.served_ago_s < now - failing_since for view in views)
         if refused and not self.is_refused:
-            log.info("state service refuses this controller and serves others")
-        if not views and self._peers.addresses and now - failing_since > ISOLATED_S:
-            # Cut off, rather than in an outage: others can serve our users.
+            log.info("state service serves only other controllers failing_for_s=%.1f", now - failing_since)
+        if not views and self._peers.addresses and now - failing_since > ISOLATION_TIMEOUT_S:
+            # This controller is isolated, rather than in an outage of the service: others can serve its users.
             refused = True
         self.is_refused = refused
