--- a/stileloft/model/__init__.py
+++ b/stileloft/model/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, tasks, machines and teams as the leader knows them, and how they are stored."""
+"""The leader's in-memory model of jobs, tasks, machines and teams, and its stored form."""
--- a/stileloft/model/chunk_records.py
+++ b/stileloft/model/chunk_records.py
@@ -1,4 +1,4 @@
-"""Chunks to and from their stored forms."""
+"""Conversion of chunks to and from their stored forms."""
 
 from collections.abc import Iterable, Mapping
 
@@ -27,7 +27,7 @@
 
 
 def inline_chunk(chunk: Chunk) -> InlineChunk:
-    """The form in which a job's record holds its only chunk."""
+    """Returns the form in which a job's record holds its only chunk."""
     completed = {p.index for p in chunk.ended_placements() if p.done}
     return InlineChunk(
         attempt=chunk.attempt,
@@ -37,12 +37,12 @@
 
 
 def stored_placement(placement: Placement) -> StoredPlacement:
-    """The stored form of a placement."""
+    """Returns the stored form of a placement."""
     return StoredPlacement(placement.attempt, placement.machine, placement.zone, int(placement.spot))
 
 
 def chunk_record(content: InlineChunk, spec: JobSpec, chunk_size: int | None) -> ChunkRecord:
-    """The main record of a chunk with this content; `chunk_size` is None before format 1."""
+    """Returns the main record of a chunk with this content; `chunk_size` is None before format 1."""
     return ChunkRecord(
         resources=TaskResources(spec.team, spec.cpus, spec.gpus or 0.0, spec.memory_gb),
         attempt=content.attempt,
@@ -53,12 +53,12 @@
 
 
 def whole_chunk_value(chunk: Chunk, spec: JobSpec, chunk_size: int | None) -> StoredValue:
-    """The chunk as one record, however large."""
+    """Returns the chunk as one record, regardless of the limit on values."""
     return to_stored(chunk_record(inline_chunk(chunk), spec, chunk_size))
 
 
 def chunk_values(chunk: Chunk, spec: JobSpec, chunk_size: int, value_bytes: int) -> list[StoredValue]:
-    """The chunk's main record and the overflow records that it takes, each within the limit."""
+    """Returns the chunk's main record and the overflow records that it needs, each of at most `value_bytes`."""
     record = chunk_record(inline_chunk(chunk), spec, chunk_size)
     whole = to_stored(record)
     if _max_chunk_bytes(chunk, spec, chunk_size) <= value_bytes or json_bytes(whole) <= value_bytes:
@@ -72,7 +72,7 @@
 def _pack(
     placements: Mapping[int, StoredPlacement], main_room: int, value_bytes: int
 ) -> list[dict[int, StoredPlacement]]:
-    """Placements in groups, the first of which fits into the main record and each other into an overflow record."""
+    """Splits placements into groups: the first fits into the main record, each other one into an overflow record."""
     groups: list[dict[int, StoredPlacement]] = [{}]
     room = main_room
     for index, placement in placements.items():
@@ -86,34 +86,34 @@
 
 
 def detached_chunk_record(spec: JobSpec, inline: StoredValue, chunk_size: int | None) -> StoredValue:
-    """The main record of a chunk that a job's record held."""
+    """Returns the main record of a chunk that was stored in a job's record."""
     content = read_inline(inline)
     return to_stored(chunk_record(content, spec, chunk_size))
 
 
 def max_placements_bytes(placements: Iterable[Placement]) -> int:
-    """No less than placements take in a record, found without encoding them."""
+    """Returns an upper bound of the bytes that placements take in a record, without encoding them."""
     return sum(MAX_PLACEMENT_OVERHEAD_BYTES + max_text_bytes(p.machine) + max_text_bytes(p.zone) for p in placements)
 
 
 def _max_chunk_bytes(chunk: Chunk, spec: JobSpec, chunk_size: int) -> int:
-    """No less than a chunk takes as one record, found without encoding its placements."""
+    """Returns an upper bound of the bytes of a chunk as one record, without encoding its placements."""
     empty = chunk_record(InlineChunk(attempt=chunk.attempt), spec, chunk_size)
     ranges = len(chunk.done) + len(chunk.placements)
     return json_bytes(to_stored(empty)) + max_placements_bytes(chunk.placements.values()) + MAX_RANGE_BYTES * ranges
 
 
-def load_inline_chunk(job: str, inline: InlineChunk, known: Chunk | None) -> Chunk:
-    """The chunk that a job's record holds."""
+def load_inline_chunk(job: str, inline: InlineChunk, previous: Chunk | None) -> Chunk:
+    """Returns the chunk that a job's record holds; unchanged placements of `previous` are reused."""
     chunk = Chunk(attempt=inline.attempt, done=from_ranges(inline.done), storage=ChunkStorage.INLINE)
-    chunk.placements = _load_placements(job, inline.placements, known)
+    chunk.placements = _load_placements(job, inline.placements, previous)
     return chunk
 
 
-def load_chunk(job: str, versioned: Mapping[int, VersionedValue], known: Chunk | None) -> Chunk:
-    """A chunk of its records' values and versions, by overflow number; what is known of its tasks is kept.
+def load_chunk(job: str, versioned: Mapping[int, VersionedValue], previous: Chunk | None) -> Chunk:
+    """Returns a chunk from its records, by overflow number; unchanged placements of `previous` are reused.
 
-    Overflow records may be there without the main one.
+    Overflow records may exist without the main record.
     """
     main = versioned.get(0, NO_RECORD)
     record = read_chunk(main.value)
@@ -125,16 +125,16 @@
         if number:
             chunk.overflow[number] = stored
             placements |= read_overflow(stored.value).placements
-    chunk.placements = _load_placements(job, placements, known)
+    chunk.placements = _load_placements(job, placements, previous)
     return chunk
 
 
-def _load_placements(job: str, stored: Mapping[int, StoredPlacement], known: Chunk | None) -> dict[int, Placement]:
-    """Placements as stored; those that are known and unchanged stay the objects that they are."""
-    known_placements = known.placements if known else {}
+def _load_placements(job: str, stored: Mapping[int, StoredPlacement], previous: Chunk | None) -> dict[int, Placement]:
+    """Returns the stored placements; the objects in `previous` are reused for those that have not changed."""
+    previous_placements = previous.placements if previous else {}
     placements: dict[int, Placement] = {}
     for index, new in stored.items():
-        old = known_placements.get(index)
+        old = previous_placements.get(index)
         if old is not None and old.attempt == new.attempt and old.machine == new.machine:
             if old.state == PlacementState.PLANNED:
                 old.state = PlacementState.BOUND
--- a/stileloft/model/chunks.py
+++ b/stileloft/model/chunks.py
@@ -1,4 +1,4 @@
-"""Ranges of a job's task numbers that are stored together."""
+"""Chunks: ranges of a job's task numbers that are stored together."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -12,34 +12,34 @@
 
     NOT_STORED = auto()
     INLINE = auto()
-    """In the job's own record."""
+    """In the job's record."""
     OWN_RECORDS = auto()
 
 
 NO_RECORD = VersionedValue({}, 0)
-"""In place of a record that the store does not hold."""
+"""Stands for a record that the store does not hold."""
 
 
 @dataclass(slots=True)
 class Chunk:
-    """A range of a job's task numbers: finished tasks, placements, and what the store holds of them."""
+    """A range of a job's task numbers: its finished tasks and placements, and what the store holds of them."""
 
     version: int = 0
-    """The version of its main record; 0 if there is none."""
+    """Version of the main record in the store; 0 if there is none."""
     attempt: int = 0
-    """The highest attempt that was given to one of its tasks."""
+    """Highest attempt number that was given to one of the chunk's tasks."""
     done: set[int] = field(default_factory=set)
     placements: dict[int, Placement] = field(default_factory=dict)
     dirty: bool = False
-    """Whether it differs from what the store holds, as far as known."""
+    """Whether the chunk has changes that are not known to be stored."""
     storage: ChunkStorage = ChunkStorage.NOT_STORED
     overflow: dict[int, VersionedValue] = field(default_factory=dict)
-    """Its overflow records in the store, by their numbers."""
+    """Overflow records in the store, by number."""
 
     def live_placements(self) -> list[Placement]:
-        """Placements whose tasks may still be on their machines."""
+        """Returns the placements whose tasks may still be on their machines."""
         return [p for p in self.placements.values() if p.state != PlacementState.ENDED]
 
     def ended_placements(self) -> list[Placement]:
-        """Placements whose tasks are certainly gone, and which the store may still hold."""
+        """Returns the placements whose tasks are certainly off their machines; the store may still hold them."""
         return [p for p in self.placements.values() if p.state == PlacementState.ENDED]
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -1,4 +1,4 @@
-"""The leader's state of the cluster: jobs, machines, nominations, and what has to be written of them."""
+"""The leader's state of the cluster: jobs, machines, nominations, and which jobs have unwritten changes."""
 
 import itertools
 import threading
@@ -12,66 +12,66 @@
 
 
 class ClusterState:
-    """What a leader knows of the cluster. Data only, without I/O; all access is under the lock."""
+    """The leader's in-memory state of the cluster, without I/O. Every access is made with the lock held."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        """Held for every access; never over I/O."""
+        """Held during every access, and never during I/O."""
         self.loaded = False
-        """Whether the store was read since the leadership began."""
+        """Whether the store has been read since the leadership began."""
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.dirty: dict[str, None] = {}
-        """Jobs of which something may have to be written, in the order in which they changed."""
+        """Ids of jobs that may have unwritten changes, in the order in which they changed."""
         self.nominations: dict[TaskKey, Nomination] = {}
-        """Room that is being made on a machine for a task."""
+        """Room that is being made on machines, by the task that it is for."""
         self.placement_backoff: dict[tuple[str, str], float] = {}
-        """Pairs of job and machine that are not to be tried again, and until when."""
-        self._write_orders = itertools.count(1)
+        """Time until which no task of a job is placed on a machine, by the ids of both."""
+        self._write_order = itertools.count(1)
 
     def mark_dirty(self, job: Job) -> None:
-        """Has something of the job written without waiting for more."""
+        """Marks a job as changed, to be written without waiting for further changes."""
         if not job.write.flush_now:
-            job.write.order = next(self._write_orders)
+            job.write.order = next(self._write_order)
         job.write.dirty = job.write.flush_now = True
         self.dirty[job.id] = None
 
     def mark_counts_dirty(self, job: Job) -> None:
-        """Has it checked whether the counts that users see of the job have changed."""
+        """Schedules a check whether the job's counts that users see have changed."""
         if job.id not in self.dirty:
-            job.write.order = next(self._write_orders)
+            job.write.order = next(self._write_order)
             self.dirty[job.id] = None
 
     def dirty_jobs(self) -> list[Job]:
-        """Jobs of which something may have to be written."""
-        found = []
+        """Returns the jobs that may have unwritten changes."""
+        jobs = []
         for job_id in list(self.dirty):
             job = self.jobs.get(job_id)
             if job is None:
                 self.dirty.pop(job_id, None)
             else:
-                found.append(job)
-        return found
+                jobs.append(job)
+        return jobs
 
     def blocks_starts(self, job_id: str) -> bool:
-        """Whether nothing of the job may be started, as it has ended or is being read again."""
+        """Whether no task of the job may be started, because the job has ended or is being reloaded."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None or job.reload_pending
 
     def job_has_ended(self, job_id: str) -> bool:
-        """Whether the job is known to be over, so that nothing of it may run or start."""
+        """Whether the job is known to have ended, so that none of its tasks may run or start."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None
 
     def orphaned_task_names(self) -> set[str]:
-        """Tasks that are on a machine where the store does not place them: they are not started elsewhere meanwhile.
+        """Returns the names of the orphaned tasks, which are not started elsewhere while they are on a machine.
 
-        Derived from the machines each time: a copy could outlive a machine, and block its tasks for good.
+        Computed from the machines on each call: a separate copy could outlive a machine, and block its tasks forever.
         """
         return {task for machine in self.machines.values() if machine.orphaned_tasks for task in machine.orphaned_tasks}
 
     def usage(self, teams: Iterable[str]) -> dict[str, QuotaUsage]:
-        """What each team's tasks take, placed and orphaned ones."""
+        """Returns the resources that each team's placed and orphaned tasks use."""
         usage = {name: QuotaUsage() for name in teams}
         for machine in self.machines.values():
             for orphan in machine.orphaned_tasks.values():
@@ -88,7 +88,7 @@
             del self.nominations[key]
 
     def remove_job(self, job_id: str) -> None:
-        """Removes a job of which nothing is left."""
+        """Removes an ended job, with its nominations and back-offs."""
         self.jobs.pop(job_id, None)
         self.dirty.pop(job_id, None)
         for key in [k for k in self.nominations if k[0] == job_id]:
--- a/stileloft/model/drain_reason.py
+++ b/stileloft/model/drain_reason.py
@@ -1,12 +1,12 @@
-"""Why machines are drained."""
+"""Reasons for draining machines."""
 
 from enum import StrEnum
 
 
 class DrainReason(StrEnum):
-    """Why nothing more is started on a machine; shown to operators."""
+    """Why no more tasks are started on a machine; operators see the value in the status."""
 
     RECLAIMED = "taken away"
-    """The cloud has announced that it takes the spot instance away."""
+    """The cloud has announced that it will reclaim the spot instance."""
     SLOW = "it is slow"
     FAULTY = "it fails tasks"
--- a/stileloft/model/gangs.py
+++ b/stileloft/model/gangs.py
@@ -1,8 +1,9 @@
 """Gang scheduling: all tasks of such a job run at the same time, or none does.
 
-What becomes of a gang follows from the placements that are stored. Its tasks get one attempt number and are started
-once all of them are placed; when one of them is lost, the rest is stopped, and the whole comes again under a higher
-number after every old task is surely off its machine. So a new leader never has to guess whether a part was started.
+The state of a gang follows from its stored placements. Its tasks share one attempt number, and are started once all of
+them are placed. When one task is lost, the others are stopped; once every old task is certainly off its machine, the
+whole gang is placed again under a higher attempt number. So a new leader never has to guess whether some of the tasks
+were started.
 """
 
 import enum
@@ -12,22 +13,22 @@
 
 
 class Stage(enum.Enum):
-    """How far a gang is."""
+    """The state of a gang."""
 
     WAITING = "waiting"
-    """Nothing of it is placed."""
+    """None of its tasks is placed."""
     BINDING = "binding"
-    """All of it is placed, but not all of that is stored."""
+    """All its tasks are placed, but not all placements are stored."""
     WHOLE = "whole"
-    """All of it is placed in the store under one attempt: its tasks may be started."""
+    """All its placements are stored, under one attempt number: its tasks may be started."""
     BROKEN = "broken"
-    """Some of it is missing: what is left has to go."""
+    """Some of its tasks are missing: the others have to be stopped."""
     COMPLETED = "completed"
-    """One of its tasks is done, and so all are."""
+    """One of its tasks is done, which completes all of them."""
 
 
 def stage(job: Job) -> Stage:
-    """How far a gang is, by its placements."""
+    """Returns the state of a gang, by its placements."""
     placements = list(job.placements())
     if job.done or any(p.done for p in placements):
         return Stage.COMPLETED
@@ -43,21 +44,24 @@
 
 
 def is_completed(job: Job) -> bool:
-    """Whether one task of the gang is done, and so all are."""
+    """Whether one task of the gang is done, which completes all of them."""
     return stage(job) is Stage.COMPLETED
 
 
 def may_start(job: Job) -> bool:
-    """Whether a task of the job may be started: one of a gang only with all the others."""
+    """Whether tasks of the job may be started; those of a gang only once all their placements are stored."""
     return not job.spec.is_gang or stage(job) is Stage.WHOLE
 
 
 def remaining_placements(job: Job) -> list[Placement]:
-    """What is still placed of a gang that has lost a task."""
+    """Returns the placements that remain of a gang that has lost a task; none for any other job."""
     return [p for p in job.placements() if p.state != PlacementState.ENDED] if stage(job) is Stage.BROKEN else []
 
 
 def next_attempt(job: Job) -> int:
-    """Members find each other by a common attempt, which is above all that any had."""
+    """Returns the attempt number for the next placement of a gang's task.
+
+    The tasks of a gang find each other by their common attempt number, which is higher than all earlier ones.
+    """
     planned = next((p.attempt for p in job.placements() if p.state == PlacementState.PLANNED), None)
     return planned or 1 + max((chunk.attempt for chunk in job.chunks.values()), default=0)
--- a/stileloft/model/job_records.py
+++ b/stileloft/model/job_records.py
@@ -1,4 +1,4 @@
-"""Jobs to and from their records in the store."""
+"""Conversion of jobs to and from their records in the store."""
 
 from collections.abc import Iterable
 
@@ -24,19 +24,20 @@
 from stileloft.protocol.state import Item
 
 UNKNOWN_RESOURCES = TaskResources("-", 0.0, 0.0, 0.0)
-"""In place of what a chunk's main record says, when only overflow records are left of it."""
+"""Stands for the resources in a chunk's main record if only overflow records are left of the chunk."""
 
 
 def active_record(spec: JobSpec, submitted: float, chunk_size: int | None) -> StoredValue:
-    """The record of a job that has just been accepted; `chunk_size` is None before format 1."""
+    """Returns the record of a newly accepted job; `chunk_size` is None before format 1."""
     return to_stored(ActiveRecord(spec, submitted, chunk_size=msgspec.UNSET if chunk_size is None else chunk_size))
 
 
 def job_record(job: Job, has_chunk_size: bool, with_chunk: bool = False) -> ActiveRecord:
-    """A job's record.
+    """Returns a job's record.
 
-    From format 1 on it has the size of the job's chunks (`has_chunk_size`), and so has the record of a job that was
-    accepted then. With the only chunk in it, whoever writes the record writes that too, or placements would be lost.
+    `has_chunk_size` is true from format 1 on; the record of a job that was accepted in such a format states the chunk
+    size in any case. `with_chunk` includes the job's only chunk: a record that holds the chunk must always be written
+    with it, or the chunk's placements would be lost.
     """
     record = ActiveRecord(
         job.spec,
@@ -53,7 +54,7 @@
 
 
 def max_inline_record_bytes(job: Job) -> int:
-    """No less than a job's record takes with its only chunk in it, found without encoding the chunk."""
+    """Returns an upper bound of the bytes of a job's record with its only chunk, without encoding the chunk."""
     if job.max_record_bytes is None:
         job.max_record_bytes = json_bytes(to_stored(job_record(job, True))) + JOB_PROGRESS_BYTES
     chunk = job.chunks.get(0)
@@ -64,7 +65,7 @@
 
 
 def job_from_record(value: StoredValue, version: int, default_chunk_size: int) -> Job:
-    """A job of its record; chunks have the default size if the record does not say theirs."""
+    """Returns a job from its record; `default_chunk_size` applies if the record states no chunk size."""
     record = read_active(value)
     job = Job(record.spec, record.submitted, default_chunk_size)
     if record.chunk_size is not msgspec.UNSET:
@@ -75,7 +76,7 @@
 
 
 def apply_job_record(job: Job, value: StoredValue, version: int) -> None:
-    """Brings a job in line with its record in the store."""
+    """Updates a job from its record in the store."""
     _apply(job, read_active(value), version)
 
 
@@ -91,22 +92,22 @@
 
 
 def apply_chunk_records(job: Job, items: Iterable[Item]) -> None:
-    """Brings a job's chunks in line with all their records in the store, and counts its tasks anew."""
+    """Updates a job's chunks from all their records in the store, and recomputes the job's counts."""
     by_chunk: dict[int, dict[int, VersionedValue]] = {}
     for key, value, version in items:
         _, number, overflow = split_chunk_key(key)
         by_chunk.setdefault(number, {})[overflow] = VersionedValue(value, version)
-    before, job.chunks = job.chunks, {}
+    previous, job.chunks = job.chunks, {}
     for number, versioned in by_chunk.items():
         if number not in job.finished_chunks:
-            job.chunks[number] = load_chunk(job.id, versioned, before.get(number))
+            job.chunks[number] = load_chunk(job.id, versioned, previous.get(number))
     if job.inline_chunk is not None and 0 not in job.chunks:
-        job.chunks[0] = load_inline_chunk(job.id, job.inline_chunk, before.get(0))
+        job.chunks[0] = load_inline_chunk(job.id, job.inline_chunk, previous.get(0))
     job.refresh_counts()
 
 
 def cancelled_job(job_id: str, items: Iterable[Item], default_chunk_size: int) -> Job:
-    """A job of which only chunks are left, as it was cancelled: enough of it to count and stop its tasks."""
+    """Returns a job that was cancelled and has only chunks left, with what is needed to count and stop its tasks."""
     records = (read_chunk(value) for _, value, _ in items)
     main = next((record for record in records if record.resources is not msgspec.UNSET), ChunkRecord())
     resources = UNKNOWN_RESOURCES if main.resources is msgspec.UNSET else main.resources
--- a/stileloft/model/job_write_state.py
+++ b/stileloft/model/job_write_state.py
@@ -1,4 +1,4 @@
-"""What is known of the writing of a job's records."""
+"""Progress of writing a job's records."""
 
 from dataclasses import dataclass, field
 
@@ -7,24 +7,24 @@
 
 @dataclass(slots=True)
 class JobWriteState:
-    """What has to be written of a job, and what is under way. Times are of the leader's clock."""
+    """A job's unwritten changes and its transactions in flight. Times are by the leader's clock."""
 
     dirty: bool = False
-    """Something of it has to be written."""
+    """The job has unwritten changes."""
     flush_now: bool = False
-    """What has to be written does not wait, as completions may that leave more to do."""
+    """The changes are written without delay, whereas completions may wait while the job has further tasks."""
     coalescing_since: float | None = None
-    """When the first of the completed tasks ended that wait to be written together."""
+    """When the first of the completions that wait to be written together was recorded; None if none waits."""
     order: int = 0
-    """Jobs of the same priority are written in this order."""
+    """Position among the jobs of the same priority, which are written in this order."""
     checked_at: float = 0.0
-    """When it was last checked whether something has to be written."""
+    """When the job was last checked for changes to write."""
     commit_began_at: float = float("-inf")
-    """When the newest transaction about the job began."""
+    """When the newest transaction with records of the job began."""
     commit_in_flight: bool = False
-    """A transaction about the job is under way, or its outcome is unknown."""
+    """A transaction with records of the job is in flight, or its outcome is unknown."""
     has_unresolved_commit: bool = False
-    """A transaction got no answer, and may still be executed, after newer ones."""
+    """A transaction got no answer, and may still be executed, even after newer ones."""
     stored_counts: StoredCounts = field(default_factory=StoredCounts)
-    """The counts that the store holds, which users are shown."""
+    """The counts in the store, which users are shown."""
     counts_stored_at: float = 0.0
--- a/stileloft/model/machines.py
+++ b/stileloft/model/machines.py
@@ -21,110 +21,110 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingForget:
-    """An exited task that its machine is to forget."""
+    """An exited task that the worker has to forget."""
 
     attempt: int
     due_at: float
-    """From when on, by this leader's clock."""
+    """Earliest time of the forget command, by this leader's clock."""
     done: bool
 
 
 @dataclass(slots=True)
 class Machine:
-    """A machine as the leader knows it."""
+    """A machine as the leader knows it. Times are by the leader's clock."""
 
     id: str
     type: str = ""
-    """The name of its machine type; empty until the cloud's list or its provisioning told."""
+    """Name of the machine type; empty until it is known."""
     zone: str = ""
     spot: bool = False
     address: str = ""
-    """Host and port of its worker, by its heartbeats or else by the cloud's list."""
+    """Host and port of the worker, from its heartbeats or else from the cloud's list."""
     first_seen_at: float = 0.0
-    """When this leader first knew of it."""
+    """When this leader first learned of the machine."""
 
-    # Its worker's heartbeats.
+    # Heartbeats of the worker.
     epoch: int = 0
-    """The worker's incarnation: another one after each restart."""
+    """The worker's incarnation, which changes with each restart."""
     sequence: int = 0
-    """The number of the newest believed heartbeat within the epoch."""
+    """Sequence number of the newest accepted heartbeat within the epoch."""
     has_current_token: bool = False
-    """Its newest heartbeat carries our own token."""
+    """The newest heartbeat carries a token of this leader."""
     heartbeat_received: bool = False
     last_heartbeat_at: float = 0.0
     claimed: bool = False
-    """A heartbeat with our own token has come: no former leader renews its lease any more."""
+    """A heartbeat with a token of this leader has arrived: no former leader renews the worker's lease any more."""
     lease_renewed_at: float = float("-inf")
-    """When its worker's lease last began anew, or may have: an answer of ours, a claim, a new epoch."""
+    """When the worker's lease was last renewed, or may have been: by an answer, a claim or a new epoch."""
     last_pushed_heartbeat_at: float = float("-inf")
-    """When it last sent a heartbeat by itself. An answer to a command is none: its lease is not renewed by that."""
+    """When the worker last sent a heartbeat by itself. One in answer to a command does not count: it renews no lease."""
     last_reachable_at: float = float("-inf")
-    """When it was last known to hear us."""
+    """When the worker was last known to receive this leader's messages."""
 
-    # Its life in the cloud.
+    # Lifecycle in the cloud.
     up_since: float | None = None
-    """When this leader heard its first heartbeat; None before."""
+    """When this leader received the first heartbeat; None before."""
     provisioned_at: float = 0.0
-    """When it was asked for; 0 if that is not known."""
+    """When the machine was requested from the cloud; 0 if unknown."""
     boot_overdue: bool = False
-    """It was not up when it should have been, and does not count as coming any more."""
+    """The machine was not up in time, and is no longer counted as coming up."""
     reclaim_at: float | None = None
-    """When the cloud takes the spot instance away; None if nothing is announced."""
+    """When the cloud reclaims the spot instance; None if no reclaim is announced."""
     cloud_state: str = ""
-    """Its state in the cloud's newest list."""
+    """State in the cloud's newest list; empty if the machine was not listed yet."""
     releasing: bool = False
-    """The cloud was asked to take it back, or is about to be."""
+    """The machine's release is queued or requested."""
     drain_reason: str | None = None
-    """Why nothing more is started here."""
+    """Why no more tasks are started on the machine; None if it is not drained."""
 
-    # What is on it.
+    # Tasks and images on the machine.
     placements: dict[TaskKey, Placement] = field(default_factory=dict)
     orphaned_tasks: dict[str, OrphanedTask] = field(default_factory=dict)
-    """Tasks, by their names, that it runs and that the store does not place here."""
+    """Tasks that the machine runs but the store does not place there, by name."""
     pending_forgets: dict[str, PendingForget] = field(default_factory=dict)
-    """Exited tasks, by their names, that it is to forget."""
+    """Exited tasks that the worker has to forget, by name."""
     images: dict[str, None] = field(default_factory=dict)
-    """Images it has, as far as seen; the one used last comes last."""
+    """Images that the machine probably has; the most recently used one is last."""
     images_recorded: bool = True
-    """Whether the store holds them."""
+    """Whether the store holds the machine's current images."""
 
-    # Commands to it.
+    # Commands to the worker.
     command_in_flight: bool = False
-    """A command was sent and not answered yet; only one is at a time."""
+    """A command was sent and has not been answered; at most one is in flight."""
     send_failures: int = 0
-    """Commands in a row that failed."""
+    """Consecutive commands that failed."""
     retry_at: float = 0.0
-    """No command is sent before."""
+    """No command is sent before this time."""
     token: int = 0
-    """The fencing token that our commands and answers to it carry; never lowered."""
+    """The fencing token in this leader's commands and answers to the worker; never lowered."""
     token_raised_at: float = float("-inf")
     """When the token was last raised."""
     acknowledged_token: int = 0
-    """The highest that its worker has seen, by its newest heartbeat: it executes nothing under a lower one."""
+    """Highest token that the worker has seen, by its newest heartbeat: it executes no command with a lower one."""
     inflight_starts: InflightStarts = field(default_factory=InflightStarts)
     fenced_starts: dict[str, int] = field(default_factory=dict)
-    """Tasks, with their attempts, whose start was fenced in this epoch before it was executed."""
+    """Attempts, by task name, whose start was fenced in this epoch before it was executed."""
 
-    # What the decisions are based on.
+    # Input of scheduling decisions.
     failed_jobs: set[str] = field(default_factory=set)
-    """Jobs of which a task failed here."""
+    """Ids of jobs with a task that failed on this machine."""
     failure_count: int = 0
     slow_jobs: set[str] = field(default_factory=set)
-    """Jobs whose tasks run slowly here."""
+    """Ids of jobs whose tasks run slowly on this machine."""
     idle_since: float | None = None
-    """Since when it has no tasks, as far as known; None while it has."""
+    """When the machine was first found without tasks; None while it has tasks."""
     scheduling_view: Any = None
-    """The copy of it that decisions are made on, until something changes."""
+    """The copy of the machine that scheduling uses; None after a change, until a new copy is made."""
     scheduling_view_at: float = 0.0
-    """When the copy was made."""
+    """When `scheduling_view` was made."""
 
 
-def fits_type(spec: JobSpec, kind: MachineType) -> bool:
-    """Whether a task of the job may run on machines of this type, and has room on an empty one."""
+def fits_type(spec: JobSpec, machine_type: MachineType) -> bool:
+    """Whether a task of the job may run on machines of this type, and fits on an empty one."""
     return (
-        (spec.types is None or kind.name in spec.types)
-        and spec.cpus <= kind.cpus
-        and (spec.gpus or 0.0) <= kind.gpus
-        and spec.memory_gb <= kind.memory_gb
-        and (spec.zone is None or spec.zone in kind.zones)
+        (spec.types is None or machine_type.name in spec.types)
+        and spec.cpus <= machine_type.cpus
+        and (spec.gpus or 0.0) <= machine_type.gpus
+        and spec.memory_gb <= machine_type.memory_gb
+        and (spec.zone is None or spec.zone in machine_type.zones)
     )
--- a/stileloft/model/nominations.py
+++ b/stileloft/model/nominations.py
@@ -6,7 +6,7 @@
 from stileloft.protocol.messages import JobSpec
 
 EXPECTED_JOB_ID = "expected"
-"""In place of a job's id: tasks for which room is kept although no job of theirs was submitted yet."""
+"""Stands for the job id of tasks for which room is kept although their job has not been submitted yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     rank: int
     spec: JobSpec
     expires_at: float
-    """By the leader's clock; of no meaning within a scheduling cycle."""
+    """By the leader's clock; not used within a scheduling cycle."""
 
     @property
     def is_expected(self) -> bool:
--- a/stileloft/model/placements.py
+++ b/stileloft/model/placements.py
@@ -1,30 +1,30 @@
-"""Where the tasks of jobs are placed."""
+"""Placements of tasks on machines."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
 TaskKey = tuple[str, int]
-"""A job's identifier and the number of one of its tasks."""
+"""A job's id and the number of one of its tasks."""
 
 
 class PlacementState(Enum):
     """How far a placement is committed."""
 
     PLANNED = auto()
-    """Decided, and not yet stored."""
+    """Decided, but not yet stored."""
     BOUND = auto()
     """Stored: the task may be started, and may run."""
     ENDED = auto()
-    """The task is certainly not on the machine any more; the store may still hold the placement."""
+    """The task is certainly off the machine; the store may still hold the placement."""
 
 
 @dataclass(slots=True)
 class Placement:
-    """A task on a machine, from the plan until the store no longer holds it."""
+    """A task on a machine, from the decision until the store no longer holds the placement."""
 
     job: str
     index: int
-    """The number of the task in its job."""
+    """Number of the task in its job."""
     attempt: int
     machine: str
     zone: str
@@ -33,23 +33,23 @@
     reported_state: str | None = None
     """The task's state in the machine's newest trusted heartbeat."""
     sent_epoch: int | None = None
-    """The epoch of the worker to which we last sent its start; None if we never did."""
+    """Epoch of the worker to which this leader last sent the start; None if it has sent none."""
     running_since: float | None = None
-    """When this leader first saw it run."""
+    """When this leader first saw the task run; None before."""
     placed_by_this_leader: bool = False
-    """This leader placed it, and so saw its beginning; of others it is not known for how long they had run."""
+    """Whether this leader placed the task; how long other tasks had run before is unknown."""
     done: bool = False
-    """With ENDED: the task completed, rather than having to run again."""
+    """For ENDED: whether the task completed, rather than having to run again."""
     stop_grace_s: float | None = None
-    """Not None: it is to be stopped, with this much time to save its checkpoint."""
+    """Time for saving a checkpoint when the task is stopped, in seconds; None if it is not being stopped."""
     stop_sent_at: float = 0.0
-    """When we last sent its stop."""
+    """When this leader last sent the stop."""
     preemption_exempt: bool = False
-    """It was placed before tasks of higher priority because of its job's age: they do not preempt it."""
+    """The task was placed ahead of higher priorities because of its job's age, and is not preempted by them."""
 
     @property
     def key(self) -> TaskKey:
-        """The task, by which nominations and a machine's placements are found."""
+        """The key of the task in nominations and in a machine's placements."""
         return self.job, self.index
 
     @property
--- a/stileloft/model/quota.py
+++ b/stileloft/model/quota.py
@@ -1,4 +1,4 @@
-"""Quota and fair share: what teams use, what they are guaranteed and how much they may use."""
+"""Quotas and fair shares: the usage, guarantees and limits of teams."""
 
 from dataclasses import dataclass
 
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class QuotaUsage:
-    """What a team's tasks take: all that are placed, those on machines that are not heard included."""
+    """Resources used by a team's placed tasks, including those on silent machines."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
     def add(self, cpus: float, gpus: float) -> None:
-        """Counts what more tasks take."""
+        """Adds the resources of further tasks."""
         self.cpus += cpus
         self.gpus += gpus
 
@@ -33,14 +33,14 @@
 
 
 def within_guarantee(spec: JobSpec, team: Team | None, usage: QuotaUsage) -> bool:
-    """Whether the team stays within what it is guaranteed with one more task."""
+    """Whether the team stays within its guarantee with one more task."""
     if team is None or not (team.cpus or team.gpus):
         return False
     return usage.cpus + spec.cpus <= team.cpus + EPSILON and usage.gpus + (spec.gpus or 0.0) <= team.gpus + EPSILON
 
 
 def exceeds_guarantee(team: Team | None, usage: QuotaUsage) -> bool:
-    """Whether the team uses more than it is guaranteed."""
+    """Whether the team uses more than its guarantee."""
     if team is None:
         return True
     return usage.cpus > team.cpus + EPSILON or usage.gpus > team.gpus + EPSILON
@@ -48,17 +48,17 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamQuotas:
-    """The teams' guarantees and limits, and what each uses; the usage grows as tasks are placed."""
+    """The teams' guarantees, limits and usage; the usage is updated as tasks are placed."""
 
     teams: dict[str, Team]
     usage: dict[str, QuotaUsage]
 
     def usage_of(self, team: str) -> QuotaUsage:
-        """The team's usage, to be read or added to."""
-        found = self.usage.get(team)
-        if found is None:
-            found = self.usage[team] = QuotaUsage()
-        return found
+        """Returns the team's usage, which callers may add to."""
+        usage = self.usage.get(team)
+        if usage is None:
+            usage = self.usage[team] = QuotaUsage()
+        return usage
 
     def within_limit(self, spec: JobSpec, count: int = 1) -> bool:
         """Whether `count` more tasks of a job keep its team within its limit."""
@@ -69,5 +69,5 @@
         return within_guarantee(spec, self.teams.get(spec.team), self.usage_of(spec.team))
 
     def exceeds_guarantee(self, team: str) -> bool:
-        """Whether a team uses more than it is guaranteed."""
+        """Whether a team uses more than its guarantee."""
         return exceeds_guarantee(self.teams.get(team), self.usage_of(team))
--- a/stileloft/model/records/__init__.py
+++ b/stileloft/model/records/__init__.py
@@ -1,30 +1,30 @@
 """The store's records: keys, stored forms, formats and sizes.
 
-    leader               who leads; on a lease, and its version is the fencing token
-    active/<job>         an accepted, unfinished job: description, finished chunks, counts
+    leader               the leader; bound to a lease, and its version is the fencing token
+    active/<job>         an accepted, unfinished job: specification, finished chunks, counts
     tasks/<job>/<chunk>  main record of a chunk (a range of task numbers): placements and finished tasks
     tasks/<job>/<chunk>+<n>      overflow record: placements that the chunk's main record has no room for
-    final/<job>          how a job ended; kept for good
-    settings             the operators' own settings
+    final/<job>          how a job ended; never deleted
+    settings             the operators' settings
     format               the format that may be written, once all controllers are known to read it
-    images/<machine>     images that a machine is likely to have
-    rented/<slot>        machines provisioned lately, which the cloud's list may not show yet
+    images/<machine>     images that a machine probably has
+    rented/<slot>        recently provisioned machines, which the cloud's list may not show yet
 
 With the feature `rebuild` also:
 
-    identity             whose store it is, and how often it was rebuilt
-    ended/<number>       how jobs ended that a rebuild found, many to a record; kept for good
-    undecided/<job>      tasks of which a rebuild could not tell whether they completed
+    identity             the deployment that owns the store, and how often the store was rebuilt
+    ended/<number>       outcomes of ended jobs that a rebuild found, many to a record; never deleted
+    undecided/<job>      unresolved tasks: a rebuild could not tell whether they completed
 
 Nothing is stored for a task that was never placed, so a job of 100,000 tasks is
 one record until its tasks start.
 
-Format 0 is what the version before gangs reads: a chunk's length follows from
-`value_kb`, and a chunk has one record. Format 1 says the length in the job's
-record and in the chunk's (`n`), and has overflow records. From format 2 on the only chunk
-of a small job is part of the job's own record (`k`), so that a placement and a
-change of the counts are one change of the store; a cancellation moves it to
-`tasks/`, in the same transaction. All three are read for good.
+Format 0 is the format of the version before gangs: a chunk's length follows from
+`value_kb`, and a chunk has one record. In format 1 the job's record and the chunk's
+record state the length (`n`), and there are overflow records. From format 2 on the
+only chunk of a small job is part of the job's record (`k`), so that a placement and
+a change of the counts are one change of the store; a cancellation moves the chunk to
+`tasks/`, in the same transaction. All three formats remain readable.
 """
 
 from stileloft.model.records.forms import (
--- a/stileloft/model/records/forms.py
+++ b/stileloft/model/records/forms.py
@@ -1,7 +1,7 @@
-"""The stored forms of records, with the field names that they have in the store.
+"""The stored forms of records, with their field names in the store.
 
-Fields are listed in the order in which they are stored. Numbers that come from JSON keep the form in which they came,
-as another writer may store a whole number of seconds without a fraction.
+Fields are listed in the order in which they are stored. Numbers read from JSON stay integers or floats as they are,
+because another writer may store a whole number of seconds without a fraction.
 """
 
 from enum import StrEnum
@@ -14,16 +14,16 @@
 from stileloft.protocol.messages import JobSpec
 
 NEWEST_FORMAT = 2
-"""The format that this version reads, and writes once all controllers do."""
+"""The newest format that this version reads, and that it writes once all controllers read it."""
 CHUNK_SIZE_FORMAT = 1
-"""The first format in which records say how many tasks a chunk has."""
+"""The first format in which records state the number of tasks per chunk."""
 INLINE_FORMAT = 2
 """The first format in which a job's record may hold its only chunk."""
 INLINE_CHUNK = "k"
 """The field of a job's record that holds its only chunk."""
 
 StoredValue = dict[str, Any]
-"""A record as it is sent to the store and comes from it."""
+"""A record as plain JSON values, as it is exchanged with the store."""
 Number = int | float
 
 
@@ -35,7 +35,7 @@
 
 
 class StoredPlacement(Struct, frozen=True, array_like=True):
-    """A task on a machine."""
+    """The placement of a task on a machine."""
 
     attempt: int
     machine: str
@@ -44,14 +44,14 @@
 
 
 class StoredCounts(Struct, frozen=True, array_like=True):
-    """Counts of a job's tasks that users are shown."""
+    """Counts of a job's tasks, which users are shown."""
 
     done: int = 0
     running: int = 0
 
 
 class TaskResources(Struct, frozen=True, array_like=True):
-    """What each task of a job takes, and whose limit it counts towards."""
+    """Resources of each task of a job, and the team whose quota they count towards."""
 
     team: str
     cpus: Number
@@ -68,7 +68,7 @@
 
 
 class ChunkRecord(Struct, frozen=True):
-    """A chunk's main record. It says what its tasks take, as the job's record may be gone when it is read."""
+    """A chunk's main record; it states its tasks' resources, because the job's record may be gone when it is read."""
 
     resources: TaskResources | UnsetType = field(name="r", default=UNSET)
     attempt: int = field(name="a", default=0)
@@ -107,11 +107,11 @@
 
     phase: FinalPhase
     tasks: int = field(name="n", default=0)
-    """Its tasks that were done, for display."""
+    """Number of the job's completed tasks, for display."""
 
 
 class StoredOffer(Struct, frozen=True, array_like=True):
-    """What kind of machine was provisioned, and where."""
+    """Type, zone and spot flag of provisioned machines."""
 
     type: str
     zone: str
@@ -128,48 +128,48 @@
 
 
 class FormatRecord(Struct, frozen=True):
-    """The format that may be written, and the controllers that said that they read it."""
+    """The format that may be written, and the controllers that have stated that they read it."""
 
     format: int
     members: list[str] = field(default_factory=list)
 
 
 def to_stored(value: Any) -> StoredValue:
-    """A record as plain JSON values."""
+    """Converts a record to plain JSON values."""
     stored: StoredValue = msgspec.to_builtins(value, str_keys=True)
     return stored
 
 
 def read_active(value: StoredValue) -> ActiveRecord:
-    """A job's record of plain JSON values."""
+    """Reads a job's record from plain JSON values."""
     return msgspec.convert(value, ActiveRecord, str_keys=True)
 
 
 def read_chunk(value: StoredValue) -> ChunkRecord:
-    """A chunk's main record of plain JSON values."""
+    """Reads a chunk's main record from plain JSON values."""
     return msgspec.convert(value, ChunkRecord, str_keys=True)
 
 
 def read_provision(value: StoredValue) -> ProvisionRecord:
-    """A record of provisioned machines of plain JSON values."""
+    """Reads a record of provisioned machines from plain JSON values."""
     return msgspec.convert(value, ProvisionRecord)
 
 
 def read_format(value: StoredValue) -> FormatRecord:
-    """The record of the format of plain JSON values."""
+    """Reads the record of the format from plain JSON values."""
     return msgspec.convert(value, FormatRecord)
 
 
 def read_final(value: StoredValue) -> FinalRecord:
-    """The record of a job's end of plain JSON values."""
+    """Reads the record of a job's end from plain JSON values."""
     return msgspec.convert(value, FinalRecord)
 
 
 def read_inline(value: StoredValue) -> InlineChunk:
-    """The chunk in a job's record of plain JSON values."""
+    """Reads the chunk in a job's record from plain JSON values."""
     return msgspec.convert(value, InlineChunk, str_keys=True)
 
 
 def read_overflow(value: StoredValue) -> ChunkOverflow:
-    """An overflow record of plain JSON values."""
+    """Reads an overflow record from plain JSON values."""
     return msgspec.convert(value, ChunkOverflow, str_keys=True)
--- a/stileloft/model/records/keys.py
+++ b/stileloft/model/records/keys.py
@@ -16,7 +16,7 @@
 
 
 class ChunkKey(NamedTuple):
-    """What the key of a chunk's record says."""
+    """The parts of the key of a chunk's record."""
 
     job: str
     chunk: int
@@ -25,39 +25,39 @@
 
 
 def active_key(job: str) -> str:
-    """The key of an unfinished job's record."""
+    """Returns the key of an unfinished job's record."""
     return ACTIVE + job
 
 
 def final_key(job: str) -> str:
-    """The key of the record that says how a job ended."""
+    """Returns the key of the record of a job's end."""
     return FINAL + job
 
 
 def images_key(machine: str) -> str:
-    """The key of the record of a machine's images."""
+    """Returns the key of the record of a machine's images."""
     return IMAGES + machine
 
 
 def provisioned_key(slot: int) -> str:
-    """The key of a record of machines provisioned lately."""
+    """Returns the key of a record of recently provisioned machines."""
     return f"{PROVISIONED}{slot:04d}"
 
 
 def chunk_key(job: str, chunk: int, overflow: int = 0) -> str:
-    """The key of a chunk's main record, or of an overflow record."""
+    """Returns the key of a chunk's main record, or of an overflow record."""
     key = f"{TASKS}{job}/{chunk:06d}"
     return f"{key}+{overflow}" if overflow else key
 
 
 def split_chunk_key(key: str) -> ChunkKey:
-    """The reverse of `chunk_key`."""
+    """Splits a key made by `chunk_key`."""
     job, _, name = key[len(TASKS) :].rpartition("/")
     chunk, _, overflow = name.partition("+")
     return ChunkKey(job, int(chunk), int(overflow or 0))
 
 
 def split_task(task: str) -> tuple[str, int]:
-    """`j-000412/3` -> (`j-000412`, 3)."""
+    """Splits a task's name: `j-000412/3` -> (`j-000412`, 3)."""
     job, _, index = task.rpartition("/")
     return job, int(index)
--- a/stileloft/model/records/outcomes.py
+++ b/stileloft/model/records/outcomes.py
@@ -1,4 +1,4 @@
-"""How jobs ended."""
+"""Outcomes of jobs."""
 
 from typing import NamedTuple
 
@@ -10,10 +10,10 @@
 
     phase: str
     tasks: int
-    """Its tasks that were done, for display."""
+    """Number of the job's completed tasks, for display."""
 
 
 def final_record(phase: str, tasks: int) -> StoredValue:
-    """The record of a job's end; only a job that is done has its tasks counted."""
+    """Returns the record of a job's end; it counts the tasks only if the job is done."""
     final = FinalPhase(phase)
     return to_stored(FinalRecord(final, tasks if final is FinalPhase.DONE else 0))
--- a/stileloft/model/records/ranges.py
+++ b/stileloft/model/records/ranges.py
@@ -1,11 +1,11 @@
-"""Sets of task or chunk numbers as ranges, which is how they are stored."""
+"""Conversion between sets of task or chunk numbers and ranges, their stored form."""
 
 Ranges = list[list[int]]
-"""Sorted, half-open ranges: pairs of the first number and the one after the last."""
+"""Sorted, half-open ranges: pairs of the first number and the number after the last."""
 
 
 def to_ranges(numbers: set[int]) -> Ranges:
-    """The shortest ranges that cover just these numbers."""
+    """Returns the fewest ranges that cover exactly these numbers."""
     ranges: Ranges = []
     for number in sorted(numbers):
         if ranges and ranges[-1][1] == number:
@@ -16,5 +16,5 @@
 
 
 def from_ranges(ranges: Ranges) -> set[int]:
-    """All numbers in the ranges."""
+    """Returns all numbers in the ranges."""
     return {number for low, high in ranges for number in range(low, high)}
--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -5,25 +5,25 @@
 from stileloft.protocol.messages import JobSpec
 
 EPSILON = 1e-6
-"""Tolerance of comparisons: sums of amounts are not exact."""
+"""Tolerance of comparisons, because sums of amounts are not exact."""
 UNBOUNDED_SLOTS = 1_000_000
-"""How many tasks fit as far as a resource goes of which they take nothing."""
+"""Number of tasks that fit with regard to a resource that they do not use."""
 
 
 class ResourceAmounts(Protocol):
-    """Anything that says how much of each resource it stands for."""
+    """Anything that has an amount of each resource."""
 
     @property
     def cpus(self) -> float:
-        """Processors."""
+        """Number of processors."""
 
     @property
     def gpus(self) -> float:
-        """Accelerators."""
+        """Number of accelerators."""
 
     @property
     def memory_gb(self) -> float:
-        """Memory."""
+        """Memory in GB."""
 
 
 class Resources(NamedTuple):
@@ -34,11 +34,11 @@
     memory_gb: float
 
     def plus(self, other: ResourceAmounts) -> "Resources":
-        """The sum of both."""
+        """Returns the sum of both amounts."""
         return Resources(self.cpus + other.cpus, self.gpus + other.gpus, self.memory_gb + other.memory_gb)
 
     def minus(self, other: ResourceAmounts, count: int = 1) -> "Resources":
-        """What is left once the other amount is taken `count` times."""
+        """Returns what is left after the other amount is taken `count` times."""
         return Resources(
             self.cpus - count * other.cpus,
             self.gpus - count * other.gpus,
@@ -54,7 +54,7 @@
         )
 
     def slots(self, spec: JobSpec, unbounded: int = UNBOUNDED_SLOTS) -> int:
-        """How many of a job's tasks fit into this amount; `unbounded` for resources of which they take nothing."""
+        """Returns how many of a job's tasks fit into this amount; `unbounded` is used for resources that they do not need."""
         return max(
             0,
             min(
@@ -66,5 +66,5 @@
 
 
 def requested(spec: JobSpec) -> Resources:
-    """What one task of a job takes."""
+    """Returns the resources of one task of a job."""
     return Resources(spec.cpus, spec.gpus or 0.0, spec.memory_gb)
