--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -207,7 +207,7 @@
         self.reactor.listenTCP(port, make_site(router, idle_s), interface=host, backlog=backlog)
 
     def sleep(self, seconds: float) -> defer.Deferred[None]:
-        """Waits for a time on this controller's clock."""
+        """Returns a Deferred that fires after this time on the controller's clock."""
         return sleep(self.reactor, seconds)
 
     def in_thread(self, function: Callable[..., Any], *arguments: Any) -> defer.Deferred[Any]:
@@ -283,7 +283,7 @@
             self.leader.upgrade.format_changed()
 
     def _on_local_cancellation(self, job: str, revision: int) -> None:
-        """Passes a cancellation that this controller wrote to the leader here, before the watch reports it."""
+        """If this controller leads, applies a cancellation that it has stored at once, before the watch reports it."""
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
--- a/stileloft/controller/operator_settings.py
+++ b/stileloft/controller/operator_settings.py
@@ -55,17 +55,17 @@
         Raises `TemporarilyUnavailableError` if the state service does not answer.
         """
         try:
-            found = await self._state.get(records.SETTINGS)
+            stored = await self._state.get(records.SETTINGS)
         except (UnavailableError, UnknownOutcomeError) as error:
             raise TemporarilyUnavailableError(f"state service: {error}") from None
-        if found is None:
+        if stored is None:
             return OperatorSettings(), 0
         try:
-            return parse_operator_settings(found[0]), found[1]
+            return parse_operator_settings(stored[0]), stored[1]
         except InvalidSettingsError as error:
             # Another version of the program wrote the settings: the defaults are safer than a guess at their meaning.
-            log.error("stored operator settings invalid version=%d error=%s", found[1], error)  # noqa: TRY400 - expected error, no traceback
-            return OperatorSettings(), found[1]
+            log.error("stored operator settings invalid version=%d error=%s", stored[1], error)  # noqa: TRY400 - expected error, no traceback
+            return OperatorSettings(), stored[1]
 
     async def change(self, settings: OperatorSettings, version: int) -> int:
         """Replaces the settings if `version` is the stored one; returns the new version.
--- a/stileloft/machines/boot_monitor.py
+++ b/stileloft/machines/boot_monitor.py
@@ -11,7 +11,7 @@
 log = logging.getLogger(__name__)
 
 OVERDUE_BOOT_TIMES = 1.6
-"""Multiple of its type's boot time after which a machine is overdue; a normal boot takes at most 1.5 times as long."""
+"""Multiple of its type's boot time after which a machine is overdue; normal boots take at most 1.5 times that time."""
 ABANDONED_BOOT_TIMES = 3.0
 """Multiple of its type's boot time after which a machine that is not up is released."""
 UNRELIABLE_AFTER_OVERDUE_BOOTS = 2
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -1,4 +1,4 @@
-"""Tells a failure of most machines from a partition that cuts the leader off from them."""
+"""Distinguishes a failure of most machines from a partition between them and the leader."""
 
 from twisted.internet import defer
 
@@ -71,7 +71,7 @@
         if reaching_peers and reaching_peers >= PARTITION_FRACTION * len(still_silent):
             reason = f"{len(still_silent)} machines are silent, {reaching_peers} of them reach peers"
         elif not still_silent or not confirmed:
-            return  # workers may still be on their way to a peer: the next check queries again
+            return  # workers may not have reached a peer yet: the next check queries again
         elif views:
             self._failures_confirmed_until = now + self._timeouts.failure_s
             return
--- a/stileloft/machines/scale_in.py
+++ b/stileloft/machines/scale_in.py
@@ -29,7 +29,7 @@
 
 
 class MachineReleaser:
-    """Releases machines; once the cloud has confirmed a release, no task runs on the machine any more."""
+    """Releases machines; once the cloud has confirmed a release, all tasks on the machine are gone."""
 
     def __init__(
         self,
--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -42,7 +42,7 @@
             start.token, start.epoch = max(start.token, token), max(start.epoch, epoch)
 
     def get(self, task: str, attempt: int) -> InflightStart | None:
-        """Returns the start of an attempt; None if it cannot be executed any more."""
+        """Returns the start of an attempt; None if it can no longer be executed."""
         return self.by_attempt.get((task, attempt))
 
     def drop(self, task: str, attempt: int) -> None:
--- a/stileloft/model/machines.py
+++ b/stileloft/model/machines.py
@@ -53,11 +53,11 @@
     heartbeat_received: bool = False
     last_heartbeat_at: float = 0.0
     claimed: bool = False
-    """A heartbeat with a token of this leader has arrived: no former leader renews the worker's lease any more."""
+    """A heartbeat with a token of this leader has arrived: no former leader can renew the worker's lease."""
     lease_renewed_at: float = float("-inf")
     """When the worker's lease was last renewed, or may have been: by an answer, a claim or a new epoch."""
     last_pushed_heartbeat_at: float = float("-inf")
-    """When the worker last sent a heartbeat by itself. One in answer to a command does not count: it renews no lease."""
+    """When the worker last sent an unsolicited heartbeat; answers to commands renew no lease and do not count."""
     last_reachable_at: float = float("-inf")
     """When the worker was last known to receive this leader's messages."""
 
