--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -54,7 +54,7 @@
         )
 
     def slots(self, spec: JobSpec, unbounded: int = UNBOUNDED_SLOTS) -> int:
-        """Returns how many of a job's tasks fit into this amount; `unbounded` if they do not use any resource."""
+        """Returns how many of a job's tasks fit into this amount; a resource that they do not use has room for `unbounded`."""
         return max(
             0,
             min(
