--- a/stileloft/machines/scale_out.py
+++ b/stileloft/machines/scale_out.py
@@ -95,7 +95,7 @@
         self._request_scheduling()
 
     async def _request_machines(self, request: str, offer: InstanceOffer, count: int) -> list[str]:
-        """Returns the ids of the provisioned machines, fewer than `count` if the cloud lacks capacity or does not answer."""
+        """Returns the ids of the provisioned machines; fewer than `count` without capacity, authority or an answer."""
         machine_type, zone, spot = offer
         backoff_s = NO_CAPACITY_BACKOFF_BOOT_TIMES * self._boots.boot_s(machine_type)
         for attempt in range(MAX_ATTEMPTS):
--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -54,7 +54,7 @@
         )
 
     def slots(self, spec: JobSpec, unbounded: int = UNBOUNDED_SLOTS) -> int:
-        """Returns how many of a job's tasks fit into this amount; a resource that they do not use has room for `unbounded`."""
+        """Returns how many of a job's tasks fit into this amount; an unused resource has room for `unbounded` tasks."""
         return max(
             0,
             min(
