--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -14,8 +14,8 @@
 from stileloft.model.job_records import apply_chunk_records, cancelled_job, job_from_record
 from stileloft.model.jobs import Job
 from stileloft.protocol.state import Item, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
 from stileloft.store.format_upgrade import FormatUpgrade
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -31,13 +31,13 @@
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
-from stileloft.store.access import LeaderStore
 from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.commit_queue import CommitQueue
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.format_upgrade import FormatUpgrade
 from stileloft.store.job_reloader import JobReloader
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.store.limits import StoreLimits
 from stileloft.workers.command_assertions import CommandAssertions
 from stileloft.workers.command_metrics import CommandMetrics
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -8,7 +8,7 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -6,7 +6,7 @@
 from stileloft.model import records
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
 from stileloft.scheduling.instance_offers import InstanceOffer
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock, WallClock
 
 log = logging.getLogger(__name__)
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -10,9 +10,9 @@
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
-from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -5,9 +5,9 @@
 from stileloft.model.jobs import Job
 from stileloft.model.placements import PlacementState
 from stileloft.model.records.keys import chunk_key
-from stileloft.store.access import LeaderStore
 from stileloft.store.job_record_policy import JobRecordPolicy
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 
 
 class ChunkWriter:
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -17,13 +17,13 @@
 from stileloft.model.jobs import Job
 from stileloft.model.records.forms import StoredCounts
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
 from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.store.job_record_policy import COUNTS_INTERVAL_S, MAX_COUNTS_DELAY_S
 from stileloft.store.job_transaction import JobTransaction
 from stileloft.store.job_transaction_builder import JobTransactionBuilder
+from stileloft.store.leader_store import LeaderStore
 from stileloft.store.transaction_batch import JOB_END_CHANGES, TransactionBatch
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -11,7 +11,7 @@
 from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.settings import Settings
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -8,8 +8,8 @@
 from stileloft.model.records.forms import ActiveRecord, to_stored
 from stileloft.model.records.ranges import to_ranges
 from stileloft.model.records.sizes import json_bytes
-from stileloft.store.access import LeaderStore
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 
 COUNTS_INTERVAL_S = 1.2
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -14,7 +14,7 @@
 from stileloft.model.jobs import EndPhase, Job
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.state import ConflictError, Item, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
--- a/stileloft/store/job_transaction_builder.py
+++ b/stileloft/store/job_transaction_builder.py
@@ -6,10 +6,10 @@
 from stileloft.model.records.keys import active_key, final_key
 from stileloft.model.records.outcomes import final_record
 from stileloft.model.records.ranges import to_ranges
-from stileloft.store.access import LeaderStore
 from stileloft.store.chunk_writer import ChunkWriter, stored_keys
 from stileloft.store.job_record_policy import JobRecordPolicy, moves_chunk_out
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 
 JOB_CHANGES = 2
