--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -90,7 +90,7 @@
                 job.coalesce_completions(self._clock.seconds(), flush_now)
             if job.spec.is_gang:
                 self._clock.callLater(0, self._reconcile_gang_later, job)
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
 
     def _reconcile_gang_later(self, job: Job) -> None:
         with self._cluster.lock:
@@ -198,7 +198,7 @@
     def rewrite_all_chunks(self, job: Job) -> None:
         """Has all chunks of a job written again soon; those of a job that has ended go."""
         self._mark_chunks_dirty(job)
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
 
     def _mark_chunks_dirty(self, job: Job) -> None:
         for chunk in job.chunks.values():
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -375,7 +375,7 @@
     def _after_heartbeat(self) -> None:
         """Has written what a heartbeat has changed."""
         if self.cluster.dirty and self.cluster.loaded:
-            self.flush_timer.within(HEARTBEAT_FLUSH_S)
+            self.flush_timer.flush_within(HEARTBEAT_FLUSH_S)
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -113,6 +113,6 @@
                 self._cluster.mark_dirty(job)
         job.tasks_awaiting_operator = frozenset(open_tasks)
         job.refresh_counts()
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
         return decided and not job.write.dirty and not job.write.commit_in_flight
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -86,7 +86,7 @@
         now = self._clock.seconds()
         if now < self._refused_until:
             # Heartbeats ask for a flush many times a second: in an outage each would be a request in vain.
-            self._flush_timer.within(self._refused_until - now)
+            self._flush_timer.flush_within(self._refused_until - now)
             return
         if self._in_flight >= MAX_IN_FLIGHT or not self._budget_allows():
             return  # seen first: under a burst hundreds of jobs would be put in order with each heartbeat
@@ -103,15 +103,17 @@
         due = []
         for job in self._cluster.dirty_jobs():
             if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
-                self._flush_timer.within(job.write.checked_at + COUNTS_CHECK_S - now)  # only its counts can differ
+                self._flush_timer.flush_within(
+                    job.write.checked_at + COUNTS_CHECK_S - now
+                )  # only its counts can differ
             elif (
                 job.write.coalescing_since is not None
                 and not job.write.flush_now
                 and now < job.write.coalescing_since + COALESCE_S
             ):
-                self._flush_timer.within(job.write.coalescing_since + COALESCE_S - now)
+                self._flush_timer.flush_within(job.write.coalescing_since + COALESCE_S - now)
             elif self._is_paced(job) and now < job.write.commit_began_at + COALESCE_S:
-                self._flush_timer.within(job.write.commit_began_at + COALESCE_S - now)
+                self._flush_timer.flush_within(job.write.commit_began_at + COALESCE_S - now)
             elif not job.write.commit_in_flight:
                 due.append(job)
         # Under a burst the budget does not suffice for all. First what something waits for: placements, and
@@ -137,7 +139,7 @@
         write_budget = self._store.write_budget
         least, level = self._max_changes() // MIN_BATCH_FRACTION, write_budget.level()
         if level < least:
-            self._flush_timer.within((least - level) / write_budget.rate_per_s)
+            self._flush_timer.flush_within((least - level) / write_budget.rate_per_s)
         return level >= least
 
     def _build_batch(self, waiting: list[Job], now: float) -> tuple[TransactionBatch, list[Job]]:
@@ -165,13 +167,13 @@
         self._cluster.dirty.pop(job.id, None)
         if not job.end_phase and StoredCounts(job.done, job.running()) != job.write.stored_counts:
             self._cluster.mark_counts_dirty(job)
-            self._flush_timer.within(COUNTS_INTERVAL_S / 2)
+            self._flush_timer.flush_within(COUNTS_INTERVAL_S / 2)
 
     def _take_budget(self, batch: TransactionBatch) -> bool:
         """Takes a transaction's changes from the budget; returns whether they were there."""
         write_budget = self._store.write_budget
         if batch.changes and not write_budget.try_take(min(batch.changes, write_budget.rate_per_s)):
-            self._flush_timer.within(min(1.0, batch.changes / write_budget.rate_per_s))
+            self._flush_timer.flush_within(min(1.0, batch.changes / write_budget.rate_per_s))
             return False
         return True
 
@@ -265,7 +267,7 @@
         for part in parts:
             self._requeue(part)
         self._refused_until = self._clock.seconds() + REFUSED_BACKOFF_S
-        self._flush_timer.within(REFUSED_BACKOFF_S)
+        self._flush_timer.flush_within(REFUSED_BACKOFF_S)
 
     def _requeue(self, part: JobTransaction) -> None:
         """Nothing was written: what the part is about is dirty still."""
--- a/stileloft/store/flush_timer.py
+++ b/stileloft/store/flush_timer.py
@@ -15,7 +15,7 @@
         self.flush: Callable[[], None] = lambda: None
         """Called when the timer fires; set by the commit queue."""
 
-    def within(self, seconds: float) -> None:
+    def flush_within(self, seconds: float) -> None:
         """Has a flush made within so many seconds."""
         due_at = self._clock.seconds() + seconds
         if self._timer is not None and self._timer.active():
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -139,7 +139,7 @@
             if not job.write.commit_in_flight:
                 job.chunk_of(placement.index).dirty = True
                 self._cluster.mark_dirty(job)
-                self._flush_timer.within(0.0)
+                self._flush_timer.flush_within(0.0)
             return
 
     def take_waiting_machines(self) -> list[str]:
--- a/stileloft/workers/task_states.py
+++ b/stileloft/workers/task_states.py
@@ -60,4 +60,4 @@
             log.info("job started job=%s seconds_since_accepted=%.1f", job.id, self._wall_clock() - job.submitted)
         job.started = True
         self._cluster.mark_counts_dirty(job)
-        self._flush_timer.within(COUNTS_FLUSH_S)
+        self._flush_timer.flush_within(COUNTS_FLUSH_S)
