--- a/stileloft/jobs/user_store.py
+++ b/stileloft/jobs/user_store.py
@@ -33,13 +33,13 @@
 
     def require_intact(self) -> None:
         """Raises `RetryLaterError` while records of the store are known to be lost."""
-        if not self.integrity.is_sound() or not self.integrity.knows_outcomes():
+        if not self.integrity.is_sound() or not self.integrity.has_all_outcomes():
             raise RetryLaterError("the state service has lost records, which are being rebuilt", REBUILD_RETRY_S)
 
     def check_identity(self, conflict: ConflictError) -> None:
         """Raises `RetryLaterError` if a transaction failed as the store is not the one that is known."""
         if records.IDENTITY in conflict.failed:
-            self.integrity.verify_soon()
+            self.integrity.request_verification()
             raise RetryLaterError("the state service is being verified", RETRY_S)
 
     def take_reads(self, reads: float = 1.0) -> None:
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -186,10 +186,10 @@
             version = await self._state.commit(
                 guards, {records.LEADER: {"member": self._member, "nonce": self._nonce}}, [], lease
             )
-            token = await self._integrity.take_leadership(version)
+            token = await self._integrity.begin_term(version)
         except ConflictError as conflict:
             if records.LEADER not in conflict.failed:
-                self._integrity.verify_soon()
+                self._integrity.request_verification()
             await self._end_lease(lease)
             return
         except LeaseExpiredError:
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -66,20 +66,20 @@
     async def verify_absence(self) -> None:
         """The same, before a user is told that something does not exist; raises it also while that is not known yet."""
         await self.verify()
-        if not self.knows_outcomes():
+        if not self.has_all_outcomes():
             raise StoreLostError("the rebuilt store was not read yet")
         identity = self._store.identity
         if identity is not None and identity.unreconciled_members:
             members = ", ".join(identity.unreconciled_members)
             raise StoreLostError(f"it may be known to {members}, which could not be reached")
 
-    def verify_soon(self) -> None:
+    def request_verification(self) -> None:
         """Has the store verified soon: something was not as it should be."""
         self._detector.request_check()
 
     # -- tokens ---------------------------------------------------------------------
 
-    async def take_leadership(self, version: int) -> int:
+    async def begin_term(self, version: int) -> int:
         """The token of a leader whose key has this version; a lost store is marked as being rebuilt."""
         if self._store.phase in (StorePhase.LOST, StorePhase.REBUILDING):
             return await begin_rebuild(self._environment, self._store, self._tokens, version)
@@ -121,7 +121,7 @@
 
     # -- jobs -----------------------------------------------------------------------
 
-    def knows_outcomes(self) -> bool:
+    def has_all_outcomes(self) -> bool:
         """Whether jobs that ended are known, wherever that is recorded."""
         # A rebuild records outcomes in a form of its own, which is read with the replica.
         identity = self._store.identity
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -37,14 +37,14 @@
     async def verify_absence(self) -> None:
         """The same, before a user is told that something does not exist; raises it also while that is not known yet."""
 
-    def knows_outcomes(self) -> bool:
+    def has_all_outcomes(self) -> bool:
         """Whether jobs that ended are known, wherever that is recorded."""
         return True
 
-    def verify_soon(self) -> None:
+    def request_verification(self) -> None:
         """Has the store verified soon: something was not as it should be."""
 
-    async def take_leadership(self, version: int) -> int:
+    async def begin_term(self, version: int) -> int:
         """The token of a leader whose key has this version."""
         return version
 
