--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -37,7 +37,7 @@
         self._cluster.jobs[job.id] = job
         job.accepted_at = self._clock.seconds() - max(0.0, self._wall_clock() - job.submitted)
         self._workload.observe(job.spec, job.submitted)
-        most = records.max_placements_in(self._limits.value_bytes)
+        most = records.max_placements_in(self._limits.max_value_bytes)
         if self._format.has_chunk_sizes:
             if not job.stores_chunk_size:
                 self._cluster.dirty[job.id] = None
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -92,7 +92,7 @@
 
     def _max_changes(self) -> int:
         """Records that are written, and that are deleted, in one transaction."""
-        return max(1, self._store.limits.ops // 2)
+        return max(1, self._store.limits.max_changes // 2)
 
     def _interval_s(self, unrecorded: int) -> float:
         rounds = max(unrecorded / self._max_changes(), 1.0)
@@ -123,6 +123,6 @@
     def _recorded_images(self, machine: Machine) -> list[str]:
         """The images that a machine has, the ones used last, as far as a value holds them."""
         images = list(machine.images)
-        while records.json_bytes(images) > self._store.limits.value_bytes:
+        while records.json_bytes(images) > self._store.limits.max_value_bytes:
             images = images[1 + len(images) // 8 :]
         return images
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -38,7 +38,7 @@
         """Records machines, as far as the write budget allows; an error of the store is logged only."""
         now = self._wall_clock()
         record = records.to_stored(records.ProvisionRecord(round(now, 1), records.StoredOffer(*offer), machines))
-        if len(machines) > 1 and records.json_bytes(record) > self._store.limits.value_bytes:
+        if len(machines) > 1 and records.json_bytes(record) > self._store.limits.max_value_bytes:
             for half in (machines[: len(machines) // 2], machines[len(machines) // 2 :]):
                 await self.write(offer, half)
             return
--- a/stileloft/rebuild/record_writer.py
+++ b/stileloft/rebuild/record_writer.py
@@ -66,13 +66,13 @@
     def _outcome_records(self, result: Reconstruction) -> dict[str, Any]:
         """Records of the new outcomes, numbered on from those that the store holds."""
         numbers = [int(key[len(records.ENDED) :]) for key in self._stored if key.startswith(records.ENDED)]
-        values = result.new_outcomes.to_records(self._limits.value_bytes)
+        values = result.new_outcomes.to_records(self._limits.max_value_bytes)
         return {
             f"{records.ENDED}{number:06d}": value for number, value in enumerate(values, max(numbers, default=0) + 1)
         }
 
     def _most_changes(self) -> int:
-        return max(1, self._limits.ops)
+        return max(1, self._limits.max_changes)
 
     def _put_batches(self, puts: dict[str, Any]) -> Iterator[dict[str, Any]]:
         """The records in batches of a transaction's size."""
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -51,7 +51,7 @@
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
             part.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
-        values = chunk_values(chunk, job.spec, job.chunk_size, self._store.limits.value_bytes)
+        values = chunk_values(chunk, job.spec, job.chunk_size, self._store.limits.max_value_bytes)
         part.puts[key] = values[0]
         part.overflow[number] = values[1:]
         for overflow, value in enumerate(values[1:], 1):
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -132,7 +132,7 @@
     # -- transactions ---------------------------------------------------------------
 
     def _max_changes(self) -> int:
-        return min(self._store.limits.ops, int(self._store.write_budget.rate_per_s))
+        return min(self._store.limits.max_changes, int(self._store.write_budget.rate_per_s))
 
     def _budget_allows(self) -> bool:
         """Whether a transaction may begin; seen before parts are built, which would be in vain."""
@@ -250,7 +250,9 @@
         """The limits have become lower than was announced. Unchanged it would be refused for ever."""
         limits = self._store.limits
         limits.reduce_after_refusal(puts.values(), changes)
-        log.info("commit too large max_changes=%d max_value_bytes=%d: %s", limits.ops, limits.value_bytes, error)
+        log.info(
+            "commit too large max_changes=%d max_value_bytes=%d: %s", limits.max_changes, limits.max_value_bytes, error
+        )
         self._retry_later(parts)
 
     def _reload_all(self, parts: list[JobTransaction], error: UnknownOutcomeError) -> None:
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -93,7 +93,7 @@
             if (
                 not chunk.overflow
                 and records.json_bytes(whole_chunk_value(chunk, job.spec, job.chunk_size))
-                > self._store.limits.value_bytes
+                > self._store.limits.max_value_bytes
             ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -39,7 +39,7 @@
             return False
         if any(chunk.storage is ChunkStorage.OWN_RECORDS for chunk in job.chunks.values()):
             return False  # it was stored before format 2, and stays where it is
-        max_bytes = MAX_INLINE_VALUE_PART * self._store.limits.value_bytes
+        max_bytes = MAX_INLINE_VALUE_PART * self._store.limits.max_value_bytes
         # The bound comes first: this is asked each time a job is checked, and encoding the record takes long.
         if max_inline_record_bytes(job) <= max_bytes:
             return True
@@ -55,7 +55,7 @@
         if len(ranges) <= FEW_RANGES:
             return True
         record = msgspec.structs.replace(job_record(job, True), finished_chunks=ranges)
-        return json_bytes(to_stored(record)) <= self._store.limits.value_bytes
+        return json_bytes(to_stored(record)) <= self._store.limits.max_value_bytes
 
     def is_due(self, part: JobTransaction) -> bool:
         """Whether the job's record is to be written now."""
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -6,7 +6,7 @@
 from stileloft.model import records
 from stileloft.settings import State
 
-MIN_OPS = 2
+MIN_CHANGES = 2
 """The lowest limit on the changes of a transaction that is assumed: a job's end takes two."""
 MIN_VALUE_BYTES = 512
 """The lowest limit on the bytes of a value that is assumed."""
@@ -17,8 +17,8 @@
 
     def __init__(self, state: State) -> None:
         least = state.least()
-        self.ops = least.txn_ops
-        self.value_bytes = least.value_bytes
+        self.max_changes = least.txn_ops
+        self.max_value_bytes = least.value_bytes
 
     def reduce_after_refusal(self, values: Iterable[Any], changes: int) -> None:
         """Lowers a limit after a transaction of these values and so many changes was too large.
@@ -27,7 +27,7 @@
         records, so that its transaction could exceed the limit on changes for good.
         """
         largest = max((records.json_bytes(value) for value in values), default=0)
-        if changes > MIN_OPS and self.ops > MIN_OPS:
-            self.ops = max(MIN_OPS, min(self.ops, changes) // 2)
-        elif largest > MIN_VALUE_BYTES // 2 or changes <= MIN_OPS:
-            self.value_bytes = max(MIN_VALUE_BYTES, self.value_bytes // 2)
+        if changes > MIN_CHANGES and self.max_changes > MIN_CHANGES:
+            self.max_changes = max(MIN_CHANGES, min(self.max_changes, changes) // 2)
+        elif largest > MIN_VALUE_BYTES // 2 or changes <= MIN_CHANGES:
+            self.max_value_bytes = max(MIN_VALUE_BYTES, self.max_value_bytes // 2)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -292,21 +292,21 @@
     )
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.reduce_after_refusal(["small"] * 8, 10)
-    assert (limits.ops, limits.value_bytes) == (5, 4096)
+    assert (limits.max_changes, limits.max_value_bytes) == (5, 4096)
     limits.reduce_after_refusal(["small", "x" * 3000], 2)
-    assert (limits.ops, limits.value_bytes) == (5, 2048)
+    assert (limits.max_changes, limits.max_value_bytes) == (5, 2048)
     for _ in range(40):
         limits.reduce_after_refusal(["small"], 1)
-    assert limits.ops == 5
-    assert limits.value_bytes == 512
+    assert limits.max_changes == 5
+    assert limits.max_value_bytes == 512
     # Of large values too fewer changes are tried first: smaller values would make more of them.
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.reduce_after_refusal(["x" * 3000] * 6, 6)
-    assert (limits.ops, limits.value_bytes) == (3, 4096)
+    assert (limits.max_changes, limits.max_value_bytes) == (3, 4096)
     for _ in range(3):
         limits.reduce_after_refusal(["x" * 3000] * 3, 3)
-    assert limits.ops == 2
-    assert limits.value_bytes < 4096
+    assert limits.max_changes == 2
+    assert limits.max_value_bytes < 4096
 
 
 def stored_spec(pieces: int) -> JobSpec:
