--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -131,9 +131,9 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.first_chunk_size,
+                first_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
-                forget_record_versions=self.record_format.forget_record_version,
+                forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
             )
         )
@@ -279,7 +279,7 @@
 
     def _on_format_advance(self) -> None:
         if self.leader is not None:
-            self.leader.upgrade.format_changed()
+            self.leader.upgrade.on_format_advanced()
 
     def _on_cancelled_here(self, job: str, revision: int) -> None:
         """A user of this controller has cancelled a job: as the leader we know it at once, not with the next watch."""
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -42,7 +42,7 @@
         lifecycle: TaskLifecycle,
         integrity: StoreIntegrity,
         clock: Clock,
-        first_chunk_size: int,
+        legacy_chunk_size: int,
         reload: Callable[[Job], None],
         request_scheduling: Callable[[], None],
     ) -> None:
@@ -52,7 +52,7 @@
         self._lifecycle = lifecycle
         self._integrity = integrity
         self._clock = clock
-        self._first_chunk_size = first_chunk_size
+        self._legacy_chunk_size = legacy_chunk_size
         self._reload = reload
         self._request_scheduling = request_scheduling
         self._cluster = cluster
@@ -137,7 +137,7 @@
     def _adopt(self, value: Any, version: int) -> None:
         """Takes in a job that is new to this leader."""
         with self._cluster.lock:
-            job = job_from_record(value, version, self._first_chunk_size)
+            job = job_from_record(value, version, self._legacy_chunk_size)
             self._jobs.adopt(job)
             for placement in job.placements():
                 self._lifecycle.track(placement)
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -109,7 +109,7 @@
 
     def _load_jobs(self, active: list[Item], chunks: list[Item]) -> None:
         """Unfinished jobs with their chunks, and what is left of those that have ended."""
-        first_chunk_size = self._store.format.first_chunk_size
+        first_chunk_size = self._store.format.legacy_chunk_size
         for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
             self._jobs.adopt(job_from_record(value, version, first_chunk_size))
         by_job: dict[str, list[Item]] = {}
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -146,7 +146,7 @@
             self.lifecycle,
             env.integrity,
             clock,
-            env.record_format.first_chunk_size,
+            env.record_format.legacy_chunk_size,
             self.reloader.reload,
             self.request_scheduling,
         )
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -77,7 +77,7 @@
             log.info("record format written format=%d members=%s", records.NEWEST_FORMAT, ",".join(members))
             self._store.format.observe(records.NEWEST_FORMAT, version)
 
-    def format_changed(self) -> None:
+    def on_format_advanced(self) -> None:
         """Brings the records of jobs into the format that may be written from now on."""
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -23,7 +23,7 @@
         self.number = 0
         self.record_version = 0
         """The version of the record that says so; 0 before there is one."""
-        self.first_chunk_size = records.chunk_size(limits.value_kb)
+        self.legacy_chunk_size = records.chunk_size(limits.value_kb)
         """Tasks per chunk of the jobs whose records don't say."""
         self.chunk_size = records.sized_chunk_size(limits.least().value_bytes)
         """Tasks per chunk of new jobs, once their records may say so."""
@@ -48,7 +48,7 @@
             self.number = number
             self.on_advance()
 
-    def forget_record_version(self) -> None:
+    def reset_record_version(self) -> None:
         """The store was rebuilt: its records have other versions now."""
         self.record_version = 0
 
