--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -96,7 +96,7 @@
         for key, value, version in events:
             self.on_change(key[len(records.ACTIVE) :], value, version)
         self.revision, self.up_to_date_at = revision, asked_at
-        self._jobs.forget_removed(self.up_to_date_at)
+        self._jobs.prune_removed(self.up_to_date_at)
         if events:
             # Under a burst each change would else be an answer and a request of its own.
             await sleep(self._clock, self.watch_s * GATHER_PART)
@@ -132,13 +132,13 @@
             if job is not None and not job.end_phase:
                 self._end(job, version)
         elif job is None and not self._jobs.was_removed(job_id):
-            self._adopt(value, version)
+            self._add_job(value, version)
 
-    def _adopt(self, value: Any, version: int) -> None:
+    def _add_job(self, value: Any, version: int) -> None:
         """Takes in a job that is new to this leader."""
         with self._cluster.lock:
             job = job_from_record(value, version, self._legacy_chunk_size)
-            self._jobs.adopt(job)
+            self._jobs.add(job)
             for placement in job.placements():
                 self._lifecycle.track(placement)
         self._request_scheduling()
--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -27,12 +27,12 @@
         self._limits = limits
         self._clock = clock
         self._wall_clock = wall_clock
-        self.undescribed: frozenset[str] = frozenset()
+        self.lost_spec_jobs: frozenset[str] = frozenset()
         """Jobs of which only workers' heartbeats tell: what runs of them goes on until an operator decides."""
         self._removed: dict[str, float] = {}
         """Jobs removed from the cluster's state, and when: the watch may not have come as far as that."""
 
-    def adopt(self, job: Job) -> None:
+    def add(self, job: Job) -> None:
         """Takes in an accepted job."""
         self._cluster.jobs[job.id] = job
         job.accepted_at = self._clock.seconds() - max(0.0, self._wall_clock() - job.submitted)
@@ -54,11 +54,11 @@
         """Whether a job ended so lately that the watch may still bring an older record of it."""
         return job_id in self._removed
 
-    def forget_removed(self, before: float) -> None:
+    def prune_removed(self, before: float) -> None:
         """What was asked of the store after a job was let go of brings no record of it any more."""
         while self._removed and next(iter(self._removed.values())) < before:
             del self._removed[next(iter(self._removed))]
 
     def awaits_operator(self, job_id: str) -> bool:
         """Whether a job's tasks run on though the store places none of them: only heartbeats tell of it."""
-        return job_id in self.undescribed and job_id not in self._cluster.jobs
+        return job_id in self.lost_spec_jobs and job_id not in self._cluster.jobs
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -111,7 +111,7 @@
         """Unfinished jobs with their chunks, and what is left of those that have ended."""
         first_chunk_size = self._store.format.legacy_chunk_size
         for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
-            self._jobs.adopt(job_from_record(value, version, first_chunk_size))
+            self._jobs.add(job_from_record(value, version, first_chunk_size))
         by_job: dict[str, list[Item]] = {}
         for item in chunks:
             by_job.setdefault(records.split_chunk_key(item[0])[0], []).append(item)
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/operator_decisions.py
@@ -60,7 +60,7 @@
 
     def apply(self, stored: Stored) -> None:
         """Has no unresolved task started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
+        self._jobs.lost_spec_jobs = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
@@ -81,7 +81,7 @@
 
     def _anything_unresolved(self) -> bool:
         jobs = list(self._cluster.jobs.values())
-        return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
+        return bool(self._jobs.lost_spec_jobs) or any(job.tasks_awaiting_operator for job in jobs)
 
     async def _carry_out_one(self, job_id: str, found: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
@@ -96,7 +96,7 @@
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks settled job=%s", job_id)
         with self._cluster.lock:
-            self._jobs.undescribed -= {job_id}
+            self._jobs.lost_spec_jobs -= {job_id}
         self._request_scheduling()
 
     def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
