--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -9,7 +9,7 @@
 
 from stileloft.jobs.cancellation import JobCanceller
 from stileloft.jobs.errors import InfeasibleJobError, RetryLaterError
-from stileloft.jobs.feasibility import TOO_LONG, FeasibilityCheck
+from stileloft.jobs.feasibility import SPEC_TOO_LARGE, FeasibilityCheck
 from stileloft.jobs.job_status import JobOutcomes, JobStatusReader
 from stileloft.jobs.user_store import UserStore
 from stileloft.model import records
@@ -56,7 +56,7 @@
         if known is not None:
             return False, known
         self._store.require_intact()
-        reason = self._feasibility.reason_against(spec)
+        reason = self._feasibility.infeasibility_reason(spec)
         if reason is not None:
             known = await self.status(spec.id)
             if known is not None:
@@ -85,7 +85,7 @@
             try:
                 revision = await self._store.client.commit(guards, {active: value}, [])
             except TooLargeError:
-                raise InfeasibleJobError(TOO_LONG) from None
+                raise InfeasibleJobError(SPEC_TOO_LARGE) from None
         integrity.record_commit({active: value}, [], revision)
 
     async def status(self, job: str) -> dict[str, Any] | None:
--- a/stileloft/jobs/failure_attribution.py
+++ b/stileloft/jobs/failure_attribution.py
@@ -12,11 +12,11 @@
 
 log = logging.getLogger(__name__)
 
-FAULTY_AFTER_JOBS = 2
+FAULTY_MACHINE_JOBS = 2
 """Jobs whose tasks failed, or were slow, on a machine before it is taken to be faulty."""
 MAX_FAILURES = 4
 """Beyond so many failures on a machine one job that fails nowhere else is enough."""
-MISTAKEN_AFTER_MACHINES = 2
+FAULTY_JOB_MACHINES = 2
 """A job that failed on so many machines is taken to be mistaken: it says nothing about a machine."""
 AVOID_LEASES = 4.0
 """A job avoids a machine on which it failed for so long, in worker leases."""
@@ -46,7 +46,7 @@
         if job is not None:
             job.failed_machines.add(machine.id)
             self._backoff.avoid_machine(placement, AVOID_LEASES * self._worker_lease_s)
-            if len(job.failed_machines) >= MISTAKEN_AFTER_MACHINES:
+            if len(job.failed_machines) >= FAULTY_JOB_MACHINES:
                 self._backoff.back_off(job)
         if self._is_faulty(machine) and machine.drain_reason is None:
             log.info("machine drained, tasks fail machine=%s failed_jobs=%d", machine.id, len(machine.failed_jobs))
@@ -67,12 +67,12 @@
         if len(elsewhere) < MIN_COMPARED_TASKS or run_time_s <= SLOW_FACTOR * elsewhere[len(elsewhere) // 2]:
             return
         machine.slow_jobs.add(job.id)
-        if len(machine.slow_jobs) >= FAULTY_AFTER_JOBS and machine.drain_reason is None:
+        if len(machine.slow_jobs) >= FAULTY_MACHINE_JOBS and machine.drain_reason is None:
             log.info("machine drained, it is slow machine=%s slow_jobs=%d", machine.id, len(machine.slow_jobs))
             machine.drain_reason = DrainReason.SLOW.value
 
     def _is_faulty(self, machine: Machine) -> bool:
         """Whether enough jobs failed there that do not fail elsewhere too."""
         jobs = [self._cluster.jobs[job_id] for job_id in machine.failed_jobs if job_id in self._cluster.jobs]
-        evidence = sum(len(job.failed_machines) < MISTAKEN_AFTER_MACHINES for job in jobs)
-        return evidence >= FAULTY_AFTER_JOBS or (evidence > 0 and machine.failure_count > MAX_FAILURES)
+        evidence = sum(len(job.failed_machines) < FAULTY_JOB_MACHINES for job in jobs)
+        return evidence >= FAULTY_MACHINE_JOBS or (evidence > 0 and machine.failure_count > MAX_FAILURES)
--- a/stileloft/jobs/feasibility.py
+++ b/stileloft/jobs/feasibility.py
@@ -8,7 +8,7 @@
 from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.settings import Team
 
-TOO_LONG = "its description is too long to be stored"
+SPEC_TOO_LARGE = "its description is too long to be stored"
 
 
 class FeasibilityCheck:
@@ -20,7 +20,7 @@
         self._catalog = catalog
         self._value_bytes = value_bytes
 
-    def reason_against(self, spec: JobSpec) -> str | None:
+    def infeasibility_reason(self, spec: JobSpec) -> str | None:
         """Why the job can never run, or None if it can; raises `RetryLaterError` until machine types are known."""
         if not self._catalog.types:
             raise RetryLaterError("the machine types are not known yet")
@@ -41,7 +41,7 @@
     if spec.is_gang and spec.spread and spec.tasks > 1 and not _can_spread(spec, types):
         return "half of its tasks would have to be in another zone, and all of them run at once"
     if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.JOB_PROGRESS_BYTES > value_bytes:
-        return TOO_LONG
+        return SPEC_TOO_LARGE
     return None
 
 
--- a/stileloft/workers/task_reconciliation.py
+++ b/stileloft/workers/task_reconciliation.py
@@ -90,7 +90,7 @@
                 self._lifecycle.end(placement, EndReason.NOT_STARTED)
         elif placement.sent_epoch < machine.epoch:
             # A worker kills its tasks when an epoch ends, and starts sent in one fail in the next.
-            self._lifecycle.end(placement, EndReason.EPOCH_OVER)
+            self._lifecycle.end(placement, EndReason.EPOCH_ENDED)
         elif unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
             self._fencing.record_fenced(machine, placement)
             self._lifecycle.end(placement, EndReason.START_FENCED)
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -32,7 +32,7 @@
 DEFECT = re.compile(r"Traceback|invariant violated|Unhandled")
 COUNTED = {
     "tokens_raised": re.compile(r"fencing token raised"),
-    "starts_barred": re.compile(r"reason='its start was fenced'"),
+    "starts_barred": re.compile(r"reason='start fenced'"),
     "starts_in_doubt": re.compile(r"start in doubt"),
     "renewals_withheld": re.compile(r"lease renewal withheld"),
     "withdrawn": re.compile(r"commands withdrawn"),
--- a/tests/test_job_parts.py
+++ b/tests/test_job_parts.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 
 from stileloft.jobs.errors import RetryLaterError
-from stileloft.jobs.failure_attribution import AVOID_LEASES, FAULTY_AFTER_JOBS, MAX_FAILURES, FailureAttribution
+from stileloft.jobs.failure_attribution import AVOID_LEASES, FAULTY_MACHINE_JOBS, MAX_FAILURES, FailureAttribution
 from stileloft.jobs.job_backoff import MAX_BACKOFF_S, MIN_BACKOFF_S, JobBackoff
 from stileloft.jobs.shared_scan import GATHER_S, SharedJobScan
 from stileloft.jobs.user_store import UserStore
@@ -58,8 +58,8 @@
 
 
 def test_a_machine_that_fails_several_jobs_is_drained() -> None:
-    failures, machine = Failures(FAULTY_AFTER_JOBS), Machine("m")
-    for number in range(FAULTY_AFTER_JOBS):
+    failures, machine = Failures(FAULTY_MACHINE_JOBS), Machine("m")
+    for number in range(FAULTY_MACHINE_JOBS):
         assert machine.drain_reason is None
         assert failures.lifecycle.stopped == []
         failures.fail(number, machine)
@@ -101,8 +101,8 @@
 
 
 def test_a_machine_is_slow_only_by_several_jobs_and_compared_with_others() -> None:
-    failures, slow = Failures(FAULTY_AFTER_JOBS), Machine("slow")
-    for number in range(FAULTY_AFTER_JOBS):
+    failures, slow = Failures(FAULTY_MACHINE_JOBS), Machine("slow")
+    for number in range(FAULTY_MACHINE_JOBS):
         assert slow.drain_reason is None
         job = failures.job(number)
         failures.attribution.record_run_time(slow, job, 100.0)  # nothing to compare it with yet
