--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -32,9 +32,13 @@
             return 0
         # What is left of a cancelled job is recorded until it is gone.
         complete = not live and len(chunk.done | completed) == job.chunk_length(number)
-        if not job.end_phase and complete and self._policy.has_room_for_finished(job, {*part.folded_chunks, number}):
+        if (
+            not job.end_phase
+            and complete
+            and self._policy.has_room_for_finished(job, {*part.newly_finished_chunks, number})
+        ):
             part.deletes += stored_keys(job, number)
-            part.folded_chunks.append(number)
+            part.newly_finished_chunks.append(number)
         else:
             part.written_chunks.append(number)
             part.new_placements += [p for p in live if p.state == PlacementState.PLANNED]
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -65,7 +65,7 @@
             for overflow, value in enumerate(part.overflow.get(number, ()), 1):
                 stored = before.get(overflow, NO_RECORD)
                 chunk.overflow[overflow] = stored if stored.value == value else VersionedValue(value, revision)
-        for number in part.folded_chunks:
+        for number in part.newly_finished_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
         for number in part.removed_chunks:
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -33,7 +33,7 @@
         self._store = store
         self._clock = clock
 
-    def holds_chunk(self, job: Job) -> bool:
+    def stores_chunk_inline(self, job: Job) -> bool:
         """Whether the job's only chunk is to be stored in the job's own record."""
         if not self._store.format.has_inline_chunks or job.end_phase or job.chunk_count() > 1:
             return False
@@ -59,8 +59,8 @@
 
     def is_due(self, part: JobTransaction) -> bool:
         """Whether the job's record is to be written now."""
-        changes_chunks = part.folded_chunks or (part.is_inline and part.written_chunks)
-        if changes_chunks or moves_chunk_out(part) or self._counts_overdue(part):
+        changes_chunks = part.newly_finished_chunks or (part.is_inline and part.written_chunks)
+        if changes_chunks or detaches_inline_chunk(part) or self._counts_overdue(part):
             return True
         return self._store.format.has_chunk_sizes and not part.job.stores_chunk_size and self._budget_is_ample()
 
@@ -83,6 +83,6 @@
         return budget.level() > AMPLE_BUDGET_PART * budget.rate_per_s
 
 
-def moves_chunk_out(part: JobTransaction) -> bool:
+def detaches_inline_chunk(part: JobTransaction) -> bool:
     """Whether the chunk that the job's record holds gets records of its own."""
     return part.job.has_inline_chunk and not part.is_inline
--- a/stileloft/store/job_transaction.py
+++ b/stileloft/store/job_transaction.py
@@ -24,7 +24,7 @@
     cleared_placements: list[Placement] = field(default_factory=list)
     """Ended placements that the store no longer holds."""
     written_chunks: list[int] = field(default_factory=list)
-    folded_chunks: list[int] = field(default_factory=list)
+    newly_finished_chunks: list[int] = field(default_factory=list)
     """Finished chunks: the job's record says so instead of records of their own."""
     removed_chunks: list[int] = field(default_factory=list)
     """Chunks of which nothing is left to know."""
@@ -46,4 +46,4 @@
     @property
     def chunks(self) -> list[int]:
         """All chunks that it is about."""
-        return self.written_chunks + self.folded_chunks + self.removed_chunks
+        return self.written_chunks + self.newly_finished_chunks + self.removed_chunks
--- a/stileloft/store/job_transaction_builder.py
+++ b/stileloft/store/job_transaction_builder.py
@@ -7,7 +7,7 @@
 from stileloft.model.records.outcomes import final_record
 from stileloft.model.records.ranges import to_ranges
 from stileloft.store.chunk_writer import ChunkWriter, stored_keys
-from stileloft.store.job_record_policy import JobRecordPolicy, moves_chunk_out
+from stileloft.store.job_record_policy import JobRecordPolicy, detaches_inline_chunk
 from stileloft.store.job_transaction import JobTransaction
 from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
@@ -25,7 +25,7 @@
 
     def build(self, job: Job, room: int) -> JobTransaction | None:
         """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
-        part = JobTransaction(job, is_inline=self._policy.holds_chunk(job))
+        part = JobTransaction(job, is_inline=self._policy.stores_chunk_inline(job))
         gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
         newly_done = self._add_chunks(part, room)
         if job.end_phase:
@@ -41,7 +41,7 @@
     def _add_chunks(self, part: JobTransaction, room: int) -> int:
         """Adds the chunks that have changed, as far as there is room; returns how many tasks are newly done."""
         job = part.job
-        all_chunks = moves_chunk_out(part) and not job.end_phase
+        all_chunks = detaches_inline_chunk(part) and not job.end_phase
         newly_done = 0
         for number in [n for n, chunk in job.chunks.items() if chunk.dirty or all_chunks]:
             if part.guards and part.changes >= max(1, room - JOB_CHANGES):
@@ -60,18 +60,18 @@
         part.ends_job = True
         part.puts = {final_key(job.id): final_record(FinalPhase.DONE, job.spec.tasks)}
         part.deletes = [active_key(job.id)]
-        for number in part.written_chunks + part.folded_chunks:
+        for number in part.written_chunks + part.newly_finished_chunks:
             keys = stored_keys(job, number)
             if not keys or part.changes + len(keys) <= room:
                 part.deletes += keys
                 part.removed_chunks.append(number)
-        part.written_chunks, part.folded_chunks = [], []
+        part.written_chunks, part.newly_finished_chunks = [], []
 
     def _put_job(self, part: JobTransaction) -> None:
         """Writes the job's own record."""
         job = part.job
         record = self._policy.record(job, part.is_inline)
-        record.finished_chunks = to_ranges(job.finished_chunks | set(part.folded_chunks))
+        record.finished_chunks = to_ranges(job.finished_chunks | set(part.newly_finished_chunks))
         record.counts = part.counts
         part.puts[active_key(job.id)] = to_stored(record)
         part.writes_job_record = True
