--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -91,7 +91,7 @@
         deployment = self.settings.deployment
         self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
-        self.budgets = StateBudgets.of(deployment, self.reactor)
+        self.budgets = StateBudgets.from_deployment(deployment, self.reactor)
         self.catalog = MachineCatalog(self.clients.cloud, self.reactor)
         self.state_service_check = StateServiceCheck(self.reactor, self.clients.state, self.clients.peers)
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
@@ -217,7 +217,7 @@
 
     def healthy(self) -> bool:
         """Whether the load balancer should send users here."""
-        return bool(self.catalog.types) and not self.state_service_check.refused
+        return bool(self.catalog.types) and not self.state_service_check.is_refused
 
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
