--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -21,7 +21,7 @@
 from stileloft.transport.clock import Clock
 
 if TYPE_CHECKING:
-    from stileloft.rebuild.service import Rebuild
+    from stileloft.rebuild.service import RebuildService
 
 NEVER_SERVED_S = 1e9
 """Told in place of an age that has no bound, in seconds."""
@@ -42,7 +42,7 @@
     state_service_check: StateServiceCheck
     invariants: InvariantMonitor
     budgets: StateBudgets
-    rebuild: "Rebuild | None"
+    rebuild: "RebuildService | None"
     leadership_status: Callable[[], dict[str, Any] | None]
     """What is shown of the leadership; None while this controller doesn't lead."""
 
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -42,7 +42,7 @@
 from stileloft.transport.timers import sleep
 
 if TYPE_CHECKING:
-    from stileloft.rebuild.service import Rebuild
+    from stileloft.rebuild.service import RebuildService
 
 log = logging.getLogger(__name__)
 
@@ -114,14 +114,14 @@
             self._on_cancelled_here,
         )
 
-    def _rebuild_feature(self) -> "Rebuild | None":
+    def _rebuild_feature(self) -> "RebuildService | None":
         if not self.features.rebuild.enabled:
             return None
         # Imported here, as its library takes memory that controllers without the feature have no use for.
         from stileloft.rebuild.environment import RebuildEnvironment
-        from stileloft.rebuild.service import Rebuild
+        from stileloft.rebuild.service import RebuildService
 
-        return Rebuild(
+        return RebuildService(
             RebuildEnvironment(
                 clock=self.reactor,
                 sleep=self.sleep,
@@ -182,7 +182,7 @@
         defer.ensureDeferred(self.state_service_check.run())
         defer.ensureDeferred(self.election.run())
         if self.rebuild is not None:
-            self.rebuild.run()
+            self.rebuild.start()
 
     def serve(self) -> None:
         """Listens on the public and on the peer address."""
@@ -240,7 +240,7 @@
 
     def _on_elected(self, token: int) -> None:
         if self.rebuild is not None and self.integrity.is_rebuilding():
-            self.rebuild.begin(token)
+            self.rebuild.begin_rebuild(token)
         else:
             self.begin_leading(token)
 
@@ -272,7 +272,7 @@
 
     def _on_deposed(self, _reason: str) -> None:
         if self.rebuild is not None:
-            self.rebuild.stop()
+            self.rebuild.stop_rebuild()
         if self.leader is not None:
             self.leader.end()
             self.leader = None
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 
-class Rebuild:
+class RebuildService:
     """What a controller holds of the feature."""
 
     def __init__(self, environment: RebuildEnvironment) -> None:
@@ -51,7 +51,7 @@
         """The rebuild that this controller leads now."""
         self._refused_notices = 0
 
-    def run(self) -> None:
+    def start(self) -> None:
         """Starts to check the store, and to follow it."""
         defer.ensureDeferred(self._detector.run())
         defer.ensureDeferred(self._follower.run())
@@ -62,7 +62,7 @@
         """Whether this controller writes lost records back now."""
         return self._rebuilder is not None
 
-    def begin(self, token: int) -> None:
+    def begin_rebuild(self, token: int) -> None:
         """Begins to write lost records back, as the leader with this token."""
         parts = RebuildParts(self._environment, self.store, self.tokens, self.replicas, self.snapshots, self._detector)
         self._rebuilder = Rebuilder(parts, token, lambda: self._finish(token))
@@ -72,7 +72,7 @@
         self._rebuilder = None
         self._environment.begin_leading(token)
 
-    def stop(self) -> None:
+    def stop_rebuild(self) -> None:
         """Ends the rebuild that this controller leads: its leadership is over."""
         if self._rebuilder is not None:
             self._rebuilder.stop()
