--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -24,7 +24,7 @@
 from stileloft.machines.worker_leases import WorkerLeases
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
-from stileloft.rebuild.operator_decisions import UnresolvedTaskKeeper
+from stileloft.rebuild.unresolved_task_manager import UnresolvedTaskManager
 from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.scheduling.machine_views import MachineViews
 from stileloft.scheduling.pending_jobs import PendingJobs
@@ -343,7 +343,7 @@
 
     def _build_failover(self) -> None:
         """What takes over from the former leader."""
-        self.unresolved = UnresolvedTaskKeeper(
+        self.unresolved = UnresolvedTaskManager(
             self.store,
             self.cluster,
             self.job_registry,
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -27,7 +27,7 @@
 """By job: its unresolved tasks, and the version of their record."""
 
 
-class UnresolvedTaskKeeper:
+class UnresolvedTaskManager:
     """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
 
     def __init__(
@@ -64,7 +64,7 @@
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
-                job.tasks_awaiting_operator = frozenset(found.open_tasks())
+                job.tasks_awaiting_operator = frozenset(found.blocked_tasks())
 
     async def run(self) -> None:
         """Does what operators decide, for as long as the leadership lasts."""
@@ -101,7 +101,7 @@
 
     def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
         """Brings the job in line with the decisions; returns whether all are carried out and stored."""
-        open_tasks = found.open_tasks()
+        blocked_tasks = found.blocked_tasks()
         for text, decision in found.decisions.items():
             index = int(text)
             chunk = job.chunk_of(index)
@@ -111,7 +111,7 @@
                 job.done += 1
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
-        job.tasks_awaiting_operator = frozenset(open_tasks)
+        job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
         self._flush_timer.within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
--- a/stileloft/rebuild/unresolved_tasks.py
+++ b/stileloft/rebuild/unresolved_tasks.py
@@ -30,7 +30,7 @@
     decisions: dict[str, Decision] = field(default_factory=dict)
     """What an operator has decided about tasks, for the leader to carry out."""
 
-    def open_tasks(self) -> set[int]:
+    def blocked_tasks(self) -> set[int]:
         """Tasks that must not be started."""
         return {int(task) for task in self.evidence if self.decisions.get(task) is not Decision.RUN}
 
--- a/tests/test_rebuild_reconstruction.py
+++ b/tests/test_rebuild_reconstruction.py
@@ -183,11 +183,11 @@
 def test_an_operator_decides_tasks_one_by_one_or_together() -> None:
     found = UnresolvedTasks({"0": "placed", "1": "placed"})
     one = found.decide(1, Decision.RUN)
-    assert one.open_tasks() == {0}
-    assert found.open_tasks() == {0, 1}
+    assert one.blocked_tasks() == {0}
+    assert found.blocked_tasks() == {0, 1}
     every = unresolved_tasks.from_record(unresolved_tasks.to_record(one.decide(None, Decision.DONE)))
     assert every.decisions == {"0": "done", "1": "run"}
-    assert every.open_tasks() == {0}
+    assert every.blocked_tasks() == {0}
     for task, decision in ((5, Decision.RUN), (None, Decision.FORGET)):
         with pytest.raises(InvalidDecisionError):
             found.decide(task, decision)
