--- a/stileloft/rebuild/job_settlement.py
+++ b/stileloft/rebuild/job_reconciler.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class SettledJob:
+class ReconciledJob:
     """A job, with each task where a heartbeat lists it."""
 
     job: StoredJob
@@ -21,7 +21,7 @@
     """By task number: tasks that may have completed unseen and must not run twice, with the evidence."""
 
 
-class JobSettlement:
+class JobReconciler:
     """Settles one job."""
 
     def __init__(self, evidence: Evidence, job: StoredJob, reported: Mapping[int, ReportedTask]) -> None:
@@ -33,16 +33,16 @@
         self.runs_once = self._spec.job_class in evidence.run_once_classes
         """Whether its tasks are not repeated unless it is shown that they did not complete."""
 
-    def settle(self, silent_machines: Sequence[str]) -> SettledJob:
-        """The settled job; `silent_machines` may have run some of its tasks, and have sent no heartbeat since."""
-        settled = SettledJob(StoredJob(self._job.id, self._job.value))
+    def reconcile(self, silent_machines: Sequence[str]) -> ReconciledJob:
+        """The reconciled job; `silent_machines` may have run some of its tasks, and have sent no heartbeat since."""
+        reconciled = ReconciledJob(StoredJob(self._job.id, self._job.value))
         for number in self._open_chunks():
             chunk = self._job.chunk(number)
-            settled.unresolved |= self._settle_chunk(chunk, number)
-            settled.job.store_chunk(number, chunk)
+            reconciled.unresolved |= self._reconcile_chunk(chunk, number)
+            reconciled.job.store_chunk(number, chunk)
         if self.runs_once and silent_machines:
-            settled.unresolved |= self._possibly_run_tasks(settled, silent_machines[0])
-        return settled
+            reconciled.unresolved |= self._possibly_run_tasks(reconciled, silent_machines[0])
+        return reconciled
 
     def _open_chunks(self) -> list[int]:
         """Numbers of the chunks of which something is known, and that are not finished."""
@@ -52,7 +52,7 @@
     def _tasks_of_chunk(self, number: int) -> range:
         return range(number * self._chunk_size, (number + 1) * self._chunk_size)
 
-    def _settle_chunk(self, chunk: StoredChunk, number: int) -> dict[str, str]:
+    def _reconcile_chunk(self, chunk: StoredChunk, number: int) -> dict[str, str]:
         """Places the chunk's tasks where heartbeats list them; returns those that are unresolved."""
         before = chunk.placements
         tasks = self._tasks_of_chunk(number)
@@ -75,9 +75,9 @@
             unlisted[index] = f"attempt {attempt} was placed on {machine}, which {heard}"
         return unlisted
 
-    def _possibly_run_tasks(self, settled: SettledJob, silent_machine: str) -> dict[str, str]:
+    def _possibly_run_tasks(self, reconciled: ReconciledJob, silent_machine: str) -> dict[str, str]:
         """Tasks that were waiting, but may have run since on a machine that sends no heartbeat any more."""
-        known = settled.job.known_tasks() | {int(index) for index in settled.unresolved}
+        known = reconciled.job.recorded_tasks() | {int(index) for index in reconciled.unresolved}
         for number in self._job.finished_chunks:
             known |= set(self._tasks_of_chunk(number))
         waiting = [str(index) for index in range(self._spec.tasks) if index not in known]
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -11,7 +11,7 @@
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.evidence import Evidence, locate_tasks
 from stileloft.rebuild.job_outcomes import JobOutcomes
-from stileloft.rebuild.job_settlement import JobSettlement
+from stileloft.rebuild.job_reconciler import JobReconciler
 from stileloft.rebuild.stored_jobs import StoredJob
 from stileloft.rebuild.unresolved_tasks import UnresolvedTasks
 
@@ -90,7 +90,7 @@
     def _restore_job(self, job: StoredJob) -> None:
         """An unfinished job: as the replica has it, or in line with the heartbeats where it may be behind."""
         if not self._replica.has_last_leader:
-            job = self._settle_job(job)
+            job = self._reconcile_job(job)
         self._wanted[records.active_key(job.id)] = job.value
         self._wanted.update(job.chunks)
         if job.has_placements():
@@ -98,12 +98,12 @@
         else:
             self._result.pending += 1
 
-    def _settle_job(self, job: StoredJob) -> StoredJob:
-        settlement = JobSettlement(self._evidence, job, self._reported.get(job.id, {}))
-        settled = settlement.settle(self._silent_machines if settlement.runs_once else [])
-        if settled.unresolved:
-            self._add_unresolved(job.id, UnresolvedTasks(settled.unresolved))
-        return settled.job
+    def _reconcile_job(self, job: StoredJob) -> StoredJob:
+        reconciler = JobReconciler(self._evidence, job, self._reported.get(job.id, {}))
+        reconciled = reconciler.reconcile(self._silent_machines if reconciler.runs_once else [])
+        if reconciled.unresolved:
+            self._add_unresolved(job.id, UnresolvedTasks(reconciled.unresolved))
+        return reconciled.job
 
     def _restore_inline_chunk(self, job: StoredJob) -> None:
         """A job that is over: what may still run of it stays known, so that it is stopped and counted."""
--- a/stileloft/rebuild/stored_jobs.py
+++ b/stileloft/rebuild/stored_jobs.py
@@ -98,7 +98,7 @@
         """Whether any of its tasks is placed."""
         return any(value["p"] for value in self._chunk_values())
 
-    def known_tasks(self) -> set[int]:
+    def recorded_tasks(self) -> set[int]:
         """Tasks that the records of its chunks name: finished or placed ones."""
         known: set[int] = set()
         for value in self._chunk_values():
