--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -17,7 +17,7 @@
     """Everything that a rebuild knows."""
 
     replica: MergedReplica
-    present: Mapping[str, Any]
+    stored_records: Mapping[str, Any]
     """Records that are in the store now: of an older state, of a rebuild that was broken off, or accepted since."""
     heartbeats: Mapping[str, Heartbeat]
     """The newest heartbeat of each machine that has sent one since the loss."""
--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -26,7 +26,7 @@
         self._token = token
         self.outcomes: JobOutcomes | None = None
         """The jobs known to be over; None until the replicas are merged."""
-        self.newest: dict[str, Heartbeat] = {}
+        self.newest_heartbeats: dict[str, Heartbeat] = {}
         """The newest heartbeat of each machine that has our token."""
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> Response:
@@ -46,11 +46,11 @@
             return Response(200, CommandMessage(DROPPED_TOKEN, []))
         if heartbeat.token == self._token:
             # Only a worker that has our token can't be told anything by a former leader any more.
-            self.newest[heartbeat.machine] = heartbeat
+            self.newest_heartbeats[heartbeat.machine] = heartbeat
         return Response(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
 
     def _is_late_copy(self, heartbeat: Heartbeat) -> bool:
-        known = self.newest.get(heartbeat.machine)
+        known = self.newest_heartbeats.get(heartbeat.machine)
         return known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence)
 
     def _stop_commands(self, heartbeat: Heartbeat, outcomes: JobOutcomes) -> list[Command]:
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -58,7 +58,7 @@
                 await self._record_accepted_job(job, value)
                 await self._environment.sleep(RECORD_INTERVAL_S)
 
-    async def confirm(self) -> None:
+    async def mark_reconciled(self) -> None:
         """Notes in the store's identity that this controller is reconciled."""
         identity, member = self._store.identity, self._environment.member
         if identity is None or member not in identity.unreconciled_members:
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -117,7 +117,7 @@
             Evidence(
                 merged,
                 present,
-                dict(self._heartbeats.newest),
+                dict(self._heartbeats.newest_heartbeats),
                 frozenset(self._environment.feature.run_once_classes),
                 self._environment.first_chunk_size,
             )
@@ -194,7 +194,7 @@
             step=str(self._step),
             running_for_s=round(self._environment.clock.seconds() - self._started_at, 1),
             awaited=sorted(self._peers.missing_members),
-            machines_heard=len(self._heartbeats.newest),
+            machines_heard=len(self._heartbeats.newest_heartbeats),
             written=self._writer.written,
             to_write=self._writer.to_write,
             transactions=self._writer.transactions,
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -45,7 +45,7 @@
         self._result = Reconstruction()
         self._wanted: dict[str, Any] = {}
         self._reported = locate_tasks(evidence.heartbeats)
-        self._stored_outcomes = _stored_outcomes(evidence.present)
+        self._stored_outcomes = _stored_outcomes(evidence.stored_records)
         self._outcomes = JobOutcomes()
         self._outcomes.update(evidence.replica.outcomes)
         # A user may have been told of what ended since the loss, so it stays.
@@ -144,7 +144,7 @@
         """Jobs that only heartbeats name: a worker has only what was accepted, so they stay known."""
         for job, reported in self._reported.items():
             active = records.active_key(job)
-            if active in self._wanted or active in self._evidence.present or self._has_ended(job):
+            if active in self._wanted or active in self._evidence.stored_records or self._has_ended(job):
                 continue
             evidence = {
                 str(index): f"attempt {found.task.attempt} is {found.task.state} on {found.heartbeat.machine}"
@@ -156,9 +156,9 @@
 
     def _compare(self) -> None:
         """What has to be written, and what of an older state has to go. What was accepted since stays."""
-        present = self._evidence.present
-        self._result.puts = {key: value for key, value in self._wanted.items() if present.get(key) != value}
-        self._result.deletes = [key for key in present if key not in self._wanted and self._is_stale(key)]
+        stored = self._evidence.stored_records
+        self._result.puts = {key: value for key, value in self._wanted.items() if stored.get(key) != value}
+        self._result.deletes = [key for key in stored if key not in self._wanted and self._is_stale(key)]
 
     def _is_stale(self, key: str) -> bool:
         """Whether a record in the store is of an older state than what is known."""
@@ -170,10 +170,10 @@
         return False
 
 
-def _stored_outcomes(present: Mapping[str, Any]) -> JobOutcomes:
+def _stored_outcomes(stored_records: Mapping[str, Any]) -> JobOutcomes:
     """The outcomes in the records of the store."""
     found = JobOutcomes()
-    for key, value in present.items():
+    for key, value in stored_records.items():
         if key.startswith(records.FINAL):
             found.add(key[len(records.FINAL) :], JobOutcome(value["phase"], value["n"]))
         elif key.startswith(records.ENDED):
--- a/stileloft/rebuild/replica_follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -82,7 +82,7 @@
         if self._store.phase is not StorePhase.SOUND or self._store.identity != identity:
             return
         await self._reconciler.reconcile(loaded)
-        await self._reconciler.confirm()
+        await self._reconciler.mark_reconciled()
         loaded.complete = True
         self._replicas.replace(loaded)
         self._replicas.loading = None
--- a/stileloft/rebuild/replica_merge.py
+++ b/stileloft/rebuild/replica_merge.py
@@ -16,7 +16,7 @@
     outcomes: JobOutcomes = field(default_factory=JobOutcomes)
     has_last_leader: bool = False
     """Whether the last leader's own replica is in it: then nothing was placed that it does not hold."""
-    token: int = 0
+    highest_token: int = 0
     """The highest token that any of the controllers has seen."""
     sources: list[str] = field(default_factory=list)
     """The controllers whose replicas are in it."""
@@ -29,13 +29,13 @@
     Only replicas of the newest generation count, since versions of two generations can't be compared.
     """
     usable = [s for s in snapshots if deployment is None or s.holder.deployment == deployment]
-    merged = MergedReplica(token=highest_token)
+    merged = MergedReplica(highest_token=highest_token)
     for snapshot in usable:
         tokens = (snapshot.holder.highest_token, snapshot.holder.last_term_token)
-        merged.token = max(merged.token, *(token for token in tokens if token <= token_base), 0)
+        merged.highest_token = max(merged.highest_token, *(token for token in tokens if token <= token_base), 0)
         # Outcomes are final whatever became of the store since.
         merged.outcomes.update(snapshot.replica.outcomes)
-    merged.has_last_leader = any(s.holder.was_last_leader(merged.token, s.replica) for s in usable)
+    merged.has_last_leader = any(s.holder.was_last_leader(merged.highest_token, s.replica) for s in usable)
     newest = max((s.replica.generation for s in usable), default=0)
     current = [s for s in usable if s.replica.generation == newest]
     current.sort(key=lambda s: (s.replica.complete, s.replica.revision), reverse=True)
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -232,7 +232,7 @@
     assert merged.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
     assert merged.outcomes.get("j-9") == JobOutcome("cancelled", 0)
     assert merged.has_last_leader
-    assert merged.token == 4
+    assert merged.highest_token == 4
     assert merged.sources == ["b", "a"]
 
 
@@ -244,7 +244,7 @@
     merged = merge([snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), stranger], DEPLOYMENT, 12, 20)
     assert merged.records == {"active/j-2": {}}
     assert not merged.has_last_leader
-    assert merged.token == 12
+    assert merged.highest_token == 12
 
 
 def test_a_leader_whose_replica_is_of_an_earlier_store_does_not_know_what_it_placed() -> None:
