--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -193,8 +193,8 @@
         return ProgressReport(
             step=str(self._step),
             running_for_s=round(self._environment.clock.seconds() - self._started_at, 1),
-            awaited=sorted(self._peers.missing_members),
-            machines_heard=len(self._heartbeats.newest_heartbeats),
+            missing_members=sorted(self._peers.missing_members),
+            reporting_machines=len(self._heartbeats.newest_heartbeats),
             written=self._writer.written,
             to_write=self._writer.to_write,
             transactions=self._writer.transactions,
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -114,7 +114,7 @@
             lost_for_s=lost_for_s,
             generation=store.generation,
             replica=ReplicaReport(replica.complete, replica.revision, len(replica.records), len(replica.outcomes)),
-            undecided={key[len(records.UNDECIDED) :]: value for key, value in replica.values(records.UNDECIDED)},
-            refused_notes=self._refused_notices,
+            unresolved={key[len(records.UNDECIDED) :]: value for key, value in replica.values(records.UNDECIDED)},
+            refused_notices=self._refused_notices,
             rebuild=UNSET if self._rebuilder is None else self._rebuilder.progress(),
         )
--- a/stileloft/rebuild/status_report.py
+++ b/stileloft/rebuild/status_report.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from msgspec import UNSET, Struct, UnsetType
+from msgspec import UNSET, Struct, UnsetType, field
 
 
 class ReplicaReport(Struct, frozen=True):
@@ -11,7 +11,7 @@
     complete: bool
     revision: int
     records: int
-    ends: int
+    outcomes: int = field(name="ends")
     """Jobs whose outcomes are known."""
 
 
@@ -20,9 +20,9 @@
 
     step: str
     running_for_s: float
-    awaited: list[str]
+    missing_members: list[str] = field(name="awaited")
     """Controllers whose replicas have not come."""
-    machines_heard: int
+    reporting_machines: int = field(name="machines_heard")
     written: int
     """Records written so far."""
     to_write: int
@@ -39,8 +39,8 @@
     lost_for_s: float | None
     generation: int
     replica: ReplicaReport
-    undecided: dict[str, Any]
+    unresolved: dict[str, Any] = field(name="undecided")
     """By job: the record of its unresolved tasks."""
-    refused_notes: int
+    refused_notices: int = field(name="refused_notes")
     """Other controllers' change notices that could not be used."""
     rebuild: ProgressReport | UnsetType = UNSET
