--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -11,7 +11,7 @@
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.evidence import Evidence, locate_tasks
 from stileloft.rebuild.job_outcomes import JobOutcomes
-from stileloft.rebuild.job_settlement import JobSettlement
+from stileloft.rebuild.job_reconciler import JobReconciler
 from stileloft.rebuild.stored_jobs import StoredJob
 from stileloft.rebuild.unresolved_tasks import UnresolvedTasks
 
@@ -45,7 +45,7 @@
         self._result = Reconstruction()
         self._wanted: dict[str, Any] = {}
         self._reported = locate_tasks(evidence.heartbeats)
-        self._stored_outcomes = _stored_outcomes(evidence.present)
+        self._stored_outcomes = _stored_outcomes(evidence.stored_records)
         self._outcomes = JobOutcomes()
         self._outcomes.update(evidence.replica.outcomes)
         # A user may have been told of what ended since the loss, so it stays.
@@ -90,7 +90,7 @@
     def _restore_job(self, job: StoredJob) -> None:
         """An unfinished job: as the replica has it, or in line with the heartbeats where it may be behind."""
         if not self._replica.has_last_leader:
-            job = self._settle_job(job)
+            job = self._reconcile_job(job)
         self._wanted[records.active_key(job.id)] = job.value
         self._wanted.update(job.chunks)
         if job.has_placements():
@@ -98,12 +98,12 @@
         else:
             self._result.pending += 1
 
-    def _settle_job(self, job: StoredJob) -> StoredJob:
-        settlement = JobSettlement(self._evidence, job, self._reported.get(job.id, {}))
-        settled = settlement.settle(self._silent_machines if settlement.runs_once else [])
-        if settled.unresolved:
-            self._add_unresolved(job.id, UnresolvedTasks(settled.unresolved))
-        return settled.job
+    def _reconcile_job(self, job: StoredJob) -> StoredJob:
+        reconciler = JobReconciler(self._evidence, job, self._reported.get(job.id, {}))
+        reconciled = reconciler.reconcile(self._silent_machines if reconciler.runs_once else [])
+        if reconciled.unresolved:
+            self._add_unresolved(job.id, UnresolvedTasks(reconciled.unresolved))
+        return reconciled.job
 
     def _restore_inline_chunk(self, job: StoredJob) -> None:
         """A job that is over: what may still run of it stays known, so that it is stopped and counted."""
@@ -144,7 +144,7 @@
         """Jobs that only heartbeats name: a worker has only what was accepted, so they stay known."""
         for job, reported in self._reported.items():
             active = records.active_key(job)
-            if active in self._wanted or active in self._evidence.present or self._has_ended(job):
+            if active in self._wanted or active in self._evidence.stored_records or self._has_ended(job):
                 continue
             evidence = {
                 str(index): f"attempt {found.task.attempt} is {found.task.state} on {found.heartbeat.machine}"
@@ -156,9 +156,9 @@
 
     def _compare(self) -> None:
         """What has to be written, and what of an older state has to go. What was accepted since stays."""
-        present = self._evidence.present
-        self._result.puts = {key: value for key, value in self._wanted.items() if present.get(key) != value}
-        self._result.deletes = [key for key in present if key not in self._wanted and self._is_stale(key)]
+        stored = self._evidence.stored_records
+        self._result.puts = {key: value for key, value in self._wanted.items() if stored.get(key) != value}
+        self._result.deletes = [key for key in stored if key not in self._wanted and self._is_stale(key)]
 
     def _is_stale(self, key: str) -> bool:
         """Whether a record in the store is of an older state than what is known."""
@@ -170,10 +170,10 @@
         return False
 
 
-def _stored_outcomes(present: Mapping[str, Any]) -> JobOutcomes:
+def _stored_outcomes(stored_records: Mapping[str, Any]) -> JobOutcomes:
     """The outcomes in the records of the store."""
     found = JobOutcomes()
-    for key, value in present.items():
+    for key, value in stored_records.items():
         if key.startswith(records.FINAL):
             found.add(key[len(records.FINAL) :], JobOutcome(value["phase"], value["n"]))
         elif key.startswith(records.ENDED):
