--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -26,7 +26,7 @@
 from stileloft.model.machines import Machine
 from stileloft.rebuild.operator_decisions import UnresolvedTaskKeeper
 from stileloft.scheduling.decision_applier import DecisionApplier
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
@@ -288,7 +288,7 @@
     def _build_snapshots(self) -> None:
         """What the decisions are made of."""
         env, clock = self._environment, self._clock
-        self.machine_views = MachineViews(
+        self.machine_views = MachineViewCache(
             self.cluster,
             self.lifecycle,
             self.workload,
--- a/stileloft/scheduling/machine_views.py
+++ b/stileloft/scheduling/machine_view_cache.py
@@ -20,7 +20,7 @@
 """A machine that did not take so many messages in a row gets nothing new."""
 
 
-class MachineViews:
+class MachineViewCache:
     """Makes the copies. Called with the cluster's lock held."""
 
     def __init__(
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -10,7 +10,7 @@
 from stileloft.protocol.messages import MachineType
 from stileloft.scheduling.instance_offers import view_of_offer
 from stileloft.scheduling.machine_view import MachineView
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.scheduling.snapshot import ExpectedTasks, Snapshot
 from stileloft.scheduling.workload import Workload
@@ -25,7 +25,7 @@
         self,
         cluster: ClusterState,
         lease: LeaderLease,
-        views: MachineViews,
+        views: MachineViewCache,
         pending_jobs: PendingJobs,
         workload: Workload,
         catalog: MachineCatalog,
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,7 @@
 
 from stileloft.model import records
 from stileloft.scheduling import placement
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.preemption_trials import PreemptionTrials
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
@@ -39,7 +39,7 @@
         monkeypatch.setattr(owner, name, call)
 
     counted(SchedulingLoop, "_decide", "rounds")
-    counted(MachineViews, "_build", "copies")
+    counted(MachineViewCache, "_build", "copies")
     counted(placement.Candidates, "_score", "scored")
     counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
