--- a/stileloft/scheduling/candidates.py
+++ b/stileloft/scheduling/candidate_machines.py
@@ -19,7 +19,7 @@
 """
 
 
-class Candidates:
+class CandidateMachines:
     """The machines that have room for a job's tasks, which are alike, the best first.
 
     Each machine is scored once, and again only when it has changed.
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -5,7 +5,7 @@
 
 from stileloft.model.resources import EPSILON
 from stileloft.protocol.messages import JobSpec
-from stileloft.scheduling.candidates import Candidates
+from stileloft.scheduling.candidate_machines import CandidateMachines
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
 from stileloft.scheduling.machine_scoring import image_fetch_s
 from stileloft.scheduling.machine_view import MachineView, RunningTask
@@ -76,7 +76,7 @@
 def _try_zone(job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView]) -> GangAssignment:
     """Places as many of the gang's tasks as fit on the machines, and takes them back."""
     spec = job.spec
-    candidates = Candidates(job, cycle, machines)
+    candidates = CandidateMachines(job, cycle, machines)
     placed: list[tuple[TaskAssignment, RunningTask]] = []
     fetch_s = 0.0
     for index in job.task_indices:
--- a/stileloft/scheduling/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -1,7 +1,7 @@
 """Decides one scheduling cycle: which waiting tasks are placed where, and for which room is made."""
 
 from stileloft.model.nominations import Nomination
-from stileloft.scheduling.candidates import Candidates
+from stileloft.scheduling.candidate_machines import CandidateMachines
 from stileloft.scheduling.constraints import zone_allowed
 from stileloft.scheduling.gang_placement import find_gang_machines
 from stileloft.scheduling.gang_reservations import expected_gang_nominations, reserve_gang_room
@@ -49,7 +49,7 @@
         self._spec = job.spec
         self._cycle = cycle
         self._snapshot = cycle.snapshot
-        self._candidates: Candidates | None = None
+        self._candidates: CandidateMachines | None = None
         self._trials: PreemptionTrials | None = None
         self._nominated = 0
 
@@ -96,7 +96,7 @@
     def _best_machine(self) -> MachineView | None:
         """The best machine that has room for one of the job's tasks."""
         if self._candidates is None:
-            self._candidates = Candidates(self._job, self._cycle)
+            self._candidates = CandidateMachines(self._job, self._cycle)
         return self._candidates.best()
 
     def _nominated_machine(self, nomination: Nomination | None) -> MachineView | None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -40,7 +40,7 @@
 
     counted(SchedulingLoop, "_decide", "rounds")
     counted(MachineViewCache, "_build", "copies")
-    counted(placement.Candidates, "_score", "scored")
+    counted(placement.CandidateMachines, "_score", "scored")
     counted(PreemptionTrials, "_try", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
