--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -27,7 +27,7 @@
     remaining_s: float = 0.0
     stopping: bool = False
     """It is already being stopped."""
-    budget_safe: bool = True
+    within_preemption_budget: bool = True
     """Stopping it does not yet break its job's budget."""
     group_size: int = 1
     """How many tasks are stopped with it, itself included: all of its gang."""
--- a/stileloft/scheduling/machine_view_cache.py
+++ b/stileloft/scheduling/machine_view_cache.py
@@ -102,7 +102,7 @@
             age_s % spec.checkpoint_s if spec.checkpoint_s else age_s,
             self._lifecycle.remaining_run_time_s(job, placement, now),
             stopping=placement.stop_grace_s is not None,
-            budget_safe=not spec.is_service and job.preemption_count < spec.tasks,
+            within_preemption_budget=not spec.is_service and job.preemption_count < spec.tasks,
             group_size=spec.tasks if spec.is_gang else 1,
             recently_started=spec.job_class in self._workload.start_objectives and age_s < STARTED_S,
         )
--- a/stileloft/scheduling/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -7,7 +7,7 @@
 from stileloft.scheduling.gang_reservations import expected_gang_nominations, reserve_gang_room
 from stileloft.scheduling.machine_view import MachineView
 from stileloft.scheduling.preemption import fits_beside_nominations
-from stileloft.scheduling.preemption_trials import PreemptionContext, PreemptionTrials
+from stileloft.scheduling.preemption_search import PreemptionContext, PreemptionSearch
 from stileloft.scheduling.queue_order import promote_aged_jobs, queue_position
 from stileloft.scheduling.reservations import MAX_RESERVATIONS, reserve_room
 from stileloft.scheduling.scheduling_cycle import CycleLimits, Decision, SchedulingCycle, UnmetDemand
@@ -50,7 +50,7 @@
         self._cycle = cycle
         self._snapshot = cycle.snapshot
         self._candidates: CandidateMachines | None = None
-        self._trials: PreemptionTrials | None = None
+        self._preemption_search: PreemptionSearch | None = None
         self._nominated = 0
 
     def place_tasks(self) -> None:
@@ -65,7 +65,7 @@
             if not self._place_or_make_room(index):
                 break
         left = self._job.waiting_count - self._nominated
-        if self._trials is not None and left > 0 and quotas.within_limit(self._spec):
+        if self._preemption_search is not None and left > 0 and quotas.within_limit(self._spec):
             decision.unmet.append(UnmetDemand(self._job, left))
 
     def _save_quota(self) -> None:
@@ -80,7 +80,7 @@
         """Places a task, or makes room for it; returns whether the job's next task is worth looking at."""
         nomination = self._snapshot.nominations.get((self._spec.id, index))
         target = self._nominated_machine(nomination)
-        if target is None and self._trials is None:
+        if target is None and self._preemption_search is None:
             target = self._best_machine()
         if target is not None:
             self._cycle.place_task(self._job, index, target)
@@ -117,21 +117,21 @@
 
     def _make_room(self, index: int) -> bool:
         """Nominates the task to the machine that the trials find best; returns whether there is one."""
-        if self._trials is None:
-            self._trials = self._begin_trials()
+        if self._preemption_search is None:
+            self._preemption_search = self._start_preemption_search()
         if len(self._cycle.decision.preemptions) >= self._cycle.limits.max_preemptions:
             return False
-        preemption = self._trials.best()
+        preemption = self._preemption_search.best()
         if preemption is None:
             return False  # the job's other tasks are alike: no trial helps them either
         self._cycle.nominate_task(self._job, index, preemption)
-        self._trials.machine_changed(preemption.machine_id)
+        self._preemption_search.machine_changed(preemption.machine_id)
         if any(task.group_size > 1 for task in preemption.victims):
-            self._trials.forget()  # a gang has gone from other machines too
+            self._preemption_search.invalidate()  # a gang has gone from other machines too
         self._nominated += 1
         return True
 
-    def _begin_trials(self) -> PreemptionTrials:
+    def _start_preemption_search(self) -> PreemptionSearch:
         """Reserves room for one task, and prepares trials on the machines that are not kept for other jobs."""
         job, cycle, snapshot = self._job, self._cycle, self._snapshot
         reserve_room(job, snapshot)
@@ -141,4 +141,4 @@
             if reservation.exclusive_job_id not in ("", self._spec.id)
         }
         context = PreemptionContext(snapshot.machines, cycle.nominations_by_machine, cycle.quotas, cycle.reclaimable)
-        return PreemptionTrials(self._spec, job.placed_by_zone, job.excluded_machines | kept_for_others, context)
+        return PreemptionSearch(self._spec, job.placed_by_zone, job.excluded_machines | kept_for_others, context)
--- a/stileloft/scheduling/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -28,17 +28,17 @@
     victims: list[RunningTask]
 
 
-class CandidateOrder(NamedTuple):
+class VictimOrder(NamedTuple):
     """Sort key of what may be stopped: what goes first has the least."""
 
     rank: int
-    breaks_budget: bool
+    exceeds_budget: bool
     recently_started: bool
     unsaved_cpu_s: float
     key: TaskKey
 
 
-class PreemptionLoss(NamedTuple):
+class PreemptionCost(NamedTuple):
     """What a machine's victims cost; less is better."""
 
     highest_rank: int
@@ -55,7 +55,7 @@
     return list(found.values())
 
 
-def candidates(spec: JobSpec, machine: MachineView, quotas: TeamQuotas) -> list[PreemptionUnit]:
+def victim_candidates(spec: JobSpec, machine: MachineView, quotas: TeamQuotas) -> list[PreemptionUnit]:
     """What may be stopped for this task: lowest priority, budget-safe and least loss first.
 
     A gang is one victim: it counts with all its tasks, those on other machines included.
@@ -71,14 +71,14 @@
             guaranteed and task.rank <= spec.rank and task.team != spec.team and quotas.exceeds_guarantee(task.team)
         )
 
-    return sorted(preemption_units(filter(may_stop, machine.tasks)), key=_candidate_order)
+    return sorted(preemption_units(filter(may_stop, machine.tasks)), key=_victim_order)
 
 
-def _candidate_order(unit: PreemptionUnit) -> CandidateOrder:
+def _victim_order(unit: PreemptionUnit) -> VictimOrder:
     task = unit[0]
-    return CandidateOrder(
+    return VictimOrder(
         task.rank,
-        not task.budget_safe,
+        not task.within_preemption_budget,
         task.recently_started,
         task.unsaved_s * task.cpus * task.group_size,
         task.key,
@@ -99,7 +99,7 @@
     return machine.has_room(room_needed(spec, nominated))
 
 
-def trial(
+def select_victims(
     spec: JobSpec, machine: MachineView, nominated: Iterable[Nomination], quotas: TeamQuotas
 ) -> list[RunningTask] | None:
     """The victims on this machine, or None if no removal helps.
@@ -109,14 +109,14 @@
     needed = room_needed(spec, nominated)
     if not machine.reclaimable(preemptible_below(spec, quotas)).covers(needed):
         return None
-    room = _TrialRoom(machine, needed)
+    room = _SimulatedRoom(machine, needed)
     fits = machine.has_room(needed)
     for task in machine.tasks:
         if task.stopping:
             fits = room.remove([task])
     removed: list[PreemptionUnit] = []
     if not fits:
-        for unit in candidates(spec, machine, quotas):
+        for unit in victim_candidates(spec, machine, quotas):
             removed.append(unit)
             fits = room.remove(unit)
             if fits:
@@ -132,7 +132,7 @@
     return spec.rank + 1 if quotas.within_guarantee(spec) else spec.rank
 
 
-class _TrialRoom:
+class _SimulatedRoom:
     """What is free on a machine's copy while tasks are removed from it and returned."""
 
     def __init__(self, machine: MachineView, needed: Resources) -> None:
@@ -156,13 +156,13 @@
         return True
 
 
-def loss(victims: list[RunningTask]) -> PreemptionLoss:
+def preemption_cost(victims: list[RunningTask]) -> PreemptionCost:
     """What a machine's victims cost: highest priority first, then starts undone, unsaved work, and their number."""
     # Of a gang all tasks go, wherever they are.
-    going = [unit[0] for unit in preemption_units(victims)]
-    return PreemptionLoss(
+    unit_representatives = [unit[0] for unit in preemption_units(victims)]
+    return PreemptionCost(
         max((task.rank for task in victims), default=-1),
-        sum(task.group_size for task in going if task.recently_started),
-        sum(task.unsaved_s * task.cpus * task.group_size for task in going),
-        sum(task.group_size for task in going),
+        sum(task.group_size for task in unit_representatives if task.recently_started),
+        sum(task.unsaved_s * task.cpus * task.group_size for task in unit_representatives),
+        sum(task.group_size for task in unit_representatives),
     )
--- a/stileloft/scheduling/preemption_trials.py
+++ b/stileloft/scheduling/preemption_search.py
@@ -12,7 +12,13 @@
 from stileloft.protocol.messages import JobSpec
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
 from stileloft.scheduling.machine_view import MachineView, RunningTask
-from stileloft.scheduling.preemption import Preemption, PreemptionLoss, loss, preemptible_below, trial
+from stileloft.scheduling.preemption import (
+    Preemption,
+    PreemptionCost,
+    preemptible_below,
+    preemption_cost,
+    select_victims,
+)
 
 
 class MachinesByRoom(NamedTuple):
@@ -66,23 +72,23 @@
     reclaimable: ReclaimableRoomIndex
 
 
-class TrialResult(NamedTuple):
+class VictimSelection(NamedTuple):
     """A successful trial; the least is the best."""
 
-    loss: PreemptionLoss
+    cost: PreemptionCost
     image_missing: bool
     machine_id: str
     victims: list[RunningTask]
 
 
-class FairShare(NamedTuple):
+class GuaranteeUse(NamedTuple):
     """What a trial depends on beside the machine: who is owed, and who uses more than it is owed."""
 
     within_guarantee: bool
     exceeding_guarantee: list[bool]
 
 
-class PreemptionTrials:
+class PreemptionSearch:
     """The trials for a job's tasks, which are alike: a machine is tried again only when it has changed."""
 
     def __init__(
@@ -92,8 +98,8 @@
         self._placed_by_zone = placed_by_zone
         self._excluded = excluded
         self._context = context
-        self._heap: list[TrialResult] = []
-        self._tried_at: FairShare | None = None
+        self._heap: list[VictimSelection] = []
+        self._searched_with: GuaranteeUse | None = None
         """The fair share at which the machines were tried."""
 
     def best(self) -> Preemption | None:
@@ -101,10 +107,10 @@
         spec = self._spec
         if not self._context.quotas.within_limit(spec):
             return None
-        fair_share = self._fair_share()
-        if fair_share != self._tried_at:
-            self._tried_at = fair_share
-            self._try_all()
+        guarantee_use = self._guarantee_use()
+        if guarantee_use != self._searched_with:
+            self._searched_with = guarantee_use
+            self._search_all()
         while self._heap:
             result = self._heap[0]
             if zone_allowed(spec, self._placed_by_zone, self._context.machines[result.machine_id].zone):
@@ -116,31 +122,31 @@
         """The best machine has got the nomination, or has changed otherwise."""
         self._heap = [result for result in self._heap if result.machine_id != machine_id]
         heapq.heapify(self._heap)
-        self._try(self._context.machines[machine_id])
+        self._search_machine(self._context.machines[machine_id])
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """More than one machine has changed."""
-        self._tried_at = None
+        self._searched_with = None
 
-    def _fair_share(self) -> FairShare:
+    def _guarantee_use(self) -> GuaranteeUse:
         quotas = self._context.quotas
-        return FairShare(
+        return GuaranteeUse(
             quotas.within_guarantee(self._spec),
             [quotas.exceeds_guarantee(name) for name in quotas.teams],
         )
 
-    def _try_all(self) -> None:
+    def _search_all(self) -> None:
         """Tries all machines on which a trial may succeed."""
         spec, context = self._spec, self._context
         self._heap = []
         for machine in context.reclaimable.with_reclaimable_cpus(spec.cpus, preemptible_below(spec, context.quotas)):
             if machine.schedulable and machine.id not in self._excluded and machine_allowed(spec, machine):
-                self._try(machine)
+                self._search_machine(machine)
 
-    def _try(self, machine: MachineView) -> None:
+    def _search_machine(self, machine: MachineView) -> None:
         context = self._context
         nominated = context.nominations_by_machine.get(machine.id, ())
-        victims = trial(self._spec, machine, nominated, context.quotas)
+        victims = select_victims(self._spec, machine, nominated, context.quotas)
         if victims is not None:
             image_missing = self._spec.image not in machine.images
-            heapq.heappush(self._heap, TrialResult(loss(victims), image_missing, machine.id, victims))
+            heapq.heappush(self._heap, VictimSelection(preemption_cost(victims), image_missing, machine.id, victims))
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -11,7 +11,7 @@
 from stileloft.scheduling.machine_scoring import MachineSizes
 from stileloft.scheduling.machine_view import MachineView, RunningTask
 from stileloft.scheduling.preemption import Preemption
-from stileloft.scheduling.preemption_trials import ReclaimableRoomIndex
+from stileloft.scheduling.preemption_search import ReclaimableRoomIndex
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
 
--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -10,7 +10,7 @@
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
 from stileloft.scheduling.machine_scoring import MachineSizes, image_fetch_s, placement_cost
 from stileloft.scheduling.machine_view import MachineView, RunningTask
-from stileloft.scheduling.preemption import Preemption, fits_beside_nominations, loss
+from stileloft.scheduling.preemption import Preemption, fits_beside_nominations, preemption_cost
 from stileloft.scheduling.queue_order import promote_aged_jobs, queue_position
 from stileloft.scheduling.reservations import MAX_RESERVATIONS
 from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
@@ -43,7 +43,7 @@
     may.sort(
         key=lambda v: (
             v[0].rank,
-            not v[0].budget_safe,
+            not v[0].within_preemption_budget,
             v[0].recently_started,
             v[0].unsaved_s * v[0].cpus * v[0].group_size,
             v[0].key,
@@ -84,7 +84,7 @@
         victims = trial(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
         if victims is not None:
             image = 0 if spec.image in machine.images else 1
-            found.append(((*loss(victims), image, machine.id), Preemption(machine.id, victims)))
+            found.append(((*preemption_cost(victims), image, machine.id), Preemption(machine.id, victims)))
     return min(found, key=lambda item: item[0])[1] if found else None
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -17,8 +17,14 @@
 from stileloft.scheduling.instance_offers import InstanceOffer
 from stileloft.scheduling.machine_view import MachineView, RunningTask
 from stileloft.scheduling.placement import decide
-from stileloft.scheduling.preemption import Preemption, candidates, fits_beside_nominations, loss, preemption_units
-from stileloft.scheduling.preemption_trials import PreemptionContext, PreemptionTrials, ReclaimableRoomIndex
+from stileloft.scheduling.preemption import (
+    Preemption,
+    fits_beside_nominations,
+    preemption_cost,
+    preemption_units,
+    victim_candidates,
+)
+from stileloft.scheduling.preemption_search import PreemptionContext, PreemptionSearch, ReclaimableRoomIndex
 from stileloft.scheduling.provisioning_planner import ScalingDemand
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import ExpectedTasks, PendingJob, Reservation, Snapshot
@@ -121,10 +127,10 @@
 
 
 def preempt(job: JobSpec, machines: list[MachineView], usage: dict[str, QuotaUsage]) -> Preemption | None:
-    """The best machine and its victims for one task, or None if no trial succeeds."""
+    """The best machine and its victims for one task, or None if no preemption helps."""
     by_id = {machine.id: machine for machine in machines}
     context = PreemptionContext(by_id, {}, TeamQuotas(TEAMS, usage), ReclaimableRoomIndex(by_id))
-    return PreemptionTrials(job, {}, frozenset(), context).best()
+    return PreemptionSearch(job, {}, frozenset(), context).best()
 
 
 @DERANDOMIZED
@@ -145,10 +151,10 @@
         return
     assert found is not None
     assert sorted(v.key for v in found.victims) == expected[found.machine_id]
-    # No other machine's victims would have been a smaller loss.
+    # No other machine's victims would have cost less.
     by_key = {t.key: t for n in machines for t in n.tasks}
-    losses = [loss([by_key[k] for k in keys]) for keys in expected.values() if keys is not None]
-    assert loss(found.victims) == min(losses)
+    costs = [preemption_cost([by_key[k] for k in keys]) for keys in expected.values() if keys is not None]
+    assert preemption_cost(found.victims) == min(costs)
 
 
 @DERANDOMIZED
@@ -295,7 +301,7 @@
                         1.0,
                         unsaved_s=left[job.id] / 2,
                         remaining_s=left[job.id],
-                        budget_safe=draw.random() < 0.7,
+                        within_preemption_budget=draw.random() < 0.7,
                         stopping=draw.random() < 0.1,
                         group_size=4 if job.is_gang else 1,
                         recently_started=left[job.id] < 15,
@@ -422,7 +428,7 @@
     equal = Nomination(("j-6", 0), "n-0", 1, spec(6, 5.0), 1.0)
     assert fits_beside_nominations(spec(1, 8.0), machine, [lower])
     assert not fits_beside_nominations(spec(1, 4.0), machine, [equal])
-    assert candidates(spec(1, 4.0), machine, TeamQuotas(TEAMS, used([]))) == []
+    assert victim_candidates(spec(1, 4.0), machine, TeamQuotas(TEAMS, used([]))) == []
 
 
 def waiting(job: JobSpec, count: int) -> PendingJob:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,7 +5,7 @@
 from stileloft.model import records
 from stileloft.scheduling import placement
 from stileloft.scheduling.machine_view_cache import MachineViewCache
-from stileloft.scheduling.preemption_trials import PreemptionTrials
+from stileloft.scheduling.preemption_search import PreemptionSearch
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
 from tests.simulation.deployment import TYPES, with_settings
@@ -41,7 +41,7 @@
     counted(SchedulingLoop, "_decide", "rounds")
     counted(MachineViewCache, "_build", "copies")
     counted(placement.CandidateMachines, "_score", "scored")
-    counted(PreemptionTrials, "_try", "tried")
+    counted(PreemptionSearch, "_search_machine", "tried")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
 
