--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -36,7 +36,7 @@
         """Takes in an accepted job."""
         self._cluster.jobs[job.id] = job
         job.accepted_at = self._clock.seconds() - max(0.0, self._wall_clock() - job.submitted)
-        self._workload.observe(job.spec, job.submitted)
+        self._workload.record_submission(job.spec, job.submitted)
         most = records.max_placements_in(self._limits.value_bytes)
         if self._format.has_chunk_sizes:
             if not job.stores_chunk_size:
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -172,7 +172,7 @@
         """How long the task is expected to run on, in seconds; without end for a service."""
         if job.spec.is_service:
             return math.inf
-        estimate_s = self._workload.estimate(job.spec)
+        estimate_s = self._workload.estimated_run_time_s(job.spec)
         if placement.running_since is None:
             return estimate_s
         return max(MIN_REMAINING_PART * estimate_s, estimate_s - (now - placement.running_since))
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -25,7 +25,7 @@
 # Cost of on-demand machines: they are to run empty first, so that they can be released.
 ON_DEMAND_PENALTY_S = 2.0
 # For types that state no rate.
-LEAST_FETCH_GB_PER_S = 1e-3
+MIN_FETCH_GB_PER_S = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     """Seconds until the machine is likely to have the task's image."""
     if spec.image in machine.images:
         return 0.0
-    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     if spec.image in machine.fetching:
         return alone_s  # it was begun some time ago, but may share the rate
     return alone_s * (1 + len(machine.fetching))  # fetches share the rate
--- a/stileloft/scheduling/pending_jobs.py
+++ b/stileloft/scheduling/pending_jobs.py
@@ -65,7 +65,7 @@
             job.waiting,
             tasks,
             dict(job.zones),
-            self._workload.estimate(spec),
+            self._workload.estimated_run_time_s(spec),
             self._workload.start_objectives.get(spec.job_class),
             excluded,
             self._is_aged(job, aged_after_s),
@@ -95,7 +95,7 @@
             if not job.started and not job.end_phase and job.waiting:
                 spec = job.spec
                 fitting = sum(cpus for name, cpus in cpus_by_type.items() if fits_type(spec, self._catalog.types[name]))
-                first_tasks_s += self._workload.estimate(spec) * spec.cpus / max(fitting, spec.cpus, 1.0)
+                first_tasks_s += self._workload.estimated_run_time_s(spec) * spec.cpus / max(fitting, spec.cpus, 1.0)
         least_s, usual_s = MIN_AGED_PART * START_LIMIT_S, AGED_PART * START_LIMIT_S
         return max(least_s, min(usual_s, CROWD_PART * START_LIMIT_S - first_tasks_s))
 
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -5,7 +5,7 @@
 from stileloft.model.machines import fits_type
 from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.scheduling.constraints import machine_allowed
-from stileloft.scheduling.machine_scoring import LEAST_FETCH_GB_PER_S
+from stileloft.scheduling.machine_scoring import MIN_FETCH_GB_PER_S
 from stileloft.scheduling.machine_view import MachineView
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
@@ -32,7 +32,7 @@
     """Boot and image fetch of a new machine for the job, at the best; 0 if no type suits it."""
     return min(
         (
-            machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+            machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
             for machine_type in types
             if fits_type(spec, machine_type)
         ),
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -135,7 +135,7 @@
             no_capacity = self._provisioner.offers_without_capacity()
             unreliable = self._boots.unreliable_offers()
             headroom = self._snapshots.headroom(gang=False)
-            active = self._workload.any_active()
+            active = self._workload.has_active_classes()
         decision = placement.decide(snapshot, self._max_placed, MAX_PREEMPTIONS)
         plan = None
         if scale:
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -71,7 +71,7 @@
         """Tasks that are to find room at once if they come now."""
         # What has not been seen in the first moments of a leadership may only not have been read yet.
         settled = self._clock.seconds() - self._lease.began_at > self._settled_after_s
-        return self._workload.headroom(gang, self._operator_settings(), unseen=gang and settled)
+        return self._workload.headroom(gang, self._operator_settings(), include_unseen=gang and settled)
 
     def _machines(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
         """Copies of all machines, those included that are being provisioned."""
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -16,15 +16,15 @@
 # Weight of the newest observation in a moving mean.
 MOVING_MEAN_WEIGHT = 0.2
 # Machines kept for a class that is to start soon and has not been seen: some gangs come while more are booting.
-UNSEEN_CLASS_MACHINES = 3
+UNSEEN_CLASS_TASKS = 3
 # A class is taken to have ended when nothing came for this many of its usual gaps.
-QUIET_GAPS = 4.0
+ENDED_AFTER_INTERARRIVALS = 4.0
 # The headroom that operators set is for classes of which so many jobs come in a boot time.
-ARRIVALS_PER_BOOT = 2.0
+BASELINE_ARRIVALS_PER_BOOT = 2.0
 # Bounds of the ratio of a run time to its estimate, so that one odd job does not mislead.
-LEAST_RATIO, MOST_RATIO = 0.1, 4.0
-LEAST_ESTIMATE_S = 0.5
-LEAST_GAP_S = 0.1
+MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.1, 4.0
+MIN_ESTIMATE_S = 0.5
+MIN_INTERARRIVAL_S = 0.1
 
 
 class ObjectiveKind(enum.StrEnum):
@@ -35,29 +35,31 @@
 
 
 @dataclass(slots=True)
-class ClassLoad:
+class ClassStatistics:
     """What a class's jobs are like, and how often they come."""
 
     spec: JobSpec
     """The newest job."""
     mean_tasks: float
     last_submitted_at: float
-    mean_gap_s: float = 0.0
+    mean_interarrival_s: float = 0.0
 
     def add(self, spec: JobSpec, submitted_at: float) -> None:
         """Takes in one more job of the class."""
-        gap_s = max(0.0, submitted_at - self.last_submitted_at)
-        if self.mean_gap_s == 0.0:
-            self.mean_gap_s = gap_s
+        interarrival_s = max(0.0, submitted_at - self.last_submitted_at)
+        if self.mean_interarrival_s == 0.0:
+            self.mean_interarrival_s = interarrival_s
         else:
-            self.mean_gap_s = _moving_mean(self.mean_gap_s, gap_s)
+            self.mean_interarrival_s = _moving_mean(self.mean_interarrival_s, interarrival_s)
         self.mean_tasks = _moving_mean(self.mean_tasks, spec.tasks)
         self.spec = spec
         self.last_submitted_at = max(self.last_submitted_at, submitted_at)
 
     def has_ended(self, now: float) -> bool:
         """Whether the class has sent nothing for so long that it is taken to have ended."""
-        return now - self.last_submitted_at > QUIET_GAPS * max(self.mean_gap_s, self.spec.estimate_s)
+        return now - self.last_submitted_at > ENDED_AFTER_INTERARRIVALS * max(
+            self.mean_interarrival_s, self.spec.estimate_s
+        )
 
 
 def _moving_mean(mean: float, newest: float) -> float:
@@ -77,7 +79,7 @@
         self._types = types
         self._ratios: dict[str, float] = {}
         """Run time to estimate, by class."""
-        self.classes: dict[str, ClassLoad] = {}
+        self.classes: dict[str, ClassStatistics] = {}
         self.start_objectives = self._tightest(objectives, ObjectiveKind.START)
         self.completion_objectives = self._tightest(objectives, ObjectiveKind.COMPLETION)
 
@@ -91,51 +93,51 @@
                 tightest[objective.job_class] = min(known, objective.within_s)
         return tightest
 
-    def any_active(self) -> bool:
+    def has_active_classes(self) -> bool:
         """Whether jobs of some class are still coming."""
         now = self._wall_clock()
-        return any(not load.has_ended(now) for load in self.classes.values())
+        return any(not statistics.has_ended(now) for statistics in self.classes.values())
 
-    def record_run_time(self, spec: JobSpec, took_s: float) -> None:
+    def record_run_time(self, spec: JobSpec, run_time_s: float) -> None:
         """Corrects later estimates of the class by a completed task's run time."""
-        ratio = min(MOST_RATIO, max(LEAST_RATIO, took_s / spec.estimate_s))
+        ratio = min(MAX_RUN_TIME_RATIO, max(MIN_RUN_TIME_RATIO, run_time_s / spec.estimate_s))
         self._ratios[spec.job_class] = _moving_mean(self._ratios.get(spec.job_class, 1.0), ratio)
 
-    def estimate(self, spec: JobSpec) -> float:
+    def estimated_run_time_s(self, spec: JobSpec) -> float:
         """Seconds a task is likely to run: the owner's estimate, corrected by what the class has shown."""
-        return max(LEAST_ESTIMATE_S, spec.estimate_s * self._ratios.get(spec.job_class, 1.0))
+        return max(MIN_ESTIMATE_S, spec.estimate_s * self._ratios.get(spec.job_class, 1.0))
 
-    def observe(self, spec: JobSpec, submitted_at: float) -> None:
+    def record_submission(self, spec: JobSpec, submitted_at: float) -> None:
         """Keeps what a class's jobs are like and how often they come, for headroom."""
-        load = self.classes.get(spec.job_class)
-        if load is None:
-            self.classes[spec.job_class] = ClassLoad(spec, float(spec.tasks), submitted_at)
+        statistics = self.classes.get(spec.job_class)
+        if statistics is None:
+            self.classes[spec.job_class] = ClassStatistics(spec, float(spec.tasks), submitted_at)
         else:
-            load.add(spec, submitted_at)
+            statistics.add(spec, submitted_at)
 
-    def headroom(self, gang: bool, settings: OperatorSettings, unseen: bool = False) -> list[ExpectedTasks]:
+    def headroom(self, gang: bool, settings: OperatorSettings, include_unseen: bool = False) -> list[ExpectedTasks]:
         """Tasks that should find room at once: of classes for which a new machine would come too late.
 
-        With `unseen`, room is kept for classes too of which nothing has come yet.
+        With `include_unseen`, room is kept for classes too of which nothing has come yet.
         """
         now = self._wall_clock()
         found = [
-            ExpectedTasks(load.spec, self._headroom_tasks(job_class, load, settings))
-            for job_class, load in sorted(self.classes.items())
-            if load.spec.is_gang is gang and not load.has_ended(now)
+            ExpectedTasks(statistics.spec, self._headroom_tasks(job_class, statistics, settings))
+            for job_class, statistics in sorted(self.classes.items())
+            if statistics.spec.is_gang is gang and not statistics.has_ended(now)
         ]
-        if unseen:
-            found += [ExpectedTasks(spec, UNSEEN_CLASS_MACHINES) for spec in self._unseen_classes()]
+        if include_unseen:
+            found += [ExpectedTasks(spec, UNSEEN_CLASS_TASKS) for spec in self._unseen_classes()]
         found.sort(key=lambda expected: -expected.spec.rank)
         return found
 
-    def _headroom_tasks(self, job_class: str, load: ClassLoad, settings: OperatorSettings) -> int:
+    def _headroom_tasks(self, job_class: str, statistics: ClassStatistics, settings: OperatorSettings) -> int:
         """For how many tasks of a class room is to be kept."""
         if job_class in self.start_objectives:
             factor = settings.headroom_wait
         else:
-            factor = settings.headroom if self._slack_s(load.spec) < 0 else 0.0
-        return math.ceil(factor * self._burst_factor(load) * load.mean_tasks)
+            factor = settings.headroom if self._slack_s(statistics.spec) < 0 else 0.0
+        return math.ceil(factor * self._burst_factor(statistics) * statistics.mean_tasks)
 
     def _unseen_classes(self) -> list[JobSpec]:
         """Small on-demand machines for each class that is to start soon and of which nothing has come.
@@ -169,10 +171,13 @@
             if job_class not in self.classes
         ]
 
-    def _burst_factor(self, load: ClassLoad) -> float:
+    def _burst_factor(self, statistics: ClassStatistics) -> float:
         """What arrives in a boot time varies by its root: more room for classes of which many jobs come in one."""
-        boot_s = shortest_boot_s(load.spec, self._types().values())
-        return max(1.0, math.sqrt(boot_s / max(load.mean_gap_s, LEAST_GAP_S) / ARRIVALS_PER_BOOT))
+        boot_s = shortest_boot_s(statistics.spec, self._types().values())
+        return max(
+            1.0,
+            math.sqrt(boot_s / max(statistics.mean_interarrival_s, MIN_INTERARRIVAL_S) / BASELINE_ARRIVALS_PER_BOOT),
+        )
 
     def _slack_s(self, spec: JobSpec) -> float:
         """How long a new job like this may wait before a machine is provisioned for it, at the least."""
@@ -182,4 +187,4 @@
         ready_s = time_to_ready_s(spec, machine_types)
         objective_s = self.completion_objectives.get(spec.job_class)
         limits = [limit for limit in (spec.deadline_s, objective_s) if limit is not None]
-        return min(limits) - self.estimate(spec) - ready_s if limits else ready_s
+        return min(limits) - self.estimated_run_time_s(spec) - ready_s if limits else ready_s
