--- a/stileloft/leadership/leader_environment.py
+++ b/stileloft/leadership/leader_environment.py
@@ -10,7 +10,7 @@
 from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import StateClient
 from stileloft.protocol.workers import WorkerClient
-from stileloft.scheduling.scheduling_loop import InThread
+from stileloft.scheduling.scheduling_loop import RunInThread
 from stileloft.settings import Settings
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.store.record_format import RecordFormat
@@ -36,6 +36,6 @@
     invariants: InvariantMonitor
     operator_settings: Callable[[], OperatorSettings]
     """The operators' settings in force."""
-    run_in_thread: InThread
+    run_in_thread: RunInThread
     nonce: str
     """Of this process; it keeps the names of requests to the cloud apart."""
--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -9,7 +9,7 @@
 from stileloft.scheduling.instance_offers import InstanceOffer, machine_price
 from stileloft.scheduling.machine_scoring import URGENT_RANK
 from stileloft.scheduling.provisioning_planner import ProvisioningPlanner, ScalingDemand
-from stileloft.scheduling.scaling_criteria import all_tasks_allow_spot, needs_on_demand, served_soon
+from stileloft.scheduling.scaling_criteria import all_tasks_allow_spot, can_be_served_soon, needs_on_demand
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
 KEEP_IDLE_ON_DEMAND_BOOTS = 0.3
@@ -56,7 +56,7 @@
 
     def _provide_for_gang(self, spec: JobSpec, count: int) -> None:
         """Provisions what a gang lacks, in the zone that lacks the least; what room there is is taken."""
-        present = [machine for machine in self._usable if machine.up] + self._planner.coming
+        present = [machine for machine in self._usable if machine.up] + self._planner.pending
         machine_types = self._snapshot.types.values()
         possible = sorted(
             {zone for machine_type in machine_types if fits_type(spec, machine_type) for zone in machine_type.zones}
@@ -73,8 +73,8 @@
     def _provide_for_waiting(self, job: PendingJob, count: int) -> None:
         """Provisions for tasks that neither machines on their way nor the present ones will serve soon."""
         zones = dict(job.placed_by_zone)
-        left = self._planner.fill(job.spec, count, zones, self._planner.coming)
-        if left and not served_soon(job.spec, left, self._snapshot, self._planner.machines):
+        left = self._planner.fill(job.spec, count, zones, self._planner.pending)
+        if left and not can_be_served_soon(job.spec, left, self._snapshot, self._planner.machines):
             spot_only = not needs_on_demand(job, self._snapshot)
             self._planner.provision_for(job.spec, left, zones, spot_only)
 
@@ -114,15 +114,15 @@
         replaceable = sum(
             not machine.spot and bool(machine.tasks) and all_tasks_allow_spot(machine) for machine in alike
         )
-        on_the_way = sum(machine.type.name == machine_type.name for machine in self._planner.coming)
+        pending_count = sum(machine.type.name == machine_type.name for machine in self._planner.pending)
         # What runs now stays where it is: a spot instance is of use to tasks that come later.
         has_room = any(
             machine.spot and machine.ready and machine.free_cpus >= machine_type.cpus / 2 for machine in alike
         )
         if (
-            not self._demand.active
+            not self._demand.jobs_arriving
             or has_room
-            or replaceable <= on_the_way
+            or replaceable <= pending_count
             or machine_type.spot_price >= machine_type.price
         ):
             return
--- a/stileloft/scheduling/candidate_machines.py
+++ b/stileloft/scheduling/candidate_machines.py
@@ -32,7 +32,7 @@
         self._requested = requested(job.spec)
         self._heap: list[ScoredMachine] = []
         self._versions: dict[str, int] = {}
-        for machine in cycle.open_machine_views() if among is None else among:
+        for machine in cycle.machines_with_room() if among is None else among:
             self._score(machine, 0)
         heapq.heapify(self._heap)
 
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -64,7 +64,7 @@
     if not cycle.quotas.within_limit(job.spec, job.waiting_count):
         return None
     best: tuple[tuple[float, str], list[TaskAssignment]] | None = None
-    for zone, machines in sorted(machines_by_zone(job.spec, cycle.open_machine_views()).items()):
+    for zone, machines in sorted(machines_by_zone(job.spec, cycle.machines_with_room()).items()):
         if sum(free_slots(job.spec, machine) for machine in machines) < job.waiting_count:
             continue
         found = _try_zone(job, cycle, machines)
--- a/stileloft/scheduling/gang_reservations.py
+++ b/stileloft/scheduling/gang_reservations.py
@@ -8,7 +8,7 @@
 from stileloft.protocol.messages import JobSpec
 from stileloft.scheduling.gang_placement import free_slots, machines_by_zone
 from stileloft.scheduling.machine_view import MachineView
-from stileloft.scheduling.reservations import may_reserve
+from stileloft.scheduling.reservations import can_reserve
 from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
 
 
@@ -21,7 +21,7 @@
 
 def reserve_gang_room(job: PendingJob, snapshot: Snapshot) -> None:
     """Keeps the room that a gang will have first, so that small tasks don't fill each hole before it can begin."""
-    candidates = [machine for machine in snapshot.schedulable_machines() if may_reserve(job, machine, snapshot)]
+    candidates = [machine for machine in snapshot.schedulable_machines() if can_reserve(job, machine, snapshot)]
     best: tuple[float, str] | None = None
     chosen: list[FutureSlot] = []
     for zone, machines in machines_by_zone(job.spec, candidates).items():
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -15,8 +15,8 @@
 # Bin packing: cost of a small task on a large machine; less for a class with an objective on starting, and more while
 # tasks wait that only large machines can take.
 FRAGMENTATION_PENALTY_S = 5.0
-FRAGMENTATION_PENALTY_PROMPT_S = 1.0
-FRAGMENTATION_PENALTY_SCARCE_S = 30.0
+FRAGMENTATION_PENALTY_START_OBJECTIVE_S = 1.0
+FRAGMENTATION_PENALTY_LARGE_SCARCE_S = 30.0
 # The share of that cost on a large machine that small tasks use already.
 ALREADY_FRAGMENTED_FACTOR = 0.3
 # Cost of a fetch that takes more than this share of the class's objective on starting.
@@ -76,9 +76,9 @@
 def _fragmentation_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
     """Small tasks leave large machines whole while others have room, and first fill those with small tasks on them."""
     if start_objective_s is not None:
-        weight = FRAGMENTATION_PENALTY_PROMPT_S
+        weight = FRAGMENTATION_PENALTY_START_OBJECTIVE_S
     elif sizes.large_scarce:
-        weight = FRAGMENTATION_PENALTY_SCARCE_S
+        weight = FRAGMENTATION_PENALTY_LARGE_SCARCE_S
     else:
         weight = FRAGMENTATION_PENALTY_S
     return weight * (1.0 if machine.free_cpus >= sizes.largest_cpus / 2 else ALREADY_FRAGMENTED_FACTOR)
--- a/stileloft/scheduling/machine_view_cache.py
+++ b/stileloft/scheduling/machine_view_cache.py
@@ -14,7 +14,7 @@
 
 MAX_VIEW_AGE_S = 1.0
 """A copy is kept for so long: its tasks' remaining times may be this old, in seconds."""
-STARTED_S = 30.0
+RECENT_START_S = 30.0
 """A start counts for users if nothing stops the task within this time, in seconds."""
 MAX_SEND_FAILURES = 2
 """A machine that did not take so many messages in a row gets nothing new."""
@@ -104,7 +104,7 @@
             stopping=placement.stop_grace_s is not None,
             within_preemption_budget=not spec.is_service and job.preemption_count < spec.tasks,
             group_size=spec.tasks if spec.is_gang else 1,
-            recently_started=spec.job_class in self._workload.start_objectives and age_s < STARTED_S,
+            recently_started=spec.job_class in self._workload.start_objectives and age_s < RECENT_START_S,
         )
 
 
--- a/stileloft/scheduling/pending_jobs.py
+++ b/stileloft/scheduling/pending_jobs.py
@@ -13,15 +13,15 @@
 
 START_LIMIT_S = 240.0
 """Jobs are to start within this time, in seconds."""
-AGED_PART = 0.6
+AGED_FRACTION = 0.6
 """A job that has waited for this part of the limit goes before more pressing work, which could starve it."""
-MIN_AGED_PART = 0.25
+MIN_AGED_FRACTION = 0.25
 """The least such part; it is lowered while so many jobs have not started that the machines need the time."""
-CROWD_PART = 0.9
+FIRST_TASKS_FRACTION = 0.9
 """The part of the limit within which a task of each waiting job is to start."""
-STARVING_PART = 0.25
+STARVING_FRACTION = 0.25
 """A job of which nothing was placed for this part of the limit may use room that is kept for others."""
-MAX_OFFERED_TASKS = 64
+MAX_CONSIDERED_TASKS = 64
 """Waiting tasks of a job that one cycle looks at."""
 
 
@@ -47,7 +47,7 @@
                 continue
             if job.spec.is_gang and job.placed:
                 continue  # the rest of it is ending: it comes again as a whole
-            tasks = job.free_tasks(_max_offered(job))
+            tasks = job.free_tasks(_max_considered(job))
             if not tasks:
                 continue
             if orphaned:
@@ -70,7 +70,7 @@
             excluded,
             self._is_aged(job, aged_after_s),
             started=job.started,
-            starving=now - max(job.last_placed_at, job.accepted_at) > STARVING_PART * START_LIMIT_S,
+            starving=now - max(job.last_placed_at, job.accepted_at) > STARVING_FRACTION * START_LIMIT_S,
         )
 
     def _excluded_machines(self, now: float) -> dict[str, set[str]]:
@@ -96,15 +96,15 @@
                 spec = job.spec
                 fitting = sum(cpus for name, cpus in cpus_by_type.items() if fits_type(spec, self._catalog.types[name]))
                 first_tasks_s += self._workload.estimated_run_time_s(spec) * spec.cpus / max(fitting, spec.cpus, 1.0)
-        least_s, usual_s = MIN_AGED_PART * START_LIMIT_S, AGED_PART * START_LIMIT_S
-        return max(least_s, min(usual_s, CROWD_PART * START_LIMIT_S - first_tasks_s))
+        least_s, usual_s = MIN_AGED_FRACTION * START_LIMIT_S, AGED_FRACTION * START_LIMIT_S
+        return max(least_s, min(usual_s, FIRST_TASKS_FRACTION * START_LIMIT_S - first_tasks_s))
 
 
-def _max_offered(job: Job) -> int:
+def _max_considered(job: Job) -> int:
     """How many of a job's tasks a cycle may place: a gang whole, and what keeps failing one at a time."""
     if job.spec.is_gang:
         return job.waiting
     if len(job.failed_machines) > 1:
         # It fails on several machines, as one that was submitted with a mistake does.
         return 0 if job.placed else 1
-    return 1 if job.failed_machines else MAX_OFFERED_TASKS
+    return 1 if job.failed_machines else MAX_CONSIDERED_TASKS
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -36,7 +36,7 @@
     """Tasks that got neither a place nor a nomination."""
     headroom: list[ExpectedTasks] = field(default_factory=list)
     """Tasks that should find room at once if they came now; none of a class that can wait."""
-    active: bool = True
+    jobs_arriving: bool = True
     """Whether jobs are still coming."""
     without_capacity: frozenset[InstanceOffer] = frozenset()
     """Offers of which the cloud had none lately."""
@@ -52,7 +52,7 @@
         self._demand = demand
         self._settings = settings
         self.machines = [machine.copy() for machine in snapshot.machines.values()]
-        self.coming = [machine for machine in self.machines if not machine.up and machine.ready]
+        self.pending = [machine for machine in self.machines if not machine.up and machine.ready]
         """Machines that are not up yet, the planned ones last."""
         self.planned: list[MachineView] = []
         self.provision: dict[InstanceOffer, int] = {}
@@ -101,7 +101,7 @@
         self._machines_by_type_and_zone[offer.machine_type, offer.zone] += 1
         machine = view_of_offer(f"{PLANNED_PREFIX}{len(self.planned) + 1}", offer, self._snapshot.types)
         self.planned.append(machine)
-        self.coming.append(machine)
+        self.pending.append(machine)
         return machine
 
     def _cheapest(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> InstanceOffer | None:
--- a/stileloft/scheduling/reservations.py
+++ b/stileloft/scheduling/reservations.py
@@ -9,7 +9,7 @@
 """Waiting tasks that room is kept for in one cycle."""
 
 
-def may_reserve(job: PendingJob, machine: MachineView, snapshot: Snapshot) -> bool:
+def can_reserve(job: PendingJob, machine: MachineView, snapshot: Snapshot) -> bool:
     """Whether room may be kept for the job on a schedulable machine, whatever runs there now."""
     return machine.id not in snapshot.reservations and machine.id not in job.excluded_machines
 
@@ -23,7 +23,7 @@
     for machine in snapshot.schedulable_machines():
         if (
             spec.cpus > machine.type.cpus
-            or not may_reserve(job, machine, snapshot)
+            or not can_reserve(job, machine, snapshot)
             or not machine_allowed(spec, machine)
             or not zone_allowed(spec, job.placed_by_zone, machine.zone)
         ):
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -60,7 +60,7 @@
     return -LATE_BOOTS * ready_s < spare_s < EARLY_BOOTS * ready_s
 
 
-def served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
+def can_be_served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
     """Whether the present machines will have room well before a new one could be up.
 
     What gangs are to have of it is taken already: a job that waited for that room would wait for ever.
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -55,7 +55,7 @@
     max_preemptions: int
 
 
-class LeastRequest(NamedTuple):
+class SmallestRequest(NamedTuple):
     """The least that any waiting task takes, of each resource by itself."""
 
     cpus: float
@@ -78,16 +78,16 @@
         self.reclaimable = ReclaimableRoomIndex(snapshot.machines)
         self.teams_saving_quota: set[str] = set()
         """Teams at their limit, of which a promoted job is to have what becomes free."""
-        self._open_machines = [machine.id for machine in snapshot.schedulable_machines()]
+        self._machine_ids_with_room = [machine.id for machine in snapshot.schedulable_machines()]
         """Machines on which something may have room."""
-        self._least_request = LeastRequest(
+        self._smallest_request = SmallestRequest(
             min((spec.cpus for spec in specs), default=0.0), min((spec.memory_gb for spec in specs), default=0.0)
         )
         self._placed_at_last_drop = -1
 
-    def open_machine_views(self) -> list[MachineView]:
+    def machines_with_room(self) -> list[MachineView]:
         """Machines on which something may have room."""
-        return [self.snapshot.machines[machine_id] for machine_id in self._open_machines]
+        return [self.snapshot.machines[machine_id] for machine_id in self._machine_ids_with_room]
 
     def drop_full_machines(self) -> None:
         """Leaves out the machines that have become full, if tasks were placed since the last time."""
@@ -95,10 +95,10 @@
         if placed == self._placed_at_last_drop:
             return
         self._placed_at_last_drop = placed
-        cpus, memory_gb = self._least_request
-        self._open_machines = [
+        cpus, memory_gb = self._smallest_request
+        self._machine_ids_with_room = [
             machine.id
-            for machine in self.open_machine_views()
+            for machine in self.machines_with_room()
             if machine.free_cpus + EPSILON >= cpus and machine.free_memory_gb + EPSILON >= memory_gb
         ]
 
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -35,12 +35,12 @@
 """Pause after a cycle, in its own durations, so that heartbeats and submissions get their share of the processor."""
 SCALING_INTERVAL_S = 2.0
 """How often a cycle also plans scaling, in seconds."""
-PLACED_TRANSACTIONS = 2
+MAX_PLACED_TRANSACTIONS = 2
 """What one cycle places, as a multiple of the changes in a transaction; many of them share a change."""
 MAX_PREEMPTIONS = 8
-SHOWN_UNMET = 50
+MAX_REPORTED_UNMET = 50
 
-InThread = Callable[..., defer.Deferred[Any]]
+RunInThread = Callable[..., defer.Deferred[Any]]
 """Calls a function with its arguments in a thread of its own."""
 
 
@@ -59,7 +59,7 @@
         catalog: MachineCatalog,
         operator_settings: Callable[[], OperatorSettings],
         clock: Clock,
-        run_in_thread: InThread,
+        run_in_thread: RunInThread,
         transaction_ops: int,
         flush: Callable[[], None],
     ) -> None:
@@ -74,7 +74,7 @@
         self._operator_settings = operator_settings
         self._clock = clock
         self._run_in_thread = run_in_thread
-        self._max_placed = PLACED_TRANSACTIONS * transaction_ops
+        self._max_placed = MAX_PLACED_TRANSACTIONS * transaction_ops
         self._flush = flush
         self.last_decision: dict[str, Any] = {}
         """What the last cycle decided, for the administration API."""
@@ -135,11 +135,11 @@
             no_capacity = self._provisioner.offers_without_capacity()
             unreliable = self._boots.unreliable_offers()
             headroom = self._snapshots.headroom(gang=False)
-            active = self._workload.has_active_classes()
+            jobs_arriving = self._workload.has_active_classes()
         decision = placement.decide(snapshot, self._max_placed, MAX_PREEMPTIONS)
         plan = None
         if scale:
-            demand = ScalingDemand(decision.unmet, headroom, active, no_capacity, unreliable)
+            demand = ScalingDemand(decision.unmet, headroom, jobs_arriving, no_capacity, unreliable)
             plan = Autoscaler(snapshot, demand, self._operator_settings()).plan()
         return decision, plan
 
@@ -170,7 +170,7 @@
                 }
                 for key, preemption in decision.preemptions
             ],
-            "unmet": {job.spec.id: count for job, count in decision.unmet[:SHOWN_UNMET]},
+            "unmet": {job.spec.id: count for job, count in decision.unmet[:MAX_REPORTED_UNMET]},
         }
 
     def _log_cluster(self) -> None:
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -102,7 +102,7 @@
     """Tasks of gangs for which room is to be kept before they are submitted."""
     reservations: dict[str, Reservation] = field(default_factory=dict)
     """Room reserved in this cycle, by machine."""
-    copied: set[str] = field(default_factory=set)
+    copied_machine_ids: set[str] = field(default_factory=set)
     """Machines that this cycle has a copy of."""
     _total_cpus: float | None = None
     _schedulable_ids: list[str] | None = None
@@ -127,7 +127,7 @@
     def writable(self, machine_id: str) -> MachineView:
         """The machine's copy that may be changed."""
         machine = self.machines[machine_id]
-        if machine_id not in self.copied:
+        if machine_id not in self.copied_machine_ids:
             machine = self.machines[machine_id] = machine.copy()
-            self.copied.add(machine_id)
+            self.copied_machine_ids.add(machine_id)
         return machine
