--- a/stileloft/scheduling/machine_views.py
+++ b/stileloft/scheduling/machine_view_cache.py
@@ -14,13 +14,13 @@
 
 MAX_VIEW_AGE_S = 1.0
 """A copy is kept for so long: its tasks' remaining times may be this old, in seconds."""
-STARTED_S = 30.0
+RECENT_START_S = 30.0
 """A start counts for users if nothing stops the task within this time, in seconds."""
 MAX_SEND_FAILURES = 2
 """A machine that did not take so many messages in a row gets nothing new."""
 
 
-class MachineViews:
+class MachineViewCache:
     """Makes the copies. Called with the cluster's lock held."""
 
     def __init__(
@@ -102,9 +102,9 @@
             age_s % spec.checkpoint_s if spec.checkpoint_s else age_s,
             self._lifecycle.remaining_run_time_s(job, placement, now),
             stopping=placement.stop_grace_s is not None,
-            budget_safe=not spec.is_service and job.preemption_count < spec.tasks,
+            within_preemption_budget=not spec.is_service and job.preemption_count < spec.tasks,
             group_size=spec.tasks if spec.is_gang else 1,
-            recently_started=spec.job_class in self._workload.start_objectives and age_s < STARTED_S,
+            recently_started=spec.job_class in self._workload.start_objectives and age_s < RECENT_START_S,
         )
 
 
