--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -293,7 +293,7 @@
         if answer is not None:
             return answer
         leader = self.leader
-        if leader is not None and leader.tokens.is_later(heartbeat.token):
+        if leader is not None and leader.tokens.is_from_successor(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
             leader = None
         if leader is None:
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -93,7 +93,7 @@
         if machine.releasing:
             return Refusal.MACHINE_RELEASING
         # It must be possible to fence what is sent without asking the store, which may be out when that is needed.
-        return None if self._tokens.has_above(machine.token) else Refusal.NO_SPARE_TOKEN
+        return None if self._tokens.has_spare_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
         """The start of a task, or its repetition, on a machine that may be given starts.
--- a/stileloft/leadership/fencing_tokens.py
+++ b/stileloft/leadership/fencing_tokens.py
@@ -24,37 +24,37 @@
         self.first = first
         """What all machines are addressed with until theirs is raised."""
         self.highest_issued = first
-        self.issued = 0
+        self.issued_count = 0
         """How often a machine's token was raised."""
         # They differ once the state service has lost its records: versions begin anew, and tokens must not.
         self._offset = first - key_version
         self._spares: list[int] = []
 
-    def committed(self, revision: int) -> None:
+    def record_commit(self, revision: int) -> None:
         """A transaction guarded on our leader key was executed; its revision is a token that nobody else can have."""
         token = revision + self._offset
         if token > self.first and (not self._spares or token > self._spares[-1]):
             self._spares.append(token)
             del self._spares[:-MAX_SPARE_TOKENS]
 
-    def has_above(self, token: int) -> bool:
+    def has_spare_above(self, token: int) -> bool:
         """Whether a start that is sent under this token could be fenced at once, with the state service out too."""
         return bool(self._spares) and self._spares[-1] > token
 
-    def issue_above(self, token: int) -> int | None:
+    def issue_spare_above(self, token: int) -> int | None:
         """The lowest spare token above this one, which leaves the most for later; None without any."""
         place = bisect.bisect_right(self._spares, token)
         if place == len(self._spares):
             return None
         issued = self._spares[place]
         self.highest_issued = max(self.highest_issued, issued)
-        self.issued += 1
+        self.issued_count += 1
         return issued
 
     def is_own(self, token: int) -> bool:
         """Whether a worker that knows this token was told it by this leader."""
         return self.first <= token <= self.highest_issued
 
-    def is_later(self, token: int) -> bool:
+    def is_from_successor(self, token: int) -> bool:
         """Whether this token shows that another leader was elected after us."""
         return token > self.highest_issued
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -221,7 +221,7 @@
             return
         self.commits += 1
         if revision:
-            self._tokens.committed(revision)
+            self._tokens.record_commit(revision)
         with self._cluster.lock:
             for part in parts:
                 self._applier.apply(part, revision)
--- a/stileloft/workers/command_assertions.py
+++ b/stileloft/workers/command_assertions.py
@@ -43,6 +43,6 @@
             arguments = placement.task, placement.attempt, machine.id
             if not check(goes_on, Invariant.NO_START_AFTER_END, evidence, *arguments):
                 return False
-        can_fence = not starts or self._tokens.has_above(machine.token)
+        can_fence = not starts or self._tokens.has_spare_above(machine.token)
         evidence = "machine=%s token=%d"
         return check(can_fence, Invariant.NO_START_WITHOUT_SPARE_TOKEN, evidence, machine.id, machine.token)
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -74,13 +74,13 @@
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
         """Fences the starts of attempts that are to be forgotten; for many together, as it takes a heartbeat."""
         raised_lately = now - machine.token_raised_at <= self._timings.lease_s
-        if not raised_lately and self._tokens.has_above(machine.token):
+        if not raised_lately and self._tokens.has_spare_above(machine.token):
             self._raise_token(machine, now, "attempts are to be forgotten")
 
     def _raise_token(self, machine: Machine, now: float, reason: str) -> bool:
         """Has the machine addressed with a higher token from now on; returns whether there was one."""
         check, previous = self._invariants.check, machine.token
-        token = self._tokens.issue_above(previous)
+        token = self._tokens.issue_spare_above(previous)
         if token is None:
             evidence = "machine=%s token=%d reason=%r"
             return check(False, Invariant.NO_START_WITHOUT_SPARE_TOKEN, evidence, machine.id, previous, reason)
@@ -154,7 +154,7 @@
         return {
             "first": tokens.first,
             "highest_issued": tokens.highest_issued,
-            "raised": tokens.issued,
+            "raised": tokens.issued_count,
             "starts_fenced": self.starts_fenced,
             "machines_waiting_for_spare_token": len(self.waiting_machines),
         }
--- a/stileloft/workers/transmission.py
+++ b/stileloft/workers/transmission.py
@@ -96,7 +96,7 @@
         machine.send_failures = 0
         if executed:
             self._record_executed(batch)
-        if self._tokens.is_later(heartbeat.token):
+        if self._tokens.is_from_successor(heartbeat.token):
             self._integrity.observe_token(heartbeat.token)
             self._lease.suspect(f"{machine.id} knows token {heartbeat.token}")
             return None
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -55,34 +55,34 @@
         owners[machine] = number
         for event in events:
             if event == "raise":
-                issued = tokens.issue_above(machine)
+                issued = tokens.issue_spare_above(machine)
                 assert (issued is None) == (machine >= max(tokens._spares, default=0))
                 if issued is not None:
                     assert issued > machine
                     assert owners.setdefault(issued, number) == number
                     assert tokens.is_own(issued)
-                    assert not tokens.is_later(issued)
+                    assert not tokens.is_from_successor(issued)
                     machine = issued
             else:
                 revision += 1
                 if event == "commit":
-                    tokens.committed(revision)
-                    assert tokens.has_above(machine)
+                    tokens.record_commit(revision)
+                    assert tokens.has_spare_above(machine)
         given_out = max(given_out, tokens.highest_issued)
         assert given_out <= offset + revision
-        assert tokens.is_later(offset + revision + 1)
+        assert tokens.is_from_successor(offset + revision + 1)
 
 
 def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
     tokens = FencingTokens(5, 5)
     for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
-        tokens.committed(revision)
-    tokens.committed(7)  # its answer came late
+        tokens.record_commit(revision)
+    tokens.record_commit(7)  # its answer came late
     first = 6 + MAX_SPARE_TOKENS
-    assert tokens.issue_above(5) == first
-    assert tokens.issue_above(first) == first + 1
-    assert tokens.issue_above(5 + 2 * MAX_SPARE_TOKENS) is None
-    assert not tokens.has_above(5 + 2 * MAX_SPARE_TOKENS)
+    assert tokens.issue_spare_above(5) == first
+    assert tokens.issue_spare_above(first) == first + 1
+    assert tokens.issue_spare_above(5 + 2 * MAX_SPARE_TOKENS) is None
+    assert not tokens.has_spare_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
 def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
@@ -247,10 +247,10 @@
     leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token == before
     assert no_violations == []
-    leader.tokens.committed(10**6)
+    leader.tokens.record_commit(10**6)
     leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
-    leader.tokens.committed(10**6 + 1)
+    leader.tokens.record_commit(10**6 + 1)
     leader.fencing.fence_for_forgets(machine, world.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
@@ -351,7 +351,7 @@
     """Starts are held, their jobs cancelled, and tokens raised for that."""
     hold_and_cancel(world)
     world.run(4)
-    assert leading(world).tokens.issued > 0
+    assert leading(world).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
