--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -29,9 +29,9 @@
 """How often a lease is renewed while it lasts."""
 CAMPAIGNS_PER_LEASE = 8
 """How often a vacant leadership is sought while a lease would last."""
-RENEWAL_TIMEOUT_FRACTION = 3
+RENEWAL_TIMEOUT_DIVISOR = 3
 """A renewal is given up after one part in so many of the lease."""
-WATCH_LEASES = 4
+WATCH_TIMEOUT_LEASES = 4
 """How long one watch of another's leadership waits, in leases."""
 
 
@@ -61,7 +61,7 @@
         self._on_elected = on_elected
         self._on_deposed = on_deposed
         self._integrity = integrity
-        self._suspicion: str | None = None
+        self._suspicion_reason: str | None = None
         """Why the leadership is in doubt, while it is found out whether it is over or the store is lost."""
         self.key_version = 0
         """The version of the leader key while we lead: it guards our transactions."""
@@ -69,9 +69,9 @@
         self.leader_member: str | None = None
         """The member that leads, as far as is known."""
         self._lease: int | None = None
-        self._confirmed_until = 0.0
+        self._held_until = 0.0
         self.last_renewed_at = 0.0
-        self._stand_aside_until = 0.0
+        self._campaign_paused_until = 0.0
 
     @property
     def leading(self) -> bool:
@@ -80,15 +80,15 @@
 
     def holds_lease(self) -> bool:
         """Whether nobody else can have been elected yet."""
-        return self.token is not None and self._clock.seconds() < self._confirmed_until
+        return self.token is not None and self._clock.seconds() < self._held_until
 
     def seconds_since_renewal(self) -> float:
         """Seconds since the lease was last known to be alive."""
         return max(0.0, self._clock.seconds() - self.last_renewed_at)
 
-    def stand_aside(self, seconds: float) -> None:
+    def pause_campaign(self, seconds: float) -> None:
         """Leaves the leadership to others for a while, as long as there are any."""
-        self._stand_aside_until = self._clock.seconds() + seconds
+        self._campaign_paused_until = self._clock.seconds() + seconds
 
     def suspect(self, reason: str) -> None:
         """The leadership seems to be over: nothing is decided any more until it is known why.
@@ -98,14 +98,14 @@
         if not self._integrity.detects_loss:
             self.step_down(reason)
         elif self.token is not None:
-            self._confirmed_until = 0.0
-            self._suspicion = self._suspicion or reason
+            self._held_until = 0.0
+            self._suspicion_reason = self._suspicion_reason or reason
 
     def step_down(self, reason: str) -> None:
         """Gives up the leadership, and ends its lease."""
         if self.token is None:
             return
-        self.token = self._suspicion = None
+        self.token = self._suspicion_reason = None
         lease, self._lease = self._lease, None
         log.info("leader stepped down member=%s reason=%r", self._member, reason)
         self._on_deposed(reason)
@@ -128,12 +128,12 @@
     async def _step(self) -> None:
         if self.token is None:
             await self._campaign()
-        elif self._suspicion is not None:
-            await self._settle_suspicion(self._suspicion)
+        elif self._suspicion_reason is not None:
+            await self._resolve_suspicion(self._suspicion_reason)
         else:
             await self._renew_lease()
 
-    async def _settle_suspicion(self, reason: str) -> None:
+    async def _resolve_suspicion(self, reason: str) -> None:
         """Finds out whether the leadership is over, or the store has lost its records."""
         try:
             await self._integrity.verify()
@@ -145,10 +145,10 @@
             return
         self.step_down(reason)
 
-    def _confirm(self, sent: float) -> None:
+    def _record_renewal(self, sent: float) -> None:
         """The lease was renewed by a request that was sent at this moment."""
         self.last_renewed_at = sent
-        self._confirmed_until = sent + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
+        self._held_until = sent + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
 
     async def _campaign(self) -> None:
         """Looks who leads, and acquires the leadership if nobody does."""
@@ -158,7 +158,7 @@
             return
         if self._integrity.is_sound():
             self.leader_member = None
-        if self._clock.seconds() < self._stand_aside_until or not self._integrity.may_campaign():
+        if self._clock.seconds() < self._campaign_paused_until or not self._integrity.may_campaign():
             await sleep(self._clock, self.lease_s / CAMPAIGNS_PER_LEASE)
             return
         await self._acquire_lease()
@@ -166,10 +166,10 @@
     async def _observe_leader(self, value: dict[str, Any], version: int, lease: int | None) -> None:
         """Waits for the end of another's leadership, or ends what is left of one of our own."""
         self.leader_member = value["member"]
-        if self._suspicion is not None and value["member"] != self._member:
+        if self._suspicion_reason is not None and value["member"] != self._member:
             self.step_down("another controller leads")
         if value["member"] != self._member or lease is None:
-            await self._state.watch(records.LEADER, version, self.lease_s * WATCH_LEASES)
+            await self._state.watch(records.LEADER, version, self.lease_s * WATCH_TIMEOUT_LEASES)
             return
         if value["nonce"] != self._nonce:
             # Only one process runs as this member, so the one that held the key is over.
@@ -198,8 +198,8 @@
             self.step_down("elected anew")
         self._lease = lease
         self.key_version = version
-        self._confirm(sent)
-        if not self._clock.seconds() < self._confirmed_until:
+        self._record_renewal(sent)
+        if not self._clock.seconds() < self._held_until:
             await self._end_lease(lease)
             return
         self.leader_member = self._member
@@ -213,10 +213,10 @@
             return
         sent = self._clock.seconds()
         try:
-            await self._state.renew_lease(self._lease, self.lease_s / RENEWAL_TIMEOUT_FRACTION)
+            await self._state.renew_lease(self._lease, self.lease_s / RENEWAL_TIMEOUT_DIVISOR)
         except LeaseExpiredError:
             self.suspect("the lease expired")
             return
         if self.token is not None:
-            self._confirm(sent)
+            self._record_renewal(sent)
         await sleep(self._clock, self.lease_s / RENEWALS_PER_LEASE)
--- a/stileloft/leadership/lease.py
+++ b/stileloft/leadership/lease.py
@@ -43,9 +43,9 @@
         if self.active:
             self._election.step_down(reason)
 
-    def stand_aside(self, seconds: float) -> None:
+    def pause_campaign(self, seconds: float) -> None:
         """Leaves the leadership to others for a while."""
-        self._election.stand_aside(seconds)
+        self._election.pause_campaign(seconds)
 
     def end(self) -> None:
         """The leadership is over."""
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -73,4 +73,4 @@
         else:
             reason = f"{len(still)} machines are silent, and so are the peers"
         self._lease.step_down(reason)
-        self._lease.stand_aside(self._worker_lease_s / 2)
+        self._lease.pause_campaign(self._worker_lease_s / 2)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -231,7 +231,7 @@
     assert leader.authority.check_transmission([placement], machine) is None
     leader.tokens._spares.clear()
     assert leader.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
-    leading_controller(world).election._confirmed_until = 0.0
+    leading_controller(world).election._held_until = 0.0
     assert leader.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
     assert leader.authority.check_transmission([], machine) is None
     leader.lease.active = False
@@ -266,14 +266,14 @@
 
     async def connecting(method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Any) -> Any:
         asked.append(path)
-        controller.election._confirmed_until = 0.0  # its lease ends while the connection is made
+        controller.election._held_until = 0.0  # its lease ends while the connection is made
         return await plain(method, address, path, body, timeout_s, is_wanted)
 
     machines = set(world.cloud.machines)
     wire.request = connecting
     leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
     world.run(0.1)
-    controller.election._confirm(world.now)
+    controller.election._record_renewal(world.now)
     leader.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
     assert asked == ["/hosts/release", "/hosts"]
