--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -298,7 +298,7 @@
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
-        if not leader.may_renew():
+        if not leader.may_renew_worker_leases():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
         return Response(200, leader.on_heartbeat(heartbeat))
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -21,13 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.3
+STORE_RETRY_S = 0.3
 """Pause after the store refused to be read, in seconds."""
-DEFECT_RETRY_S = 1.0
+UNEXPECTED_ERROR_RETRY_S = 1.0
 """Pause after any other error, in seconds."""
 
 
-class UnresolvedTasks(Protocol):
+class UnresolvedTaskSource(Protocol):
     """Tasks of which it is not known whether they completed, as the feature `rebuild` records them."""
 
     async def read(self) -> Any:
@@ -51,7 +51,7 @@
         upgrade: FormatUpgrade,
         provision_records: ProvisionRecords,
         images: ImageLocations,
-        unresolved: UnresolvedTasks,
+        unresolved_tasks: UnresolvedTaskSource,
         clock: Clock,
     ) -> None:
         self._store = store
@@ -63,7 +63,7 @@
         self._upgrade = upgrade
         self._provision_records = provision_records
         self._images = images
-        self._unresolved = unresolved
+        self._unresolved_tasks = unresolved_tasks
         self._clock = clock
 
     async def run(self) -> bool:
@@ -74,10 +74,10 @@
                 break
             except (UnavailableError, UnknownOutcomeError) as error:
                 log.info("failover delayed, store not readable: %s", error)
-                await sleep(self._clock, RETRY_S)
+                await sleep(self._clock, STORE_RETRY_S)
             except Exception:
                 log.exception("failover failed")
-                await sleep(self._clock, DEFECT_RETRY_S)
+                await sleep(self._clock, UNEXPECTED_ERROR_RETRY_S)
         if not self._lease.active:
             return False
         self._cluster.loaded = True
@@ -92,14 +92,14 @@
         chunks, _ = await client.scan(records.TASKS)
         provisioned, _ = await client.scan(records.PROVISIONED)
         images, _ = await client.scan(records.IMAGES)
-        unresolved = await self._unresolved.read()
+        unresolved = await self._unresolved_tasks.read()
         # A chunk that was read after its job's record may be newer: its version guards it.
         with self._cluster.lock:
             self._cluster.jobs.clear()
             self._load_jobs(active, chunks)
             for job in self._cluster.jobs.values():
                 self._resume(job)
-            self._unresolved.apply(unresolved)
+            self._unresolved_tasks.apply(unresolved)
             for key, value, _ in provisioned:
                 self._provision_records.load(key, value)
             for key, value, _ in images:
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import defer
 
-from stileloft.leadership.leader_parts import LeaderParts
+from stileloft.leadership.leader_components import LeaderComponents
 from stileloft.model.machines import Machine
 from stileloft.protocol.commands import CommandMessage
 from stileloft.protocol.messages import Heartbeat
@@ -14,11 +14,11 @@
 
 CHECK_INTERVAL_S = 0.5
 """How often all machines are checked, in seconds."""
-NO_AGE_S = 1e9
+MAX_SHOWN_AGE_S = 1e9
 """Shown in place of an age that has no bound."""
 
 
-class Leader(LeaderParts):
+class Leader(LeaderComponents):
     """The life of one leadership; nothing of it outlives the leadership."""
 
     def begin(self) -> None:
@@ -51,15 +51,15 @@
         defer.ensureDeferred(self.images.run())
         defer.ensureDeferred(self.upgrade.run())
         if self._environment.integrity.detects_loss:
-            defer.ensureDeferred(self.unresolved.run())
-        self._check()
+            defer.ensureDeferred(self.unresolved_tasks.run())
+        self._check_machines()
         self.request_scheduling()
 
-    def _check(self) -> None:
+    def _check_machines(self) -> None:
         """Looks after all machines, again and again."""
         if not self.lease.active:
             return
-        self._clock.callLater(CHECK_INTERVAL_S, self._check)
+        self._clock.callLater(CHECK_INTERVAL_S, self._check_machines)
         try:
             with self.cluster.lock:
                 self.supervisor.check()
@@ -76,7 +76,7 @@
 
     # -- events -----------------------------------------------------------------------
 
-    def may_renew(self) -> bool:
+    def may_renew_worker_leases(self) -> bool:
         """Whether an answer of ours may renew a worker's lease."""
         return self.authority.check_renewal() is None
 
@@ -115,7 +115,7 @@
                 "knowledge": {
                     "store_read": self.cluster.loaded,
                     "watch_revision": self.watch.revision,
-                    "cancellations_known_s_ago": round(min(NO_AGE_S, self.watch.staleness_s()), 3),
+                    "cancellations_known_s_ago": round(min(MAX_SHOWN_AGE_S, self.watch.staleness_s()), 3),
                     "lease_renewed_s_ago": round(self.lease.seconds_since_renewal(), 3),
                 },
                 "last_decision": self.scheduling.last_decision,
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_components.py
@@ -51,11 +51,11 @@
 from stileloft.workers.task_states import TaskStateTracker
 from stileloft.workers.transmission import CommandTransmitter
 
-HEARTBEAT_FLUSH_S = 0.02
+HEARTBEAT_FLUSH_DELAY_S = 0.02
 """Heartbeats that come so close together share one commit, in seconds."""
 
 
-class LeaderParts:
+class LeaderComponents:
     """Composes the parts that act while this controller leads; each is given what it needs.
 
     The parts know each other only as far as their constructors say; what would go round in a circle is a callback.
@@ -343,7 +343,7 @@
 
     def _build_failover(self) -> None:
         """What takes over from the former leader."""
-        self.unresolved = UnresolvedTaskKeeper(
+        self.unresolved_tasks = UnresolvedTaskKeeper(
             self.store,
             self.cluster,
             self.job_registry,
@@ -362,7 +362,7 @@
             self.upgrade,
             self.provision_records,
             self.images,
-            self.unresolved,
+            self.unresolved_tasks,
             self._clock,
         )
 
@@ -375,7 +375,7 @@
     def _after_heartbeat(self) -> None:
         """Has written what a heartbeat has changed."""
         if self.cluster.dirty and self.cluster.loaded:
-            self.flush_timer.within(HEARTBEAT_FLUSH_S)
+            self.flush_timer.within(HEARTBEAT_FLUSH_DELAY_S)
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -359,7 +359,7 @@
 
 
 def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Leader, "may_renew", lambda _: True)
+    monkeypatch.setattr(Leader, "may_renew_worker_leases", lambda _: True)
     broken = [line for seed in (1, 2, 3) for line in graces_in_a_row(seed, 0.012).rules.broken]
     assert any("ran_cancelled" in line for line in broken)
 
