--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -22,14 +22,14 @@
     LEADERSHIP_ENDED = "the leadership has ended"
     LEASE_NOT_CONFIRMED = "the leader's lease is not confirmed"
     STORE_NOT_READ = "the store was not read yet"
-    CANCELLATIONS_UNKNOWN = "cancellations are not known well enough"
+    CANCELLATIONS_STALE = "cancellations are not known well enough"
     MACHINE_NOT_CLAIMED = "the machine does not know the leader's fencing token"
     MACHINE_RELEASING = "the machine is being released"
     NOT_STORED = "the store does not place the task there"
     ALREADY_REPORTED = "the machine reports the task"
     JOB_ENDED = "the job has ended, or is being reloaded"
     STOPPING = "the task is being stopped"
-    GANG_NOT_WHOLE = "the gang is not placed as a whole"
+    GANG_INCOMPLETE = "the gang is not placed as a whole"
     NO_SPARE_TOKEN = "no spare fencing token to fence the start"
     MESSAGE_IN_FLIGHT = "a message to the machine is in flight"
     START_IN_FLIGHT = "a start of the attempt is in flight"
@@ -70,7 +70,7 @@
             return Refusal.STORE_NOT_READ
         if self._lease.seconds_since_renewal() > self._lease.renewal_grace_s:
             return Refusal.LEASE_NOT_CONFIRMED
-        return Refusal.CANCELLATIONS_UNKNOWN if self._watch.staleness_s() > self._lease.renewal_grace_s else None
+        return Refusal.CANCELLATIONS_STALE if self._watch.staleness_s() > self._lease.renewal_grace_s else None
 
     def check_scale_out(self) -> Refusal | None:
         """A request for machines: another leader would rent them too."""
@@ -82,12 +82,12 @@
 
     # -- one machine -------------------------------------------------------------------
 
-    def check_starts(self, machine: Machine) -> Refusal | None:
+    def check_starts_on(self, machine: Machine) -> Refusal | None:
         """Any start on a machine."""
         if refusal := self.check_leadership():
             return refusal
         if not self._watch.is_fresh():
-            return Refusal.CANCELLATIONS_UNKNOWN
+            return Refusal.CANCELLATIONS_STALE
         if not machine.has_current_token:
             return Refusal.MACHINE_NOT_CLAIMED
         if machine.releasing:
@@ -109,7 +109,7 @@
             return Refusal.JOB_ENDED
         if placement.stop_grace_s is not None:
             return None if placement.sent_epoch == machine.epoch else Refusal.STOPPING
-        return None if gangs.may_start(self._cluster.jobs[placement.job]) else Refusal.GANG_NOT_WHOLE
+        return None if gangs.may_start(self._cluster.jobs[placement.job]) else Refusal.GANG_INCOMPLETE
 
     def check_transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
         """A message that was made a moment ago, as its connection is there at last and its bytes go out.
@@ -118,19 +118,19 @@
         """
         if not starts:
             return None if self._lease.active else Refusal.LEADERSHIP_ENDED
-        if refusal := self.check_commands() or self.check_starts(machine):
+        if refusal := self.check_commands() or self.check_starts_on(machine):
             return refusal
         return next((refusal for each in starts if (refusal := self.check_start(each, machine))), None)
 
-    def check_stop(self, job_id: str) -> Refusal | None:
+    def check_stop_job(self, job_id: str) -> Refusal | None:
         """A stop does no harm under an old token; only what no store knows of is left to operators."""
         return Refusal.AWAITS_OPERATOR if self._jobs.awaits_operator(job_id) else None
 
     def check_stop_task(self, task: str) -> Refusal | None:
         """The same of a task that the store does not place where it is."""
-        return self.check_stop(records.split_task(task)[0])
+        return self.check_stop_job(records.split_task(task)[0])
 
-    def check_forgets(self, machine: Machine) -> Refusal | None:
+    def check_forgets_on(self, machine: Machine) -> Refusal | None:
         """Any forgetting on a machine."""
         if machine.command_in_flight:
             return Refusal.MESSAGE_IN_FLIGHT
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -37,7 +37,7 @@
         ]
         if not unreported:
             return []
-        refusal = self._authority.check_starts(machine)
+        refusal = self._authority.check_starts_on(machine)
         if refusal is Refusal.NO_SPARE_TOKEN:
             self._fencing.request_spare_token(machine, unreported)
         if refusal is not None:
@@ -82,7 +82,7 @@
         An attempt is forgotten only once its start is fenced: a late one would run it again.
         """
         authority = self._authority
-        if not machine.pending_forgets or authority.check_forgets(machine) is not None:
+        if not machine.pending_forgets or authority.check_forgets_on(machine) is not None:
             return []
         now = self._clock.seconds()
         due = [(task, entry) for task, entry in machine.pending_forgets.items() if entry.due_at <= now][:limit]
