--- a/stileloft/leadership/leader_components.py
+++ b/stileloft/leadership/leader_components.py
@@ -380,7 +380,7 @@
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
         machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
-        machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
+        machine_ids |= dict.fromkeys(self.fencing.take_machines_awaiting_token())
         with self.cluster.lock:
             for machine_id in machine_ids:
                 machine = self.cluster.machines.get(machine_id)
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -9,7 +9,7 @@
 from stileloft.transport.clock import Clock
 from stileloft.workers.fencing import MachineFencing
 
-STOP_REPEAT_HEARTBEATS = 1.0
+STOP_RETRY_HEARTBEATS = 1.0
 """A stop is repeated after so many heartbeat intervals."""
 
 
@@ -67,7 +67,7 @@
         return commands + self._stops_of_orphaned_tasks(machine)[: limit - len(commands)]
 
     def _is_stop_due(self, placement: Placement, now: float) -> bool:
-        return now >= placement.stop_sent_at + STOP_REPEAT_HEARTBEATS * self._heartbeat_s
+        return now >= placement.stop_sent_at + STOP_RETRY_HEARTBEATS * self._heartbeat_s
 
     def _stops_of_orphaned_tasks(self, machine: Machine) -> list[StopCommand]:
         return [
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -17,11 +17,11 @@
 from stileloft.workers.command_planner import CommandPlanner
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.heartbeats import HeartbeatProcessor
-from stileloft.workers.transmission import RETRY_HEARTBEATS, CommandBatch, CommandTransmitter
+from stileloft.workers.transmission import RETRY_PAUSE_HEARTBEATS, CommandBatch, CommandTransmitter
 
 MAX_COMMANDS_PER_MESSAGE = 200
 """A body may hold 64 KiB, and several kinds of commands share a message."""
-MAX_CLAIMS_PART = 0.125
+MAX_CLAIMS_SOCKET_FRACTION = 0.125
 """Claims in flight, as a part of the sockets: a new leader claims hundreds of machines, and some don't answer."""
 MAX_IN_DOUBT_SHOWN = 50
 """In-doubt starts that `GET /status` shows one by one."""
@@ -68,7 +68,7 @@
         self._metrics = metrics
         self._after_heartbeat = after_heartbeat
         self._claims_in_flight = 0
-        self._max_claims = int(MAX_CLAIMS_PART * settings.max_sockets)
+        self._max_claims = int(MAX_CLAIMS_SOCKET_FRACTION * settings.max_sockets)
         """Claims beyond these are sent by a later check of the machines."""
 
     def is_reachable(self, machine: Machine, now: float) -> bool:
@@ -82,15 +82,15 @@
             return
         if self._has_nothing_due(machine, now) or self._authority.check_commands() is not None:
             return
-        self._fencing.fence_unwanted_starts(machine, now)
+        self._fencing.fence_starts_of_ended_jobs(machine, now)
         starts = self._planner.due_starts(machine)[:MAX_COMMANDS_PER_MESSAGE]
         stops = self._planner.due_stops(machine, MAX_COMMANDS_PER_MESSAGE)
         is_claim = not starts and not stops
         if is_claim and not self._may_claim(machine, now):
             return  # forgets alone can wait for the answer to the next heartbeat
-        self._begin(machine, starts, stops, is_claim, now)
+        self._send_batch(machine, starts, stops, is_claim, now)
 
-    def _begin(
+    def _send_batch(
         self, machine: Machine, starts: list[Placement], stops: list[StopCommand], is_claim: bool, now: float
     ) -> None:
         """Sends a message with these starts and stops, and with forgets as far as there is room."""
@@ -118,7 +118,7 @@
         if not reply.executed and (batch.epoch, batch.token) != (machine.epoch, machine.token):
             self.send(machine)  # refused for an epoch or a token that is known better now
         elif self._planner.due_starts(machine) or _has_unsent_stop(machine):
-            self._clock.callLater(RETRY_HEARTBEATS * self._settings.heartbeat_s, self.send, machine)
+            self._clock.callLater(RETRY_PAUSE_HEARTBEATS * self._settings.heartbeat_s, self.send, machine)
         self._after_heartbeat()
 
     def _has_nothing_due(self, machine: Machine, now: float) -> bool:
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -47,20 +47,20 @@
         self._integrity = integrity
         self._flush_timer = flush_timer
         self._timings = timings
-        self.waiting_machines: dict[str, None] = {}
+        self.machines_awaiting_token: dict[str, None] = {}
         """Machines that get no starts until there is a spare token."""
         self.starts_fenced = 0
         """Starts that were sent and are known never to be executed, in whose place nothing was lost."""
 
-    def fence_unwanted_starts(self, machine: Machine, now: float) -> bool:
+    def fence_starts_of_ended_jobs(self, machine: Machine, now: float) -> bool:
         """Has our next message fence in-flight starts of jobs that have ended; returns whether they are fenced then."""
-        unwanted = self._unwanted_starts(machine)
+        unwanted = self._unreported_starts_of_ended_jobs(machine)
         if not unwanted or machine.inflight_starts.highest_token(unwanted) < machine.token:
             return True
         task, attempt = unwanted[0]
         return self._raise_token(machine, now, f"start of {task} attempt {attempt} is in flight, its job has ended")
 
-    def _unwanted_starts(self, machine: Machine) -> list[AttemptKey]:
+    def _unreported_starts_of_ended_jobs(self, machine: Machine) -> list[AttemptKey]:
         """Attempts of jobs that have ended which were started and are not reported."""
         return [
             (placement.task, placement.attempt)
@@ -131,7 +131,7 @@
 
     def request_spare_token(self, machine: Machine, unreported: list[Placement]) -> None:
         """Has a record of one of these placements' jobs written again: the commit's revision is a spare token."""
-        self.waiting_machines[machine.id] = None
+        self.machines_awaiting_token[machine.id] = None
         for placement in unreported:
             job = self._cluster.jobs.get(placement.job)
             if job is None or self._cluster.blocks_starts(job.id):
@@ -142,10 +142,10 @@
                 self._flush_timer.within(0.0)
             return
 
-    def take_waiting_machines(self) -> list[str]:
+    def take_machines_awaiting_token(self) -> list[str]:
         """Takes the machines that waited for a spare token off the list."""
-        found = list(self.waiting_machines)
-        self.waiting_machines.clear()
+        found = list(self.machines_awaiting_token)
+        self.machines_awaiting_token.clear()
         return found
 
     def status(self) -> dict[str, Any]:
@@ -156,5 +156,5 @@
             "highest_issued": tokens.highest_issued,
             "raised": tokens.issued_count,
             "starts_fenced": self.starts_fenced,
-            "machines_waiting_for_spare_token": len(self.waiting_machines),
+            "machines_waiting_for_spare_token": len(self.machines_awaiting_token),
         }
--- a/stileloft/workers/forget_scheduler.py
+++ b/stileloft/workers/forget_scheduler.py
@@ -3,7 +3,7 @@
 from stileloft.model.machines import Machine, PendingForget
 from stileloft.transport.clock import Clock
 
-FORGET_LEASES = 4.0
+FORGET_DELAY_LEASES = 4.0
 """Attempts that were stopped are forgotten after this many leases of a worker."""
 
 
@@ -23,5 +23,5 @@
         """
         known = machine.pending_forgets.get(task)
         if known is None or known.attempt != attempt:
-            wait_s = 0.0 if done else FORGET_LEASES * self._lease_s
+            wait_s = 0.0 if done else FORGET_DELAY_LEASES * self._lease_s
             machine.pending_forgets[task] = PendingForget(attempt, self._clock.seconds() + wait_s, done)
--- a/stileloft/workers/heartbeat_responder.py
+++ b/stileloft/workers/heartbeat_responder.py
@@ -78,7 +78,7 @@
         not renewed; direct commands stop the rest, and if they don't come through, the lease's expiry does.
         """
         required = self._planner.stops_required_for_renewal(machine)
-        is_fenced = self._fencing.fence_unwanted_starts(machine, now)
+        is_fenced = self._fencing.fence_starts_of_ended_jobs(machine, now)
         if not is_fenced or len(required) > MAX_COMMANDS_PER_ANSWER:
             self._metrics.lease_renewals_withheld += 1
             log.info(
--- a/stileloft/workers/task_states.py
+++ b/stileloft/workers/task_states.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-COUNTS_FLUSH_S = 0.25
+COUNTS_FLUSH_DELAY_S = 0.25
 """The counts that users see are committed this soon after a task has begun to run, in seconds."""
 
 
@@ -60,4 +60,4 @@
             log.info("job started job=%s seconds_since_accepted=%.1f", job.id, self._wall_clock() - job.submitted)
         job.started = True
         self._cluster.mark_counts_dirty(job)
-        self._flush_timer.within(COUNTS_FLUSH_S)
+        self._flush_timer.within(COUNTS_FLUSH_DELAY_S)
--- a/stileloft/workers/transmission.py
+++ b/stileloft/workers/transmission.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_HEARTBEATS = 0.4
+RETRY_PAUSE_HEARTBEATS = 0.4
 """A message is repeated after this part of the heartbeat interval, and later with each further failure."""
 MAX_RETRY_FACTOR = 4
 """The back-off ends at this multiple of the first pause."""
@@ -70,7 +70,7 @@
         self._integrity = integrity
         self._client = client
         self._clock = clock
-        self._retry_s = RETRY_HEARTBEATS * heartbeat_s
+        self._retry_s = RETRY_PAUSE_HEARTBEATS * heartbeat_s
         self._metrics = metrics
 
     async def transmit(self, batch: CommandBatch) -> CommandReply | None:
@@ -141,9 +141,9 @@
         )
         if is_uncertain:
             for placement in batch.starts:
-                self._record_doubt(machine, placement, now)
+                self._record_in_doubt(machine, placement, now)
 
-    def _record_doubt(self, machine: Machine, placement: Placement, now: float) -> None:
+    def _record_in_doubt(self, machine: Machine, placement: Placement, now: float) -> None:
         """A start may be executed at any later time."""
         start = machine.inflight_starts.get(placement.task, placement.attempt)
         if start is None or start.in_doubt_since is not None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -312,7 +312,7 @@
     world.run(20)
     assert leader.commit_queue.commits > commits
     assert "j-000200/0" in world.rules.done
-    assert leader.fencing.waiting_machines == {}
+    assert leader.fencing.machines_awaiting_token == {}
 
 
 def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
@@ -391,7 +391,7 @@
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
-    monkeypatch.setattr(MachineFencing, "fence_unwanted_starts", lambda *_: True)
+    monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
     run_watched(world, 80.0)
