--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -293,12 +293,12 @@
         if answer is not None:
             return answer
         leader = self.leader
-        if leader is not None and leader.tokens.is_later(heartbeat.token):
+        if leader is not None and leader.tokens.is_from_successor(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
-        if not leader.may_renew():
+        if not leader.may_renew_worker_leases():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
         return Response(200, leader.on_heartbeat(heartbeat))
