--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -151,7 +151,7 @@
     for owner, method in (
         (SchedulingLoop, "_decide"),
         (SchedulingLoop, "_apply"),
-        (Leader, "_check"),
+        (Leader, "_check_machines"),
         (HeartbeatResponder, "on_heartbeat"),
     ):
         costs.watch(owner, method)
