--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -21,7 +21,7 @@
 from stileloft.transport.clock import Clock
 
 if TYPE_CHECKING:
-    from stileloft.rebuild.service import Rebuild
+    from stileloft.rebuild.service import RebuildService
 
 MAX_SERVED_AGE_S = 1e9
 """Reported in place of an unbounded age, in seconds."""
@@ -42,7 +42,7 @@
     state_service_check: StateServiceCheck
     invariants: InvariantMonitor
     budgets: StateBudgets
-    rebuild: "Rebuild | None"
+    rebuild: "RebuildService | None"
     leadership_status: Callable[[], dict[str, Any] | None]
     """Returns the status of the leadership; None while this controller does not lead."""
 
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -42,7 +42,7 @@
 from stileloft.transport.timers import sleep
 
 if TYPE_CHECKING:
-    from stileloft.rebuild.service import Rebuild
+    from stileloft.rebuild.service import RebuildService
 
 log = logging.getLogger(__name__)
 
@@ -114,14 +114,14 @@
             self._on_local_cancellation,
         )
 
-    def _rebuild_feature(self) -> "Rebuild | None":
+    def _rebuild_feature(self) -> "RebuildService | None":
         if not self.features.rebuild.enabled:
             return None
         # Imported here, because its library takes memory that controllers without the feature do not need.
         from stileloft.rebuild.environment import RebuildEnvironment
-        from stileloft.rebuild.service import Rebuild
+        from stileloft.rebuild.service import RebuildService
 
-        return Rebuild(
+        return RebuildService(
             RebuildEnvironment(
                 clock=self.reactor,
                 sleep=self.sleep,
@@ -131,9 +131,9 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.first_chunk_size,
+                first_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
-                forget_record_versions=self.record_format.forget_record_version,
+                forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
             )
         )
@@ -182,7 +182,7 @@
         defer.ensureDeferred(self.state_service_check.run())
         defer.ensureDeferred(self.election.run())
         if self.rebuild is not None:
-            self.rebuild.run()
+            self.rebuild.start()
 
     def serve(self) -> None:
         """Listens on the public address and on the peer address."""
@@ -241,7 +241,7 @@
 
     def _on_elected(self, token: int) -> None:
         if self.rebuild is not None and self.integrity.is_rebuilding():
-            self.rebuild.begin(token)
+            self.rebuild.begin_rebuild(token)
         else:
             self.begin_leading(token)
 
@@ -273,14 +273,14 @@
 
     def _on_deposed(self, _reason: str) -> None:
         if self.rebuild is not None:
-            self.rebuild.stop()
+            self.rebuild.stop_rebuild()
         if self.leader is not None:
             self.leader.end()
             self.leader = None
 
     def _on_format_advance(self) -> None:
         if self.leader is not None:
-            self.leader.upgrade.format_changed()
+            self.leader.upgrade.on_format_advanced()
 
     def _on_local_cancellation(self, job: str, revision: int) -> None:
         """If this controller leads, applies a cancellation that it has stored at once, before the watch reports it."""
@@ -294,12 +294,12 @@
         if answer is not None:
             return answer
         leader = self.leader
-        if leader is not None and leader.tokens.is_later(heartbeat.token):
+        if leader is not None and leader.tokens.is_from_successor(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} has later token {heartbeat.token}")
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
-        if not leader.may_renew():
+        if not leader.may_renew_worker_leases():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
         return Response(200, leader.on_heartbeat(heartbeat))
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -8,7 +8,7 @@
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
 from stileloft.protocol.state import ConflictError, TooLargeError, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
@@ -94,7 +94,7 @@
 
     def _max_changes(self) -> int:
         """Limit on the records written, and on the records deleted, by one transaction."""
-        return max(1, self._store.limits.ops // 2)
+        return max(1, self._store.limits.max_changes // 2)
 
     def _interval_s(self, unrecorded: int) -> float:
         transactions = max(unrecorded / self._max_changes(), 1.0)
@@ -125,6 +125,6 @@
     def _recorded_images(self, machine: Machine) -> list[str]:
         """Returns the machine's most recently used images that fit into one value."""
         images = list(machine.images)
-        while records.json_bytes(images) > self._store.limits.value_bytes:
+        while records.json_bytes(images) > self._store.limits.max_value_bytes:
             images = images[1 + len(images) // 8 :]
         return images
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -78,4 +78,4 @@
         else:
             reason = f"{len(still_silent)} machines are silent, and no peer answers"
         self._lease.step_down(reason)
-        self._lease.stand_aside(self._worker_lease_s / 2)
+        self._lease.pause_campaign(self._worker_lease_s / 2)
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -10,9 +10,9 @@
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
-from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
@@ -27,7 +27,7 @@
 """By job: its unresolved tasks, and the version of their record."""
 
 
-class UnresolvedTaskKeeper:
+class UnresolvedTaskManager:
     """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
 
     def __init__(
@@ -60,11 +60,11 @@
 
     def apply(self, stored: Stored) -> None:
         """Has no unresolved task started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
+        self._jobs.lost_spec_jobs = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
-                job.tasks_awaiting_operator = frozenset(found.open_tasks())
+                job.tasks_awaiting_operator = frozenset(found.blocked_tasks())
 
     async def run(self) -> None:
         """Does what operators decide, for as long as the leadership lasts."""
@@ -81,7 +81,7 @@
 
     def _anything_unresolved(self) -> bool:
         jobs = list(self._cluster.jobs.values())
-        return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
+        return bool(self._jobs.lost_spec_jobs) or any(job.tasks_awaiting_operator for job in jobs)
 
     async def _carry_out_one(self, job_id: str, found: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
@@ -96,12 +96,12 @@
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks settled job=%s", job_id)
         with self._cluster.lock:
-            self._jobs.undescribed -= {job_id}
+            self._jobs.lost_spec_jobs -= {job_id}
         self._request_scheduling()
 
     def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
         """Brings the job in line with the decisions; returns whether all are carried out and stored."""
-        open_tasks = found.open_tasks()
+        blocked_tasks = found.blocked_tasks()
         for text, decision in found.decisions.items():
             index = int(text)
             chunk = job.chunk_of(index)
@@ -111,8 +111,8 @@
                 job.done += 1
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
-        job.tasks_awaiting_operator = frozenset(open_tasks)
+        job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
         return decided and not job.write.dirty and not job.write.commit_in_flight
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -10,7 +10,7 @@
 from stileloft.protocol.messages import MachineType
 from stileloft.scheduling.instance_offers import view_of_offer
 from stileloft.scheduling.machine_view import MachineView
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.scheduling.snapshot import ExpectedTasks, Snapshot
 from stileloft.scheduling.workload import Workload
@@ -25,7 +25,7 @@
         self,
         cluster: ClusterState,
         lease: LeaderLease,
-        views: MachineViews,
+        views: MachineViewCache,
         pending_jobs: PendingJobs,
         workload: Workload,
         catalog: MachineCatalog,
@@ -71,7 +71,7 @@
         """Tasks that are to find room at once if they come now."""
         # What has not been seen in the first moments of a leadership may only not have been read yet.
         settled = self._clock.seconds() - self._lease.began_at > self._settled_after_s
-        return self._workload.headroom(gang, self._operator_settings(), unseen=gang and settled)
+        return self._workload.headroom(gang, self._operator_settings(), include_unseen=gang and settled)
 
     def _machines(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
         """Copies of all machines, those included that are being provisioned."""
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -5,9 +5,9 @@
 from stileloft.model.jobs import Job
 from stileloft.model.placements import PlacementState
 from stileloft.model.records.keys import chunk_key
-from stileloft.store.access import LeaderStore
 from stileloft.store.job_record_policy import JobRecordPolicy
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 
 
 class ChunkWriter:
@@ -32,9 +32,13 @@
             return 0
         # What is left of a cancelled job is recorded until it is gone.
         complete = not live and len(chunk.done | completed) == job.chunk_length(number)
-        if not job.end_phase and complete and self._policy.has_room_for_finished(job, {*part.folded_chunks, number}):
+        if (
+            not job.end_phase
+            and complete
+            and self._policy.has_room_for_finished(job, {*part.newly_finished_chunks, number})
+        ):
             part.deletes += stored_keys(job, number)
-            part.folded_chunks.append(number)
+            part.newly_finished_chunks.append(number)
         else:
             part.written_chunks.append(number)
             part.new_placements += [p for p in live if p.state == PlacementState.PLANNED]
@@ -51,7 +55,7 @@
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
             part.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
-        values = chunk_values(chunk, job.spec, job.chunk_size, self._store.limits.value_bytes)
+        values = chunk_values(chunk, job.spec, job.chunk_size, self._store.limits.max_value_bytes)
         part.puts[key] = values[0]
         part.overflow[number] = values[1:]
         for overflow, value in enumerate(values[1:], 1):
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -8,8 +8,8 @@
 from stileloft.model.records.forms import ActiveRecord, to_stored
 from stileloft.model.records.ranges import to_ranges
 from stileloft.model.records.sizes import json_bytes
-from stileloft.store.access import LeaderStore
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 
 COUNTS_INTERVAL_S = 1.2
@@ -33,13 +33,13 @@
         self._store = store
         self._clock = clock
 
-    def holds_chunk(self, job: Job) -> bool:
+    def stores_chunk_inline(self, job: Job) -> bool:
         """Whether the job's only chunk is to be stored in the job's own record."""
         if not self._store.format.has_inline_chunks or job.end_phase or job.chunk_count() > 1:
             return False
         if any(chunk.storage is ChunkStorage.OWN_RECORDS for chunk in job.chunks.values()):
             return False  # it was stored before format 2, and stays where it is
-        max_bytes = MAX_INLINE_VALUE_PART * self._store.limits.value_bytes
+        max_bytes = MAX_INLINE_VALUE_PART * self._store.limits.max_value_bytes
         # The bound comes first: this is asked each time a job is checked, and encoding the record takes long.
         if max_inline_record_bytes(job) <= max_bytes:
             return True
@@ -55,12 +55,12 @@
         if len(ranges) <= FEW_RANGES:
             return True
         record = msgspec.structs.replace(job_record(job, True), finished_chunks=ranges)
-        return json_bytes(to_stored(record)) <= self._store.limits.value_bytes
+        return json_bytes(to_stored(record)) <= self._store.limits.max_value_bytes
 
     def is_due(self, part: JobTransaction) -> bool:
         """Whether the job's record is to be written now."""
-        changes_chunks = part.folded_chunks or (part.is_inline and part.written_chunks)
-        if changes_chunks or moves_chunk_out(part) or self._counts_overdue(part):
+        changes_chunks = part.newly_finished_chunks or (part.is_inline and part.written_chunks)
+        if changes_chunks or detaches_inline_chunk(part) or self._counts_overdue(part):
             return True
         return self._store.format.has_chunk_sizes and not part.job.stores_chunk_size and self._budget_is_ample()
 
@@ -83,6 +83,6 @@
         return budget.level() > AMPLE_BUDGET_PART * budget.rate_per_s
 
 
-def moves_chunk_out(part: JobTransaction) -> bool:
+def detaches_inline_chunk(part: JobTransaction) -> bool:
     """Whether the chunk that the job's record holds gets records of its own."""
     return part.job.has_inline_chunk and not part.is_inline
