--- a/stileloft/rebuild/__init__.py
+++ b/stileloft/rebuild/__init__.py
@@ -1,1 +1,1 @@
-"""Rebuilding lost state: what the state service held is followed, its loss is detected, and it is written back."""
+"""Rebuild of lost state: replicates the state service's records, detects their loss, and writes them back."""
--- a/stileloft/rebuild/errors.py
+++ b/stileloft/rebuild/errors.py
@@ -1,11 +1,11 @@
-"""What can be wrong with the data that the feature reads: each error says of what, and what is wrong with it."""
+"""Errors in data that the feature `rebuild` reads or receives; each message begins with the kind of data."""
 
 
 class RebuildDataError(Exception):
-    """Something that was stored or sent can't be used."""
+    """Stored or received data cannot be used."""
 
     subject = "data"
-    """What it is that can't be used."""
+    """Kind of data, with which the message begins."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"{self.subject}: {reason}")
@@ -13,31 +13,31 @@
 
 
 class InvalidIdentityError(RebuildDataError):
-    """The store's identity record can't be read by this version."""
+    """The store's identity record cannot be read by this version."""
 
     subject = "identity record"
 
 
 class InvalidOutcomesError(RebuildDataError):
-    """A record of job outcomes can't be read."""
+    """A record of job outcomes cannot be read."""
 
     subject = "job outcomes"
 
 
 class InvalidSnapshotError(RebuildDataError):
-    """A snapshot of a replica can't be used."""
+    """A snapshot of a replica cannot be used."""
 
     subject = "snapshot"
 
 
 class InvalidChangeNoticeError(RebuildDataError):
-    """Another controller's change notice can't be used."""
+    """A change notice from another controller cannot be used."""
 
     subject = "change notice"
 
 
 class InvalidDecisionError(RebuildDataError):
-    """An operator's decision can't be carried out for this job."""
+    """An operator's decision cannot be applied to the job."""
 
     subject = "decision"
 
--- a/stileloft/rebuild/identity.py
+++ b/stileloft/rebuild/identity.py
@@ -1,4 +1,4 @@
-"""The record that distinguishes one deployment's store from another's, and from an empty one."""
+"""The identity record, which distinguishes a deployment's store from another deployment's and from an empty one."""
 
 import secrets
 from typing import Annotated, Any
@@ -13,33 +13,33 @@
 
 
 class Identity(Struct, frozen=True, omit_defaults=True):
-    """Whose store it is, and how often it was rebuilt."""
+    """The deployment that a store belongs to, and the state of its rebuilds."""
 
     deployment: Annotated[str, Meta(min_length=8, max_length=64)]
     generation: Annotated[int, Meta(ge=1)] = FIRST_GENERATION
-    """One more with each rebuild."""
+    """Incremented by each rebuild."""
     token_base: Annotated[int, Meta(ge=0)] = 0
-    """Fencing tokens are this plus the version of the leader key: versions begin again in a wiped store, tokens must
-    not."""
+    """Fencing tokens are this plus the version of the leader key: a wiped store counts versions from the start again,
+    and tokens must not repeat."""
     rebuilding: bool = False
-    """Its records are being written back: what is missing may only not have been written yet."""
+    """Whether a leader is writing the records back; a missing record may not have been written yet."""
     unreconciled_members: tuple[str, ...] = field(default=(), name="unheard")
-    """Controllers whose replicas the rebuild could not read: what is missing may be known to them."""
+    """Controllers whose replicas the rebuild could not read: they may know records that the store lacks."""
 
 
 def new_identity() -> Identity:
-    """The identity of a deployment that has none."""
+    """Returns a new identity with a random deployment identifier."""
     return Identity(secrets.token_hex(DEPLOYMENT_ID_BYTES))
 
 
 def to_record(identity: Identity) -> dict[str, Any]:
-    """The record as it is stored."""
+    """Returns the stored form of an identity."""
     record: dict[str, Any] = msgspec.to_builtins(identity)
     return record
 
 
 def from_record(value: Any) -> Identity:
-    """The identity in a stored record; raises `InvalidIdentityError` if this version can't read it."""
+    """Returns the identity in a stored record; raises `InvalidIdentityError` if this version cannot read it."""
     try:
         return msgspec.convert(value, Identity)
     except msgspec.ValidationError as error:
