--- a/stileloft/rebuild/loss_detector.py
+++ b/stileloft/rebuild/loss_detector.py
@@ -1,4 +1,4 @@
-"""Finds out whether the state service has lost its records, and gives a new store its identity."""
+"""Detects whether the state service has lost its records, and assigns an identity to a new store."""
 
 import logging
 
@@ -15,17 +15,16 @@
 
 log = logging.getLogger(__name__)
 
-# How often the store is checked while it is not known whether it is sound.
+# Interval between checks; a sound store is only checked on request.
 CHECK_INTERVAL_S = 0.25
-# A store without an identity and without other records is taken for a new one after this part of a worker's lease, if
-# not all other controllers can be asked.
-NEW_STORE_LEASES = 0.5
-# How often the leader of a store without an identity asks whether all controllers protect it by now.
+# Time after which an empty store counts as new although other controllers have not answered, in leases of a worker.
+NEW_STORE_WAIT_LEASES = 0.5
+# Interval at which the leader of a store without an identity asks whether all controllers protect it.
 IDENTITY_INTERVAL_S = 1.0
 
 
 class LossDetector:
-    """Checks the store at the start, when asked to, and while it is lost."""
+    """Checks the store at the start, on request, and while it is lost or being rebuilt."""
 
     def __init__(
         self,
@@ -45,11 +44,11 @@
         self._check_requested = False
 
     def request_check(self) -> None:
-        """Has the store checked soon: something was not as it should be."""
+        """Requests a check of the store, after a sign that it may be lost."""
         self._check_requested = True
 
     async def run(self) -> None:
-        """Checks the store for as long as the process lives."""
+        """Loads the last snapshot, then checks the store until the process ends."""
         self._snapshots.load()
         while True:
             try:
@@ -71,16 +70,16 @@
             await self._assign_identity()
 
     async def _check_first(self) -> None:
-        """The first check: a store without an identity is new, not protected yet, or has lost everything."""
-        # Peers are asked first, as they may give the store an identity meanwhile.
+        """Runs the first check: a store without an identity is new, not protected yet, or has lost all records."""
+        # Peers are asked before the store is read, as one of them may assign an identity in between.
         views = await self._environment.peers.views()
         found, revision = await self._state.lookup_at(records.IDENTITY)
-        known, replica = self._store.identity, self._replicas.current
+        expected, replica = self._store.identity, self._replicas.current
         if found is not None:
-            if known is not None and revision < replica.revision and replica.generation == known.generation:
+            if expected is not None and revision < replica.revision and replica.generation == expected.generation:
                 self._store.mark_lost(f"revision {replica.revision} was known, and the store is at {revision}")
             self._store.evaluate_identity(found, revision)
-        elif known is not None:
+        elif expected is not None:
             self._store.mark_lost("its identity is gone")
         else:
             await self._check_without_identity(views, revision)
@@ -101,11 +100,11 @@
 
     def _may_be_new(self, answering_members: set[str]) -> bool:
         waited_s = self._environment.clock.seconds() - self._started_at
-        longest_s = NEW_STORE_LEASES * self._environment.worker_lease_s
-        return answering_members >= self._environment.other_members or waited_s > longest_s
+        max_wait_s = NEW_STORE_WAIT_LEASES * self._environment.worker_lease_s
+        return answering_members >= self._environment.other_members or waited_s > max_wait_s
 
     async def _assign_identity(self) -> None:
-        """Gives the store an identity, once all controllers say that they protect it."""
+        """Assigns an identity to the store once all other controllers report that they protect it."""
         await self._store.read_identity()
         leadership = self._environment.leadership()
         if self._store.phase is not StorePhase.UNPROTECTED or not leadership.holds_lease():
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -1,4 +1,4 @@
-"""Tells a store that was lost from one that can't be reached: what the feature answers to the other modules."""
+"""The implementation of `StoreIntegrity` that tells a lost store from one that cannot be reached."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class StoreProtection(StoreIntegrity):
-    """The store may lose its records, and is trusted only while its identity is the known one."""
+    """Trusts the store only while it has the identity that this controller knows."""
 
     detects_loss = True
 
@@ -42,29 +42,33 @@
     # -- trust ----------------------------------------------------------------------
 
     def is_sound(self) -> bool:
-        """Whether the store may be trusted, and written."""
+        """Whether the store may be read and written."""
         return self._store.is_sound()
 
     def may_campaign(self) -> bool:
-        """Whether this controller may seek the leadership: not before it has checked the store."""
+        """Whether this controller may campaign for the leadership: not before it has checked the store."""
         return self._store.phase is not StorePhase.STARTING
 
     def is_rebuilding(self) -> bool:
-        """Whether a new leader has to write lost records back before anything else."""
+        """Whether a new leader has to write lost records back before it leads normally."""
         return self._store.phase is StorePhase.REBUILDING
 
     def guards(self) -> dict[str, int]:
-        """Conditions under which a transaction is one of the store as it is known."""
+        """Returns guards under which a transaction commits only if the store has the identity that is known here."""
         return self._store.guards()
 
     async def verify(self) -> None:
-        """Asks whether the store is still the one that is known; raises `StoreLostError` if not."""
+        """Reads the store's identity; raises `StoreLostError` if the store is not sound."""
         await self._store.read_identity()
         if not self.is_sound():
             raise StoreLostError(f"the store is {self._store.phase}: {self._store.reason}")
 
     async def verify_absence(self) -> None:
-        """The same, before a user is told that something does not exist; raises it also while that is not known yet."""
+        """Verifies the store before a user is told that a job does not exist.
+
+        Raises `StoreLostError` if the store is not sound, if the outcomes of ended jobs have not been read yet, or if a
+        controller that may know the job could not be reached.
+        """
         await self.verify()
         if not self.knows_outcomes():
             raise StoreLostError("the rebuilt store was not read yet")
@@ -74,30 +78,33 @@
             raise StoreLostError(f"it may be known to {members}, which could not be reached")
 
     def verify_soon(self) -> None:
-        """Has the store verified soon: something was not as it should be."""
+        """Requests a check of the store, after a sign that it may be lost."""
         self._detector.request_check()
 
     # -- tokens ---------------------------------------------------------------------
 
     async def take_leadership(self, version: int) -> int:
-        """The token of a leader whose key has this version; a lost store is marked as being rebuilt."""
+        """Returns the fencing token of a leader whose key has this version; marks a lost store as being rebuilt.
+
+        Raises `StoreLostError` if the token would not be above all known ones.
+        """
         if self._store.phase in (StorePhase.LOST, StorePhase.REBUILDING):
             return await begin_rebuild(self._environment, self._store, self._tokens, version)
         identity = self._store.identity
         token = version if identity is None else identity.token_base + version
         if token <= self._tokens.highest:
-            # Tokens are versions of the store, so one that is known and is not lower shows that it has gone back.
+            # Tokens follow the store's versions, so a known token that is not lower shows that the store has gone back.
             self._store.mark_lost(f"workers know token {self._tokens.highest}, and the next one would be {token}")
             raise StoreLostError(self._store.reason)
         self._tokens.begin_term(token, self._store.generation)
         return token
 
     def observe_token(self, token: int) -> None:
-        """A worker knows this token."""
+        """Records a token that a worker has reported."""
         self._tokens.observe(token)
 
     def record_raised_token(self, token: int) -> None:
-        """As the leader, we issue this token to a worker, which is above the one of our election."""
+        """Records a token above the one of the election, which this leader issues to a worker."""
         self._tokens.record_raised(token)
 
     # -- changes --------------------------------------------------------------------
@@ -105,40 +112,43 @@
     def record_commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
     ) -> None:
-        """Applies a change of ours to the replica, and notifies the other controllers."""
+        """Applies a commit of this controller to the replica, and notifies the other controllers.
+
+        With `announce_all` they are notified of all changes that users are told of, otherwise only of jobs' outcomes.
+        """
         identity = self._store.identity
         if self._store.phase is not StorePhase.SOUND or identity is None:
             return
         deleted = list(deletes)
         self._replicas.record_commit(identity.generation, puts, deleted, revision)
-        # A leader's placements are found again by the workers' heartbeats; what users were told is not.
+        # Heartbeats restore a leader's placements, but not what users were told.
         self._broadcaster.add(puts if announce_all else _outcomes_only(puts), deleted, revision)
 
     def apply_notice(self, notice: ChangeNotice) -> None:
-        """Another controller has changed the store."""
+        """Applies another controller's notice of changes that it has committed."""
         if self._store.phase is StorePhase.SOUND and notice.deployment == self._store.deployment:
             self._replicas.apply_notice(notice)
 
     # -- jobs -----------------------------------------------------------------------
 
     def knows_outcomes(self) -> bool:
-        """Whether jobs that ended are known, wherever that is recorded."""
-        # A rebuild records outcomes in a form of its own, which is read with the replica.
+        """Whether the outcomes of all ended jobs can be looked up, in whichever form they are recorded."""
+        # A rebuild records outcomes in a form of its own, which is loaded with the replica.
         identity = self._store.identity
         if identity is None or identity.generation == FIRST_GENERATION:
             return True
         return self._replicas.is_complete(identity.generation)
 
     def outcome_of(self, job: str) -> JobOutcome | None:
-        """How a job ended of which the store has no record of its own."""
+        """Returns the outcome of a job that has no final record in the store; None if it is not known."""
         return self._replicas.current.outcomes.get(job)
 
     def has_lost_spec(self, job: str) -> bool:
-        """Whether a job is known by workers' heartbeats alone."""
+        """Whether a job is known only from workers' heartbeats, without its specification."""
         record = self._replicas.current.records.get(records.UNDECIDED + job)
         return record is not None and unresolved_tasks.from_record(record.value()).spec_lost
 
 
 def _outcomes_only(puts: Mapping[str, Any]) -> dict[str, Any]:
-    """Of the changes, those that end jobs."""
+    """Returns the changes that are outcomes of jobs."""
     return {key: value for key, value in puts.items() if key.startswith(records.FINAL)}
