--- a/stileloft/rebuild/environment.py
+++ b/stileloft/rebuild/environment.py
@@ -1,4 +1,4 @@
-"""What the feature needs of the controller that it runs in."""
+"""Clients, settings and callbacks that a controller provides to the feature `rebuild`."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -13,25 +13,25 @@
 
 
 class Leadership(Protocol):
-    """What the feature asks of this controller's part in the election."""
+    """The leadership of this controller, as its election knows it."""
 
     @property
     def key_version(self) -> int:
-        """The version of the leader key under which it leads."""
+        """Version of the leader key under which this controller leads."""
         ...
 
     def holds_lease(self) -> bool:
-        """Whether it is certain that it still leads."""
+        """Whether this controller is certain that it still leads."""
         ...
 
     def suspect(self, reason: str) -> None:
-        """Has the leadership verified soon: something shows that another may lead."""
+        """Requests a check of the leadership, after a sign that another controller may lead."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class RebuildEnvironment:
-    """Clients, settings and callbacks of one controller."""
+    """Dependencies of the feature in one controller."""
 
     clock: Clock
     sleep: Callable[[float], Awaitable[None]]
@@ -40,29 +40,29 @@
     state: StateClient
     peers: PeerClient
     leader_write_budget: TokenBucket
-    """The changes of the store that the leader may make."""
+    """Limits the rate of changes that the leader makes in the store."""
     leadership: Callable[[], Leadership]
-    """Asked for when it is needed: the election begins after the feature."""
+    """Returns the current leadership; a callable, as the election is created after the feature."""
     first_chunk_size: int
-    """Tasks per chunk of jobs whose records don't say."""
+    """Tasks per chunk of jobs whose records do not hold a chunk size."""
     renewal_grace_s: float
-    """How long a leader may answer heartbeats without a confirmed lease."""
+    """Time for which a leader may answer heartbeats without a confirmed lease."""
     forget_record_versions: Callable[[], None]
-    """Called when the store was rebuilt: its records have other versions now."""
+    """Called when the store has been rebuilt, which gives its records new versions."""
     begin_leading: Callable[[int], None]
-    """Begins the ordinary leadership with this token, once all records are there."""
+    """Begins normal leadership with this token; called when all records are written back."""
 
     @property
     def member(self) -> str:
-        """The name of this controller."""
+        """Name of this controller."""
         return self.settings.member
 
     @property
     def other_members(self) -> set[str]:
-        """The names of the other controllers."""
+        """Names of the other controllers."""
         return {peer.member for peer in self.settings.peers}
 
     @property
     def worker_lease_s(self) -> float:
-        """How long a worker's lease lasts."""
+        """Duration of a worker's lease."""
         return self.settings.deployment.workers.lease_s
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -1,4 +1,4 @@
-"""The feature's parts in a controller: protection, replica, and the rebuild that it leads."""
+"""Entry point of the feature `rebuild` in a controller."""
 
 import logging
 from typing import Any
@@ -29,7 +29,7 @@
 
 
 class RebuildService:
-    """What a controller holds of the feature."""
+    """Detects lost records, maintains a replica of the store, and rebuilds the store when this controller leads."""
 
     def __init__(self, environment: RebuildEnvironment) -> None:
         self._environment = environment
@@ -48,22 +48,22 @@
             MissedChangesReconciler(environment, self.store, self.replicas, self._detector),
         )
         self._rebuilder: Rebuilder | None = None
-        """The rebuild that this controller leads now."""
+        """The rebuild that this controller is leading; None if there is none."""
         self._refused_notices = 0
 
     def start(self) -> None:
-        """Starts to check the store, and to follow it."""
+        """Starts the background loops that check the store and follow its changes."""
         defer.ensureDeferred(self._detector.run())
         defer.ensureDeferred(self._follower.run())
 
     # -- leading a rebuild ------------------------------------------------------------
 
     def is_leading_rebuild(self) -> bool:
-        """Whether this controller writes lost records back now."""
+        """Whether this controller is leading a rebuild."""
         return self._rebuilder is not None
 
     def begin_rebuild(self, token: int) -> None:
-        """Begins to write lost records back, as the leader with this token."""
+        """Starts a rebuild, as the leader with this fencing token."""
         parts = RebuildParts(self._environment, self.store, self.tokens, self.replicas, self.snapshots, self._detector)
         self._rebuilder = Rebuilder(parts, token, lambda: self._finish(token))
         defer.ensureDeferred(self._rebuilder.run())
@@ -73,35 +73,38 @@
         self._environment.begin_leading(token)
 
     def stop_rebuild(self) -> None:
-        """Ends the rebuild that this controller leads: its leadership is over."""
+        """Stops the rebuild that this controller is leading, if any, when its leadership ends."""
         if self._rebuilder is not None:
             self._rebuilder.stop()
             self._rebuilder = None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """Answers a worker's heartbeat during a rebuild; None if this controller leads none."""
+        """Answers a worker's heartbeat during a rebuild; returns None if this controller leads none."""
         return None if self._rebuilder is None else self._rebuilder.on_heartbeat(heartbeat)
 
-    # -- what other controllers and operators ask ---------------------------------------
+    # -- requests of other controllers and operators --------------------------------------
 
     def receive_change_notice(self, body: Any) -> bool:
-        """Applies another controller's change notice; whether it could be used."""
+        """Applies another controller's change notice; returns whether it was valid."""
         try:
             notice = parse_change_notice(body)
         except InvalidChangeNoticeError as error:
             self._refused_notices += 1
             if self._refused_notices == 1:
-                log.error("change notice refused, later ones are only counted error=%s", error)  # noqa: TRY400 - expected: the text says all
+                log.error("change notice refused, later ones are only counted error=%s", error)  # noqa: TRY400 - expected error, needs no traceback
             return False
         self.protection.apply_notice(notice)
         return True
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Stores an operator's decision about unresolved tasks; None if the job has none."""
+        """Stores an operator's decision about unresolved tasks; returns None if the job has none.
+
+        Raises the errors of `DecisionRecorder.record`.
+        """
         return await self._decisions.record(job, task, decision)
 
     def status(self) -> dict[str, Any]:
-        """What is known of the store, and of a rebuild that this controller leads."""
+        """Returns the status of the store and of its rebuild, as `GET /rebuild` shows it."""
         answer: dict[str, Any] = msgspec.to_builtins(self._report())
         return answer
 
--- a/stileloft/rebuild/status_report.py
+++ b/stileloft/rebuild/status_report.py
@@ -1,4 +1,4 @@
-"""What `GET /rebuild` answers."""
+"""The response of `GET /rebuild`."""
 
 from typing import Any
 
@@ -6,41 +6,42 @@
 
 
 class ReplicaReport(Struct, frozen=True):
-    """The replica of the store that this controller has."""
+    """State of this controller's replica of the store."""
 
     complete: bool
     revision: int
     records: int
     outcomes: int = field(name="ends")
-    """Jobs whose outcomes are known."""
+    """Number of jobs whose outcomes are known."""
 
 
 class ProgressReport(Struct, frozen=True):
-    """The rebuild that this controller leads."""
+    """Progress of the rebuild that this controller leads."""
 
     step: str
     running_for_s: float
     missing_members: list[str] = field(name="awaited")
-    """Controllers whose replicas have not come."""
+    """Controllers whose replicas have not arrived."""
     reporting_machines: int = field(name="machines_heard")
+    """Number of machines whose heartbeats the rebuild uses."""
     written: int
-    """Records written so far."""
+    """Changes committed so far."""
     to_write: int
-    """Records to be written in all."""
+    """Changes to commit in total."""
     transactions: int
 
 
 class RebuildReport(Struct, frozen=True):
-    """What is known of the store, and of a rebuild."""
+    """State of the store and of its rebuild."""
 
     phase: str
     reason: str
-    """Why the store counts as lost."""
+    """Why the store was marked as lost; empty once it is sound again."""
     lost_for_s: float | None
     generation: int
     replica: ReplicaReport
     unresolved: dict[str, Any] = field(name="undecided")
-    """By job: the record of its unresolved tasks."""
+    """Records of unresolved tasks, by job."""
     refused_notices: int = field(name="refused_notes")
-    """Other controllers' change notices that could not be used."""
+    """Number of invalid change notices from other controllers."""
     rebuild: ProgressReport | UnsetType = UNSET
