--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -1,4 +1,4 @@
-"""Everything that a rebuild knows: the merged replica, the records in the store, and the workers' heartbeats."""
+"""Input of a reconstruction: the merged replica, the records in the store, and the workers' heartbeats."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -8,40 +8,42 @@
 from stileloft.protocol.messages import ExitReason, Heartbeat, TaskState, TaskStatus
 from stileloft.rebuild.replica_merge import MergedReplica
 
-# Attempts are counted on from so much above the highest known one: some may have been made that nobody reports.
+# Gap between the highest known attempt of a chunk and the next one: there may have been attempts that no heartbeat
+# reports.
 ATTEMPT_MARGIN = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Everything that a rebuild knows."""
+    """Everything that a rebuild knows about the records to be written."""
 
     replica: MergedReplica
     stored_records: Mapping[str, Any]
-    """Records that are in the store now: of an older state, of a rebuild that was broken off, or accepted since."""
+    """Records in the store: from an older state, from an interrupted rebuild, or accepted since the loss."""
     heartbeats: Mapping[str, Heartbeat]
-    """The newest heartbeat of each machine that has sent one since the loss."""
+    """Newest heartbeat of each machine that has sent one since the loss."""
     run_once_classes: frozenset[str]
+    """Classes of jobs whose tasks are not repeated unless it is shown that they did not complete."""
     first_chunk_size: int
-    """Tasks per chunk of jobs whose records don't say."""
+    """Tasks per chunk of jobs whose records do not hold a chunk size."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedTask:
-    """A task in a machine's heartbeat."""
+    """A task that a machine's heartbeat lists."""
 
     heartbeat: Heartbeat
     task: TaskStatus
 
     @property
     def placement(self) -> list[Any]:
-        """Its placement, as it is stored."""
+        """Stored form of the task's placement."""
         heartbeat = self.heartbeat
         return [self.task.attempt, heartbeat.machine, heartbeat.zone, 1 if heartbeat.spot else 0]
 
     @property
     def precedence(self) -> tuple[bool, bool, int]:
-        """Of several attempts of a task, the one that counts has the highest: done, else not exited, else newest."""
+        """Sort key of a task's attempts: a completed one counts most, then one that has not exited, then the newest."""
         task = self.task
         return (
             task.state == TaskState.EXITED and task.exit_reason == ExitReason.DONE,
@@ -51,7 +53,7 @@
 
 
 def locate_tasks(heartbeats: Mapping[str, Heartbeat]) -> dict[str, dict[int, ReportedTask]]:
-    """By job and task number, the attempt that counts of each task in the heartbeats."""
+    """Returns the attempt that takes precedence of each task in the heartbeats, by job and task number."""
     found: dict[str, dict[int, ReportedTask]] = {}
     for heartbeat in heartbeats.values():
         for task in heartbeat.tasks:
--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -1,4 +1,4 @@
-"""Answers the workers' heartbeats during a rebuild, and keeps them as evidence."""
+"""Answers the workers' heartbeats during a rebuild, and collects them as evidence."""
 
 from stileloft.model import records
 from stileloft.protocol.commands import Command, CommandMessage, StopCommand
@@ -9,13 +9,13 @@
 from stileloft.rebuild.token_history import TokenHistory
 from stileloft.transport.server import Response, retry_later
 
-# An answer with a token below all that were ever issued is dropped by its worker.
-DROPPED_TOKEN = 0
+# Lower than every issued token: a worker drops an answer with it.
+STALE_TOKEN = 0
 RETRY_AFTER_S = 1
 
 
 class HeartbeatCollector:
-    """Keeps workers' tasks alive while the records are written back."""
+    """Renews the workers' leases during a rebuild, so that their tasks continue."""
 
     def __init__(
         self, environment: RebuildEnvironment, tokens: TokenHistory, detector: LossDetector, token: int
@@ -25,35 +25,36 @@
         self._detector = detector
         self._token = token
         self.outcomes: JobOutcomes | None = None
-        """The jobs known to be over; None until the replicas are merged."""
+        """Outcomes of the jobs known to have ended; None until the replicas are merged."""
         self.newest_heartbeats: dict[str, Heartbeat] = {}
-        """The newest heartbeat of each machine that has our token."""
+        """Newest heartbeat of each machine that has this leader's token."""
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> Response:
-        """Renews a worker's lease, and has it stop what is over.
+        """Renews a worker's lease, and stops its tasks of ended jobs.
 
-        Nobody can cancel a job meanwhile, so an answer that names all jobs known to be over keeps no other alive.
+        Jobs cannot be cancelled during a rebuild. So an answer that stops the tasks of all jobs known to have ended
+        keeps no task of a cancelled job alive.
         """
         leadership = self._environment.leadership()
         if heartbeat.token > self._token:
             self._tokens.observe(heartbeat.token)
             self._detector.request_check()
-            leadership.suspect(f"{heartbeat.machine} knows token {heartbeat.token}")
+            leadership.suspect(f"machine {heartbeat.machine} reported token {heartbeat.token}, above {self._token}")
             return Response(421, {})
         if self.outcomes is None or not leadership.holds_lease():
             return retry_later(503, "lost records are being rebuilt", RETRY_AFTER_S)
-        if self._is_late_copy(heartbeat):
-            return Response(200, CommandMessage(DROPPED_TOKEN, []))
+        if self._is_outdated(heartbeat):
+            return Response(200, CommandMessage(STALE_TOKEN, []))
         if heartbeat.token == self._token:
-            # Only a worker that has our token can't be told anything by a former leader any more.
+            # A worker without this leader's token still obeys a former leader, so what it lists may change.
             self.newest_heartbeats[heartbeat.machine] = heartbeat
         return Response(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
 
-    def _is_late_copy(self, heartbeat: Heartbeat) -> bool:
-        known = self.newest_heartbeats.get(heartbeat.machine)
-        return known is not None and (heartbeat.epoch, heartbeat.sequence) <= (known.epoch, known.sequence)
+    def _is_outdated(self, heartbeat: Heartbeat) -> bool:
+        newest = self.newest_heartbeats.get(heartbeat.machine)
+        return newest is not None and (heartbeat.epoch, heartbeat.sequence) <= (newest.epoch, newest.sequence)
 
     def _stop_commands(self, heartbeat: Heartbeat, outcomes: JobOutcomes) -> list[Command]:
-        """Commands that stop the tasks of jobs that are over."""
-        over = [task for task in heartbeat.tasks if outcomes.get(records.split_task(task.task)[0]) is not None]
-        return [StopCommand(task.task, task.attempt, 0.0) for task in over]
+        """Returns commands that stop the tasks of ended jobs."""
+        ended = [task for task in heartbeat.tasks if outcomes.get(records.split_task(task.task)[0]) is not None]
+        return [StopCommand(task.task, task.attempt, 0.0) for task in ended]
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -1,4 +1,4 @@
-"""Writes a lost store's records back: a leader's first work in a store that is being rebuilt."""
+"""The rebuild of a lost store: the leader writes its records back before it begins normal leadership."""
 
 import logging
 from collections.abc import Callable
@@ -31,14 +31,13 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-# Peers that do not answer are asked again for so long, as a part of the workers' lease.
-PEERS_LEASES = 0.25
+# Time for which peers that do not answer are asked again, in leases of a worker.
+PEER_WAIT_LEASES = 0.25
 
 
 class RebuildStep(StrEnum):
-    """How far a rebuild is."""
+    """The step that a rebuild is at; `GET /rebuild` shows the value."""
 
-    # The values are what `GET /rebuild` shows.
     REPLICAS = "reading the controllers' replicas"
     HEARTBEATS = "waiting for the workers' heartbeats"
     RECORDS = "writing the records"
@@ -46,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebuildParts:
-    """The parts of the feature that last as long as the process, and that a rebuild works with."""
+    """The feature's process-wide objects that a rebuild uses."""
 
     environment: RebuildEnvironment
     store: StoreStatus
@@ -57,9 +56,9 @@
 
 
 class Rebuilder:
-    """One attempt to write the records back, by one leader; the next leader begins anew."""
+    """One leader's rebuild of the store; after a change of leader, the next one starts from the beginning."""
 
-    def __init__(self, parts: RebuildParts, token: int, when_done: Callable[[], None]) -> None:
+    def __init__(self, parts: RebuildParts, token: int, on_finished: Callable[[], None]) -> None:
         self._environment = environment = parts.environment
         self._store = parts.store
         self._tokens = parts.tokens
@@ -67,7 +66,7 @@
         self._snapshots = parts.snapshots
         self._detector = parts.detector
         self._token = token
-        self._when_done = when_done
+        self._on_finished = on_finished
         self._started_at = environment.clock.seconds()
         self._active = True
         self._step = RebuildStep.REPLICAS
@@ -77,7 +76,7 @@
         self._writer = RecordWriter(environment, parts.store, lambda: self._active)
 
     def stop(self) -> None:
-        """Ends the attempt: another leader goes on."""
+        """Stops the rebuild, when this controller's leadership ends."""
         self._active = False
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> Response:
@@ -85,15 +84,15 @@
         return self._heartbeats.on_heartbeat(heartbeat)
 
     async def run(self) -> None:
-        """Rebuilds until the records are there, or the leadership is over."""
+        """Retries the rebuild until all records are written, or until it is stopped."""
         while self._active:
             try:
                 await self._rebuild()
                 return
             except ConflictError as conflict:
-                # Another leads, or the store was lost once more.
+                # Another controller leads, or the store was lost again.
                 self._detector.request_check()
-                self._environment.leadership().suspect(f"a rebuild failed on {conflict}")
+                self._environment.leadership().suspect(f"rebuild transaction conflicted on {conflict}")
                 await self._environment.sleep(RETRY_S)
             except TooLargeError:
                 continue
@@ -112,11 +111,11 @@
         if not self._active:
             return
         self._step = RebuildStep.RECORDS
-        present = await self._writer.read()
+        stored_records = await self._writer.read()
         result = reconstruct(
             Evidence(
                 merged,
-                present,
+                stored_records,
                 dict(self._heartbeats.newest_heartbeats),
                 frozenset(self._environment.feature.run_once_classes),
                 self._environment.first_chunk_size,
@@ -125,16 +124,16 @@
         await self._writer.write(result)
         await self._finish(result)
 
-    # -- what is known ------------------------------------------------------------
+    # -- evidence -----------------------------------------------------------------
 
     async def _collect_replicas(self) -> MergedReplica:
-        """The replicas of all controllers that answer."""
+        """Collects and merges the replicas of all controllers that answer in time."""
         clock = self._environment.clock
         self._peers.add(self._snapshots.snapshot())
-        until = clock.seconds() + PEERS_LEASES * self._environment.worker_lease_s
+        deadline = clock.seconds() + PEER_WAIT_LEASES * self._environment.worker_lease_s
         while self._active:
             await self._peers.request_missing()
-            if not self._peers.missing_members or clock.seconds() >= until:
+            if not self._peers.missing_members or clock.seconds() >= deadline:
                 break
             await self._environment.sleep(RETRY_S)
         return self._merge()
@@ -145,7 +144,10 @@
         return merged
 
     async def _await_heartbeats(self, merged: MergedReplica) -> MergedReplica:
-        """Waits until no task runs that no heartbeat lists, unless the last leader's replica has all of them."""
+        """Waits until all tasks that no heartbeat lists have certainly ended.
+
+        Returns early if the last leader's replica, which has all placements, arrives.
+        """
         while self._active and not merged.has_last_leader and not self._have_unlisted_tasks_ended():
             await self._environment.sleep(RETRY_S)
             if await self._peers.request_missing():
@@ -153,16 +155,19 @@
         return merged
 
     def _have_unlisted_tasks_ended(self) -> bool:
-        """Whether leases of workers without a heartbeat are over: the last leader can't renew them any more."""
+        """Whether the tasks that no heartbeat lists have ended, as their workers' leases have expired.
+
+        The last leader can have renewed leases only within its grace after the loss.
+        """
         lost_at = self._store.lost_at or self._started_at
         latest_lease_s = self._environment.worker_lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
-        ended_at = lost_at + self._environment.renewal_grace_s + latest_lease_s
-        return self._environment.clock.seconds() >= ended_at
+        expired_at = lost_at + self._environment.renewal_grace_s + latest_lease_s
+        return self._environment.clock.seconds() >= expired_at
 
-    # -- the end --------------------------------------------------------------------
+    # -- completion -----------------------------------------------------------------
 
     async def _finish(self, result: Reconstruction) -> None:
-        """The store is sound again: everybody may trust it."""
+        """Marks the store as rebuilt, so that all controllers trust it again, and begins normal leadership."""
         identity = self._store.identity
         if identity is None or not self._active:
             return
@@ -186,10 +191,10 @@
             len(result.unresolved),
         )
         if self._active:
-            self._when_done()
+            self._on_finished()
 
     def progress(self) -> ProgressReport:
-        """What the administration API shows of it."""
+        """Returns the progress of the rebuild, as `GET /rebuild` shows it."""
         return ProgressReport(
             step=str(self._step),
             running_for_s=round(self._environment.clock.seconds() - self._started_at, 1),
