--- a/stileloft/rebuild/local_replicas.py
+++ b/stileloft/rebuild/local_replicas.py
@@ -8,13 +8,13 @@
 
 
 class LocalReplicas:
-    """The replica in use, and the next one while all records are read."""
+    """The replica in use, and its successor while that is loaded."""
 
     def __init__(self) -> None:
         self.current = Replica()
-        """What the store held last while it was sound."""
+        """Content of the store when it was last sound."""
         self.loading: Replica | None = None
-        """The next replica, while all records are read."""
+        """The next replica while all records are read; None otherwise."""
 
     def _all(self) -> Iterator[Replica]:
         yield self.current
@@ -22,11 +22,11 @@
             yield self.loading
 
     def is_complete(self, generation: int) -> bool:
-        """Whether all records of this generation of the store were read."""
+        """Whether all records of this generation of the store have been read."""
         return self.current.complete and self.current.generation == generation
 
     def record_commit(self, generation: int, puts: Mapping[str, Any], deletes: Iterable[str], revision: int) -> None:
-        """Applies what this controller has just written to the store of this generation."""
+        """Applies a commit that this controller made in the store of this generation."""
         for replica in self._all():
             if replica.generation != generation:
                 continue
@@ -34,11 +34,11 @@
             replica.apply_all((key, None, revision) for key in deletes)
 
     def apply_notice(self, notice: ChangeNotice) -> None:
-        """Applies what another controller has written."""
+        """Applies changes that another controller has committed."""
         for replica in self._all():
             notice.apply_to(replica)
 
     def replace(self, replica: Replica) -> None:
-        """Puts another replica into use; the outcomes that are known stay known."""
+        """Replaces the replica in use; the previous one's outcomes are added to the new one."""
         replica.outcomes.update(self.current.outcomes)
         self.current = replica
--- a/stileloft/rebuild/peer_replicas.py
+++ b/stileloft/rebuild/peer_replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of all controllers, as a rebuild collects and merges them."""
+"""Collects and merges the replicas of all controllers for a rebuild."""
 
 import logging
 
@@ -12,12 +12,12 @@
 
 log = logging.getLogger(__name__)
 
-# A snapshot of more pieces is not read.
+# Maximum number of pieces that are read of a snapshot; a longer one is refused.
 MAX_PIECES = 10_000
 
 
 class PeerReplicas:
-    """The snapshots that have come, and the controllers whose snapshots have not."""
+    """The snapshots received so far, and the controllers whose snapshots are missing."""
 
     def __init__(self, environment: RebuildEnvironment, store: StoreStatus, tokens: TokenHistory) -> None:
         self._environment = environment
@@ -31,7 +31,7 @@
         self._snapshots[snapshot.holder.member] = snapshot
 
     async def request_missing(self) -> bool:
-        """Asks the controllers whose replicas have not come; whether one has."""
+        """Requests the missing snapshots; returns whether any was received."""
         received = False
         addresses = {peer.member: peer.address for peer in self._environment.settings.peers}
         for member in sorted(self.missing_members):
@@ -43,7 +43,7 @@
         return received
 
     async def _read_snapshot(self, member: str, address: str) -> Snapshot | None:
-        """A controller's replica; None if it does not answer, or what it sends can't be used."""
+        """Returns a controller's snapshot; None if it does not answer or its snapshot is invalid."""
         identity = self._store.identity
         deployment = None if identity is None else identity.deployment
         pieces: list[Piece] = []
@@ -55,11 +55,14 @@
                 pieces.append(read_piece(data, deployment))
             return from_pieces(pieces)
         except InvalidSnapshotError as error:
-            log.error("replica skipped member=%s error=%s", member, error)  # noqa: TRY400 - expected: the text says all
+            log.error("replica skipped member=%s error=%s", member, error)  # noqa: TRY400 - expected error, needs no traceback
             return None
 
     def merge(self) -> MergedReplica:
-        """One replica of all that have come."""
+        """Returns the merged replica of all snapshots received so far.
+
+        Raises `UnavailableError` if the store's identity is not known.
+        """
         identity = self._store.identity
         if identity is None:
             raise UnavailableError("the store's identity is not known")
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -1,4 +1,4 @@
-"""A controller's copy of what the state service holds."""
+"""A controller's copy of the records in the state service."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -11,63 +11,63 @@
 from stileloft.rebuild.errors import InvalidOutcomesError
 from stileloft.rebuild.job_outcomes import JobOutcomes
 
-# What is written back as it was. Cached images are learned again from the workers, and outcomes are kept apart.
+# Records that a rebuild writes back. Workers report their cached images again, and outcomes are kept separately.
 RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED)
 RESTORED_KEYS = (records.SETTINGS, records.FORMAT)
 
 
 def is_restored(key: str) -> bool:
-    """Whether a record of this key is written back after a loss."""
+    """Whether a rebuild writes the record of this key back."""
     return key in RESTORED_KEYS or key.startswith(RESTORED_PREFIXES)
 
 
 class RecordChange(NamedTuple):
-    """A change of one record of the store; encoded as a list of three."""
+    """A change of one record of the store; encoded as a list of three items."""
 
     key: str
     value: Any
-    """None: the record was deleted."""
+    """The new value; None if the record was deleted."""
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoredRecord:
-    """A record of the store, encoded, as many are held in little memory."""
+    """An encoded record of the store, which takes less memory than a decoded one."""
 
     data: bytes
     version: int
 
     @classmethod
     def encode(cls, value: Any, version: int) -> "StoredRecord":
-        """The record with this value."""
+        """Returns the record with this value, encoded."""
         return cls(orjson.dumps(value), version)
 
     def value(self) -> Any:
-        """What the store held under the key."""
+        """Returns the decoded value."""
         return orjson.loads(self.data)
 
 
 class Replica:
-    """Records and job outcomes, each with the version in which it was last seen.
+    """Records of the store with the versions in which they were last seen, and job outcomes.
 
-    Changes come from two sides: the store's own feed, in order but a little late, and what this controller has just
-    written itself. So each is applied only if it is newer than what is known of its key.
+    Changes come from the store's change feed, in order but delayed, and from this and other controllers as they
+    commit. So a change is not applied if a newer one of the same key has been applied.
     """
 
     def __init__(self, generation: int = 0) -> None:
         self.generation = generation
-        """Of the store that it follows; records of another generation can't be compared by their versions."""
+        """Generation of the store; versions of different generations are not comparable."""
         self.revision = 0
-        """All changes up to this revision of the store are applied."""
+        """Revision of the store up to which all changes are applied."""
         self.complete = False
-        """Whether all records were read once."""
+        """Whether all records of the store have been read."""
         self.records: dict[str, StoredRecord] = {}
         self.outcomes = JobOutcomes()
         self._deleted: dict[str, int] = {}
-        """Keys deleted after `revision`, and in which version: the feed may still bring an older record of them."""
+        """Versions of deletions after `revision`, by key: the feed may still deliver older changes of the keys."""
 
     def apply(self, key: str, value: Any, version: int) -> None:
-        """Applies a change: a value, or None for a deletion."""
+        """Applies a change of a record; a value of None is a deletion."""
         if key.startswith(records.FINAL):
             if value is not None:
                 self.outcomes.add(key[len(records.FINAL) :], JobOutcome(str(value["phase"]), int(value["n"])))
@@ -78,7 +78,7 @@
             self._apply_record(key, value, version)
 
     def apply_all(self, changes: Iterable[tuple[str, Any, int]]) -> None:
-        """Applies changes in their order."""
+        """Applies changes in order."""
         for key, value, version in changes:
             self.apply(key, value, version)
 
@@ -86,12 +86,12 @@
         try:
             self.outcomes.load(value)
         except InvalidOutcomesError:
-            # Written by a later version: the record is still in the store, and is not ours to lose.
+            # A later version of the program wrote this record, which stays in the store as it is.
             return
 
     def _apply_record(self, key: str, value: Any, version: int) -> None:
-        known = self.records.get(key)
-        if version < self._deleted.get(key, 0) or (known is not None and version < known.version):
+        previous = self.records.get(key)
+        if version < self._deleted.get(key, 0) or (previous is not None and version < previous.version):
             return
         if value is None:
             self.records.pop(key, None)
@@ -101,12 +101,12 @@
             self.records[key] = StoredRecord.encode(value, version)
 
     def advance(self, revision: int) -> None:
-        """Notes that all changes up to a revision of the store have been applied."""
+        """Records that all changes up to a revision of the store have been applied."""
         self.revision = max(self.revision, revision)
         self._deleted = {key: version for key, version in self._deleted.items() if version > self.revision}
 
     def values(self, prefix: str) -> Iterator[tuple[str, Any]]:
-        """Keys under a prefix, with what the store held there."""
+        """Yields the keys under a prefix with their decoded values."""
         for key, record in self.records.items():
             if key.startswith(prefix):
                 yield key, record.value()
--- a/stileloft/rebuild/replica_follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -1,4 +1,4 @@
-"""Keeps a controller's replica in step with the state service, by the service's own feed of changes."""
+"""Keeps a controller's replica up to date from the state service's change feed."""
 
 import logging
 
@@ -20,17 +20,17 @@
 
 log = logging.getLogger(__name__)
 
-# The feed's watch waits for so long if nothing changes.
-WATCH_S = 5.0
+# Time for which a watch of the change feed waits for changes.
+WATCH_TIMEOUT_S = 5.0
 RETRY_S = 0.3
-# How often it is checked whether the store is sound again.
+# Interval at which an unsound store is checked again.
 UNSOUND_INTERVAL_S = 0.25
-# Pages of records that are read one after the other make room for other requests in between.
-PAGE_INTERVAL_S = 0.1
+# Pause between the scans of two prefixes, which leaves room for other requests to the store.
+SCAN_INTERVAL_S = 0.1
 
 
 class ReplicaFollower:
-    """Reads all records once, then follows what changes."""
+    """Reads all records once, then follows the store's changes."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._saved_at = 0.0
 
     async def run(self) -> None:
-        """Follows for as long as the process lives; the replica stands still while the store is not sound."""
+        """Follows the store until the process ends; the replica does not change while the store is not sound."""
         policy = RetryPolicy((UnavailableError, UnknownOutcomeError), RETRY_S, RETRY_S)
         await repeat("replica update", self._step_unless_unsound, policy, self._environment.clock)
 
@@ -59,7 +59,7 @@
         except CompactedError:
             self._replicas.current.complete = False
         except (StoreLostError, ConflictError):
-            # A record that reconciliation adds is being written by another: all is compared once more.
+            # Another controller is writing a record that reconciliation adds: all records are read and compared again.
             await self._environment.sleep(UNSOUND_INTERVAL_S)
 
     async def _step(self) -> None:
@@ -73,7 +73,7 @@
             self._save()
 
     async def _load(self) -> None:
-        """Reads all records. The replica of before stays in place until then: it may be needed once more."""
+        """Reads all records into a new replica; the previous one stays in use until then, as a rebuild may need it."""
         identity = self._store.identity
         if identity is None:
             return
@@ -97,27 +97,27 @@
     async def _read_records(self, loaded: Replica) -> None:
         revision: int | None = None
         for prefix in (*RESTORED_PREFIXES, records.ENDED, records.FINAL):
-            items, at = await self._state.scan(prefix)
-            revision = at if revision is None else revision
+            items, scanned_at = await self._state.scan(prefix)
+            revision = scanned_at if revision is None else revision
             loaded.apply_all(items)
-            await self._environment.sleep(PAGE_INTERVAL_S)
+            await self._environment.sleep(SCAN_INTERVAL_S)
         for key in RESTORED_KEYS:
             found = await self._state.lookup(key)
             if found is not None:
                 loaded.apply(key, *found)
-        # What changed while it was read comes again with the feed, from the first page on.
+        # The feed is followed from the first scan on, so it delivers the changes made during the scans again.
         loaded.advance(revision or 0)
 
     async def _follow(self) -> None:
         replica = self._replicas.current
-        revision, events = await self._state.watch("", replica.revision, WATCH_S)
+        revision, events = await self._state.watch("", replica.revision, WATCH_TIMEOUT_S)
         if self._replicas.current is not replica or self._store.phase is not StorePhase.SOUND:
             return
         for key, value, version in events:
             if key == records.IDENTITY:
                 self._store.apply_identity_change(value, version)
         if self._store.phase is not StorePhase.SOUND:
-            return  # what else has gone was lost with the identity
+            return  # the other changes are part of the same loss
         replica.apply_all(events)
         replica.advance(revision)
         if events:
--- a/stileloft/rebuild/replica_merge.py
+++ b/stileloft/rebuild/replica_merge.py
@@ -1,4 +1,4 @@
-"""One replica of the lost store, merged from those of several controllers."""
+"""Merges several controllers' replicas of the lost store."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -10,30 +10,31 @@
 
 @dataclass(slots=True)
 class MergedReplica:
-    """What the store held, as far as is known."""
+    """Known content of the lost store."""
 
     records: dict[str, Any] = field(default_factory=dict)
     outcomes: JobOutcomes = field(default_factory=JobOutcomes)
     has_last_leader: bool = False
-    """Whether the last leader's own replica is in it: then nothing was placed that it does not hold."""
+    """Whether the last leader's own replica is included: then it holds every placement that was made."""
     highest_token: int = 0
-    """The highest token that any of the controllers has seen."""
+    """Highest token issued before the loss that any of the controllers has seen."""
     sources: list[str] = field(default_factory=list)
-    """The controllers whose replicas are in it."""
+    """Controllers whose records are included, the most current replica first."""
 
 
 def merge(snapshots: Iterable[Snapshot], deployment: str | None, highest_token: int, token_base: int) -> MergedReplica:
-    """The merged replica of one deployment's snapshots.
+    """Returns the merged replica of one deployment's snapshots; of all snapshots if `deployment` is None.
 
-    `highest_token` is the highest that was seen before the loss; those above `token_base` were issued since.
-    Only replicas of the newest generation count, since versions of two generations can't be compared.
+    `highest_token` is the highest token that this controller saw before the loss; tokens above `token_base` were issued
+    after it. Records come only from replicas of the newest generation, since versions of different generations are not
+    comparable.
     """
     usable = [s for s in snapshots if deployment is None or s.holder.deployment == deployment]
     merged = MergedReplica(highest_token=highest_token)
     for snapshot in usable:
         tokens = (snapshot.holder.highest_token, snapshot.holder.last_term_token)
         merged.highest_token = max(merged.highest_token, *(token for token in tokens if token <= token_base), 0)
-        # Outcomes are final whatever became of the store since.
+        # Outcomes are final, so those of earlier generations of the store count too.
         merged.outcomes.update(snapshot.replica.outcomes)
     merged.has_last_leader = any(s.holder.was_last_leader(merged.highest_token, s.replica) for s in usable)
     newest = max((s.replica.generation for s in usable), default=0)
@@ -45,10 +46,10 @@
 
 
 def _newest_records(snapshots: Sequence[Snapshot]) -> dict[str, Any]:
-    """The newest value of each record.
+    """Returns the newest value of each record.
 
-    The first snapshot has followed furthest and is the base: a record that it does not have, and that is no newer than
-    it, was deleted.
+    The first snapshot is the most current one and serves as the base: a record that the base lacks, and whose version
+    is not above the base's revision, was deleted.
     """
     if not snapshots:
         return {}
@@ -56,7 +57,7 @@
     found = dict(base.records)
     for other in snapshots[1:]:
         for key, record in other.replica.records.items():
-            known = found.get(key)
-            if (known is None and record.version > base.revision) or (known and record.version > known.version):
+            newest = found.get(key)
+            if (newest is None and record.version > base.revision) or (newest and record.version > newest.version):
                 found[key] = record
     return {key: record.value() for key, record in found.items()}
