--- a/stileloft/rebuild/snapshot.py
+++ b/stileloft/rebuild/snapshot.py
@@ -1,4 +1,4 @@
-"""A replica in bounded pieces, as it is sent to another controller or written to a directory."""
+"""Snapshots of a replica in pieces of limited size, to be sent to another controller or written to a directory."""
 
 import hashlib
 from collections.abc import Iterator, Sequence
@@ -12,31 +12,31 @@
 from stileloft.rebuild.replica import RecordChange, Replica, StoredRecord, is_restored
 
 SNAPSHOT_FORMAT = 1
-# The records in a piece take about so many bytes, and no more than this and one record.
+# Target size of the records in a piece; a single larger record takes a piece of its own.
 PIECE_BYTES = 48 * 1024
 
 
 class Holder(Struct, frozen=True):
-    """Who made a snapshot, and what it knows of the leaders."""
+    """The controller that made a snapshot, with the fencing tokens that it knows."""
 
     member: str
     deployment: str
     last_term_token: int = field(default=0, name="led_token")
-    """The highest token under which this process has led: what it committed is all in its replica."""
+    """Highest token under which this process has led; its replica holds everything that it committed."""
     last_term_generation: int = field(default=0, name="led_generation")
-    """The generation of the store in which it did."""
+    """Generation of the store in that term."""
     highest_token: int = 0
-    """The highest token that it has seen anywhere."""
+    """Highest token that the controller has seen."""
 
     def was_last_leader(self, token: int, replica: Replica) -> bool:
-        """Whether it led with this token, and the replica has all that it committed then."""
+        """Whether the controller led with this token, and its replica holds everything that it committed then."""
         return (
             self.last_term_token == token > 0 and replica.complete and replica.generation == self.last_term_generation
         )
 
 
 class Piece(Struct, frozen=True):
-    """A part of a snapshot; each says what it is a part of, and carries a digest of what it holds."""
+    """A part of a snapshot, with the snapshot's header and a digest of the part's content."""
 
     format: int
     holder: Holder
@@ -50,7 +50,7 @@
     digest: str
 
     def is_of_same_snapshot(self, other: "Piece") -> bool:
-        """Whether another piece comes from the same snapshot, as far as its header tells."""
+        """Whether the headers of both pieces describe the same snapshot."""
         return (self.holder, self.generation, self.revision, self.pieces) == (
             other.holder,
             other.generation,
@@ -60,21 +60,21 @@
 
 
 class Snapshot(Struct):
-    """A replica with its holder."""
+    """A replica, and the controller that holds it."""
 
     holder: Holder
     replica: Replica
 
 
 class _Contents(NamedTuple):
-    """What one piece holds."""
+    """The content of one piece."""
 
     records: list[RecordChange]
     outcomes: list[Any]
 
 
 def to_pieces(snapshot: Snapshot) -> list[bytes]:
-    """The snapshot, encoded."""
+    """Returns the encoded pieces of a snapshot."""
     replica = snapshot.replica
     contents = [_Contents(batch, []) for batch in _record_batches(replica)]
     contents += [_Contents([], [encoded]) for encoded in replica.outcomes.to_records(PIECE_BYTES)]
@@ -98,7 +98,7 @@
 
 
 def _record_batches(replica: Replica) -> Iterator[list[RecordChange]]:
-    """All records in batches of a piece's size; at least one batch."""
+    """Yields all records in batches of a piece's size; at least one batch, which may be empty."""
     batch: list[RecordChange] = []
     size = 0
     for key, record in sorted(replica.records.items()):
@@ -111,36 +111,39 @@
 
 
 def _digest(records: Sequence[RecordChange], outcomes: list[Any]) -> str:
-    plain = [tuple(change) for change in records]  # orjson takes no named tuples
+    plain = [tuple(change) for change in records]  # orjson does not encode named tuples
     return hashlib.sha256(orjson.dumps([plain, outcomes])).hexdigest()
 
 
 def read_piece(data: bytes, deployment: str | None) -> Piece:
-    """A checked piece, of this deployment if that is known; raises `InvalidSnapshotError` if it can't be used."""
+    """Decodes and validates a piece; raises `InvalidSnapshotError`.
+
+    A piece of any deployment is accepted if `deployment` is None.
+    """
     try:
         decoded = msgspec.json.decode(data)
         if isinstance(decoded, dict) and decoded.get("format") != SNAPSHOT_FORMAT:
-            raise InvalidSnapshotError(f"its format is {decoded.get('format')!r}, not {SNAPSHOT_FORMAT}")
+            raise InvalidSnapshotError(f"unsupported format {decoded.get('format')!r}, expected {SNAPSHOT_FORMAT}")
         piece = msgspec.convert(decoded, Piece)
     except msgspec.MsgspecError as error:
-        raise InvalidSnapshotError(f"it cannot be read: {error}") from None
-    # A controller that has just begun knows of no deployment yet, and of nothing else.
+        raise InvalidSnapshotError(f"piece cannot be read: {error}") from None
+    # A controller that has just started does not know its deployment yet, and its replica is empty.
     if deployment is not None and piece.holder.deployment not in ("", deployment):
-        raise InvalidSnapshotError(f"it is of another deployment, {piece.holder.deployment}")
+        raise InvalidSnapshotError(f"piece {piece.number} belongs to another deployment, {piece.holder.deployment}")
     if piece.digest != _digest(piece.records, piece.outcomes):
-        raise InvalidSnapshotError(f"piece {piece.number} is damaged")
+        raise InvalidSnapshotError(f"piece {piece.number} is damaged: its content does not match its digest")
     return piece
 
 
 def from_pieces(pieces: list[Piece]) -> Snapshot:
-    """The snapshot that these are all pieces of, in their order; raises `InvalidSnapshotError` if they are not."""
+    """Returns the snapshot that these pieces make up, in order; raises `InvalidSnapshotError` if they do not."""
     if not pieces:
-        raise InvalidSnapshotError("it has no pieces")
+        raise InvalidSnapshotError("no pieces")
     first = pieces[0]
     if [piece.number for piece in pieces] != list(range(first.pieces)):
-        raise InvalidSnapshotError(f"it is truncated: {len(pieces)} of {first.pieces} pieces")
+        raise InvalidSnapshotError(f"truncated: {len(pieces)} of {first.pieces} pieces")
     if not all(piece.is_of_same_snapshot(first) for piece in pieces):
-        raise InvalidSnapshotError("its pieces are of different snapshots")
+        raise InvalidSnapshotError("pieces of different snapshots")
     replica = Replica(first.generation)
     replica.complete = first.complete
     for piece in pieces:
@@ -152,7 +155,7 @@
 def _load_piece(piece: Piece, replica: Replica) -> None:
     for key, value, version in piece.records:
         if not is_restored(key):
-            raise InvalidSnapshotError(f"it holds a record {key!r} that does not belong into a snapshot")
+            raise InvalidSnapshotError(f"record {key!r} does not belong in a snapshot")
         replica.records[key] = StoredRecord.encode(value, version)
     try:
         for encoded in piece.outcomes:
--- a/stileloft/rebuild/snapshot_provider.py
+++ b/stileloft/rebuild/snapshot_provider.py
@@ -1,4 +1,4 @@
-"""Snapshots of this controller's replica: for other controllers, and for the site's directory."""
+"""Provides snapshots of this controller's replica to other controllers and to the site's directory."""
 
 from stileloft.rebuild.environment import RebuildEnvironment
 from stileloft.rebuild.identity import FIRST_GENERATION, Identity
@@ -10,7 +10,7 @@
 
 
 class SnapshotProvider:
-    """Makes snapshots, and keeps them in the site's directory if it has one."""
+    """Makes snapshots, and stores them in the site's directory if one is configured."""
 
     def __init__(
         self, environment: RebuildEnvironment, store: StoreStatus, tokens: TokenHistory, replicas: LocalReplicas
@@ -24,7 +24,7 @@
         self._directory = None if path is None else SnapshotDirectory(path, environment.member)
 
     def snapshot(self) -> Snapshot:
-        """The replica, with what this controller knows of the leaders."""
+        """Returns a snapshot of the replica in use."""
         holder = Holder(
             self._member,
             self._store.deployment,
@@ -35,13 +35,13 @@
         return Snapshot(holder, self._replicas.current)
 
     def piece(self, number: int) -> bytes | None:
-        """A piece of the snapshot; the first one begins a new snapshot. None: there are not so many."""
+        """Returns an encoded piece, or None if there are not so many; a request for piece 0 makes a new snapshot."""
         if number == 0 or not self._pieces:
             self._pieces = to_pieces(self.snapshot())
         return self._pieces[number] if number < len(self._pieces) else None
 
     def load(self) -> None:
-        """Begins with the newest snapshot of the directory, if there is one."""
+        """Loads replica, highest token and identity from the newest snapshot in the directory, if there is one."""
         snapshot = None if self._directory is None else self._directory.load()
         if snapshot is None:
             return
@@ -51,6 +51,6 @@
         self._store.identity = Identity(holder.deployment, max(FIRST_GENERATION, replica.generation))
 
     def save(self) -> None:
-        """Writes the replica to the directory."""
+        """Writes a snapshot to the directory, if one is configured, the store is sound and the replica complete."""
         if self._directory is not None and self._store.phase is StorePhase.SOUND and self._replicas.current.complete:
             self._directory.save(self.snapshot())
