--- a/stileloft/rebuild/change_broadcast.py
+++ b/stileloft/rebuild/change_broadcast.py
@@ -1,7 +1,7 @@
-"""Tells the other controllers at once what users are told: acceptances, ends and cancellations.
+"""Announces accepted, ended and cancelled jobs to the other controllers as soon as users are told of them.
 
-The store's feed brings these too, but gathered. What only the controller that answered knows would be lost if it ended
-together with the store.
+The store's change feed delivers these changes too, but in batches. A change that only one controller knows would be
+lost if that controller and the store failed together.
 """
 
 import logging
@@ -19,28 +19,28 @@
 
 log = logging.getLogger(__name__)
 
-# Changes within so many seconds share a message.
-GATHER_S = 0.02
+# Changes within this window share a message.
+BATCH_WINDOW_S = 0.02
 
 
 class ChangeBroadcaster:
-    """Gathers changes and sends them to all other controllers; nothing is sent again, as the feed follows."""
+    """Sends changes to all other controllers in batches, without retries, as the change feed delivers them as well."""
 
     def __init__(self, environment: RebuildEnvironment, store: StoreStatus) -> None:
         self._environment = environment
         self._store = store
-        self._waiting: list[RecordChange] = []
+        self._pending: list[RecordChange] = []
 
     def add(self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int) -> None:
-        """Sends what users are told of these changes: outcomes, and jobs' records."""
+        """Queues those changes that are announced: of outcomes, and of unfinished jobs' records."""
         changes = [RecordChange(key, value, revision) for key, value in puts.items() if is_announced(key)]
         changes += [RecordChange(key, None, revision) for key in deletes if key.startswith(records.ACTIVE)]
-        if changes and not self._waiting:
-            self._environment.clock.callLater(GATHER_S, self._send)
-        self._waiting += changes
+        if changes and not self._pending:
+            self._environment.clock.callLater(BATCH_WINDOW_S, self._send)
+        self._pending += changes
 
     def _send(self) -> None:
-        changes, self._waiting = self._waiting, []
+        changes, self._pending = self._pending, []
         identity = self._store.identity
         if identity is None:
             return
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -1,6 +1,6 @@
-"""Reconciliation after a rebuild: what a controller knew of the lost store and the rebuild did not.
+"""Reconciliation after a rebuild: adds changes of the lost store that the rebuild missed and this controller knows.
 
-Such a controller was away, or could not be reached, while the records were written back.
+A rebuild misses them if the controller was down or unreachable while the records were written back.
 """
 
 import logging
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-# Between two records, so that they take little of the store's changes.
+# Pause between two records, so that they use little of the store's write limit.
 RECORD_INTERVAL_S = 0.2
 
 
 class MissedChangesReconciler:
-    """Writes outcomes and accepted jobs that the rebuilt store lacks; never over what was accepted since.
+    """Adds outcomes and accepted jobs that the rebuilt store lacks; overwrites nothing that was accepted since.
 
-    Users were told of them, so a job that ended stays ended, and one that was accepted stays known.
+    Users were told of them, so an ended job must stay ended, and an accepted job must stay known.
     """
 
     def __init__(
@@ -43,33 +43,33 @@
         self._detector = detector
 
     async def reconcile(self, loaded: Replica) -> None:
-        """Adds to the store what the replica of before holds and the newly loaded one does not."""
-        before = self._replicas.current
-        if not 0 < before.generation < loaded.generation:
+        """Adds to the store what the previous replica holds and the newly loaded one lacks."""
+        previous = self._replicas.current
+        if not 0 < previous.generation < loaded.generation:
             return
         active = {key: record for key, record in loaded.records.items() if key.startswith(records.ACTIVE)}
-        for job, outcome in before.outcomes.without(loaded.outcomes).items():
+        for job, outcome in previous.outcomes.without(loaded.outcomes).items():
             record = active.get(records.active_key(job))
             await self._record_outcome(job, outcome, 0 if record is None else record.version)
             loaded.outcomes.add(job, outcome)
             await self._environment.sleep(RECORD_INTERVAL_S)
-        for job, value in _accepted_jobs(before):
+        for job, value in _accepted_jobs(previous):
             if records.active_key(job) not in active and loaded.outcomes.get(job) is None:
                 await self._record_accepted_job(job, value)
                 await self._environment.sleep(RECORD_INTERVAL_S)
 
     async def mark_reconciled(self) -> None:
-        """Notes in the store's identity that this controller is reconciled."""
+        """Removes this controller from the unreconciled members in the store's identity record."""
         identity, member = self._store.identity, self._environment.member
         if identity is None or member not in identity.unreconciled_members:
             return
-        rest = tuple(other for other in identity.unreconciled_members if other != member)
-        reconciled = msgspec.structs.replace(identity, unreconciled_members=rest)
+        remaining = tuple(other for other in identity.unreconciled_members if other != member)
+        reconciled = msgspec.structs.replace(identity, unreconciled_members=remaining)
         puts = {records.IDENTITY: identities.to_record(reconciled)}
         self._store.accept_identity(reconciled, await self._state.commit(self._store.guards(), puts, []))
 
     async def _record_outcome(self, job: str, outcome: JobOutcome, active_version: int) -> None:
-        """Records how a job ended; if the store holds it as unfinished, that record goes in the same transaction."""
+        """Records a job's outcome; the same transaction deletes its record as an unfinished job, if there is one."""
         active, final = records.active_key(job), records.final_key(job)
         guards = {active: active_version, final: 0, **self._store.guards()}
         value = records.final_record(outcome.phase, outcome.tasks)
@@ -79,10 +79,10 @@
         except ConflictError as conflict:
             if active in conflict.failed:
                 self._detector.request_check()
-                raise  # it is being written: all is read again, and compared again
+                raise  # the job's record has changed: all records are read and compared again
 
     async def _record_accepted_job(self, job: str, value: dict[str, Any]) -> None:
-        """Records an accepted job, none of whose tasks are placed: where they were is not known any more."""
+        """Records an accepted job without placements, as it is not known where its tasks were placed."""
         active, final = records.active_key(job), records.final_key(job)
         stored = StoredJob(job, value)
         if stored.inline_chunk is not None:
@@ -94,7 +94,7 @@
             await self._state.commit({active: 0, final: 0, **self._store.guards()}, {active: stored.value}, [])
             log.info("missed job recorded job=%s", job)
         except ConflictError:
-            return  # it was submitted again meanwhile
+            return  # the job has been submitted again since
 
 
 def _accepted_jobs(replica: Replica) -> Iterator[tuple[str, dict[str, Any]]]:
