--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -1,4 +1,4 @@
-"""What is to be written into a store that has lost its records: a function of what is known, without I/O."""
+"""Computes the records to write into a store that has lost its records, from the evidence and without I/O."""
 
 import functools
 from collections.abc import Iterator, Mapping
@@ -18,21 +18,24 @@
 
 @dataclass(slots=True)
 class Reconstruction:
-    """The changes of the store, and a summary of them for operators."""
+    """Changes to make in the store, and a summary for operators."""
 
     puts: dict[str, Any] = field(default_factory=dict)
     deletes: list[str] = field(default_factory=list)
     unresolved: dict[str, UnresolvedTasks] = field(default_factory=dict)
-    """By job."""
+    """Unresolved tasks, by job."""
     new_outcomes: JobOutcomes = field(default_factory=JobOutcomes)
-    """Outcomes that the store does not hold."""
+    """Outcomes that the store does not hold yet."""
     running: int = 0
+    """Number of unfinished jobs with placed tasks."""
     pending: int = 0
+    """Number of unfinished jobs without placed tasks."""
     ended: int = 0
+    """Number of jobs with a known outcome."""
 
 
 def reconstruct(evidence: Evidence) -> Reconstruction:
-    """Records that bring the store to what is known."""
+    """Returns the changes that bring the store in line with the evidence."""
     return _Reconstructor(evidence).run()
 
 
@@ -43,12 +46,12 @@
         self._evidence = evidence
         self._replica = evidence.replica
         self._result = Reconstruction()
-        self._wanted: dict[str, Any] = {}
+        self._target_records: dict[str, Any] = {}
         self._reported = locate_tasks(evidence.heartbeats)
         self._stored_outcomes = _stored_outcomes(evidence.stored_records)
         self._outcomes = JobOutcomes()
         self._outcomes.update(evidence.replica.outcomes)
-        # A user may have been told of what ended since the loss, so it stays.
+        # Outcomes stored since the loss are kept, as users may have been told of them.
         self._outcomes.update(self._stored_outcomes)
 
     def run(self) -> Reconstruction:
@@ -75,7 +78,7 @@
     def _has_ended(self, job: str) -> bool:
         return self._outcomes.get(job) is not None
 
-    # -- what the replica holds ---------------------------------------------------
+    # -- records from the replica -------------------------------------------------
 
     def _restore_jobs(self) -> None:
         chunks = self._chunks_by_job()
@@ -88,11 +91,11 @@
                 self._restore_job(job)
 
     def _restore_job(self, job: StoredJob) -> None:
-        """An unfinished job: as the replica has it, or in line with the heartbeats where it may be behind."""
+        """Restores an unfinished job, reconciled with the heartbeats if the replica may be out of date."""
         if not self._replica.has_last_leader:
             job = self._reconcile_job(job)
-        self._wanted[records.active_key(job.id)] = job.value
-        self._wanted.update(job.chunks)
+        self._target_records[records.active_key(job.id)] = job.value
+        self._target_records.update(job.chunks)
         if job.has_placements():
             self._result.running += 1
         else:
@@ -106,25 +109,25 @@
         return reconciled.job
 
     def _restore_inline_chunk(self, job: StoredJob) -> None:
-        """A job that is over: what may still run of it stays known, so that it is stopped and counted."""
+        """Keeps the placements of an ended job's inline chunk, so that tasks that still run are stopped and counted."""
         if job.inline_chunk is not None and job.inline_chunk["p"]:
-            self._wanted[records.chunk_key(job.id, 0)] = detached_chunk_record(
+            self._target_records[records.chunk_key(job.id, 0)] = detached_chunk_record(
                 job.spec, job.inline_chunk, job.chunk_size
             )
 
     def _restore_chunks_of_ended_jobs(self) -> None:
         for key, value in self._records(records.TASKS):
             if self._has_ended(records.split_chunk_key(key)[0]):
-                self._wanted.setdefault(key, value)
+                self._target_records.setdefault(key, value)
 
     def _restore_other_records(self) -> None:
         for key, value in self._replica.records.items():
             if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNDECIDED)):
-                self._wanted.setdefault(key, value)
+                self._target_records.setdefault(key, value)
 
     @functools.cached_property
     def _silent_machines(self) -> list[str]:
-        """Machines that the replica names and that have sent no heartbeat since the loss."""
+        """Machines that the replica names, and that have sent no heartbeat since the loss."""
         named: set[str] = set()
         for _, value in self._records(records.PROVISIONED):
             named |= set(value["m"])
@@ -134,17 +137,17 @@
                 named |= {placement[1] for placement in placed.values()}
         return sorted(named - set(self._evidence.heartbeats))
 
-    # -- what only heartbeats show --------------------------------------------------
+    # -- unresolved tasks -----------------------------------------------------------
 
     def _add_unresolved(self, job: str, unresolved: UnresolvedTasks) -> None:
         self._result.unresolved[job] = unresolved
-        self._wanted[records.UNDECIDED + job] = unresolved_tasks.to_record(unresolved)
+        self._target_records[records.UNDECIDED + job] = unresolved_tasks.to_record(unresolved)
 
     def _keep_jobs_without_spec(self) -> None:
-        """Jobs that only heartbeats name: a worker has only what was accepted, so they stay known."""
+        """Keeps jobs that only heartbeats name: workers have tasks of accepted jobs only, which must stay known."""
         for job, reported in self._reported.items():
             active = records.active_key(job)
-            if active in self._wanted or active in self._evidence.stored_records or self._has_ended(job):
+            if active in self._target_records or active in self._evidence.stored_records or self._has_ended(job):
                 continue
             evidence = {
                 str(index): f"attempt {found.task.attempt} is {found.task.state} on {found.heartbeat.machine}"
@@ -152,26 +155,26 @@
             }
             self._add_unresolved(job, UnresolvedTasks(evidence, spec_lost=True))
 
-    # -- the store as it is ---------------------------------------------------------
+    # -- comparison with the store --------------------------------------------------
 
     def _compare(self) -> None:
-        """What has to be written, and what of an older state has to go. What was accepted since stays."""
+        """Determines the records to write and the stale ones to delete; jobs accepted since the loss are kept."""
         stored = self._evidence.stored_records
-        self._result.puts = {key: value for key, value in self._wanted.items() if stored.get(key) != value}
-        self._result.deletes = [key for key in stored if key not in self._wanted and self._is_stale(key)]
+        self._result.puts = {key: value for key, value in self._target_records.items() if stored.get(key) != value}
+        self._result.deletes = [key for key in stored if key not in self._target_records and self._is_stale(key)]
 
     def _is_stale(self, key: str) -> bool:
-        """Whether a record in the store is of an older state than what is known."""
+        """Whether a record in the store is from an older state than the evidence."""
         if key.startswith(records.ACTIVE):
             return self._has_ended(key[len(records.ACTIVE) :])
         if key.startswith(records.TASKS):
             job = records.split_chunk_key(key)[0]
-            return records.active_key(job) in self._wanted or self._has_ended(job)
+            return records.active_key(job) in self._target_records or self._has_ended(job)
         return False
 
 
 def _stored_outcomes(stored_records: Mapping[str, Any]) -> JobOutcomes:
-    """The outcomes in the records of the store."""
+    """Returns the outcomes in the store's records."""
     found = JobOutcomes()
     for key, value in stored_records.items():
         if key.startswith(records.FINAL):
