--- a/stileloft/rebuild/job_outcomes.py
+++ b/stileloft/rebuild/job_outcomes.py
@@ -1,4 +1,4 @@
-"""How jobs ended: compact enough to be kept for good, since users may ask at any later time.
+"""Outcomes of jobs in a compact form, as they are kept without limit: users may ask for them at any later time.
 
 Job numbers with the same outcome share a bitmap, so that a job takes a few bytes rather than a record.
 """
@@ -16,15 +16,15 @@
 from stileloft.model.records import JobOutcome
 from stileloft.rebuild.errors import InvalidOutcomesError
 
-# Numbers of more digits do not fit into 64 bits.
+# Numbers with more digits may not fit into 64 bits.
 MAX_BITMAP_DIGITS = 18
 JOB_PREFIX = "j-"
-# The bytes that a group takes beside its bitmap.
+# Bytes that an encoded group takes beside its bitmap.
 GROUP_OVERHEAD_BYTES = 120
 
 
 class _Group(NamedTuple):
-    """Jobs that ended alike and whose numbers are written with the same count of digits."""
+    """What the jobs that share a bitmap have in common: the outcome, and the number of digits of the job number."""
 
     phase: str
     tasks: int
@@ -40,7 +40,7 @@
 
 
 class _EncodedGroup(Struct, frozen=True):
-    """The stored form of a group: `ids` is its bitmap, serialized and in base 64."""
+    """The stored form of a group; `ids` is its serialized bitmap in base 64."""
 
     phase: str
     tasks: int
@@ -49,32 +49,32 @@
 
 
 class JobOutcomes:
-    """A set of jobs, each with its outcome."""
+    """A set of jobs with their outcomes."""
 
     def __init__(self) -> None:
         self._groups: dict[_Group, BitMap64] = {}
-        self._long: dict[str, JobOutcome] = {}
-        """Jobs whose numbers are too long for a bitmap."""
+        self._long_numbered: dict[str, JobOutcome] = {}
+        """Outcomes of jobs whose numbers are too long for a bitmap."""
 
     def __len__(self) -> int:
-        """How many jobs there are."""
-        return len(self._long) + sum(len(numbers) for numbers in self._groups.values())
+        """Returns the number of jobs."""
+        return len(self._long_numbered) + sum(len(numbers) for numbers in self._groups.values())
 
     def add(self, job: str, outcome: JobOutcome) -> None:
-        """Records an outcome; the first one that is known of a job stays."""
+        """Adds a job's outcome, unless the job already has one."""
         if self.get(job) is not None:
             return
         digits = job[len(JOB_PREFIX) :]
         if len(digits) > MAX_BITMAP_DIGITS:
-            self._long[job] = outcome
+            self._long_numbered[job] = outcome
         else:
             self._groups.setdefault(_Group(outcome.phase, outcome.tasks, len(digits)), BitMap64()).add(int(digits))
 
     def get(self, job: str) -> JobOutcome | None:
-        """How a job ended; None if that is not known."""
+        """Returns a job's outcome; None if it is not known."""
         digits = job[len(JOB_PREFIX) :]
         if len(digits) > MAX_BITMAP_DIGITS:
-            return self._long.get(job)
+            return self._long_numbered.get(job)
         number = int(digits)
         for group, numbers in self._groups.items():
             if group.digits == len(digits) and number in numbers:
@@ -82,42 +82,42 @@
         return None
 
     def update(self, other: "JobOutcomes") -> None:
-        """Adds the jobs of another set."""
+        """Adds the jobs of another set that this one lacks."""
         for job, outcome in other.items():
             self.add(job, outcome)
 
     def items(self) -> Iterator[tuple[str, JobOutcome]]:
-        """All jobs with their outcomes."""
-        yield from self._long.items()
+        """Yields all jobs with their outcomes."""
+        yield from self._long_numbered.items()
         for group, numbers in self._groups.items():
             for number in numbers:
                 yield f"{JOB_PREFIX}{number:0{group.digits}d}", JobOutcome(group.phase, group.tasks)
 
-    def without(self, known: "JobOutcomes") -> "JobOutcomes":
-        """The jobs that another set does not have."""
-        rest = JobOutcomes()
+    def without(self, other: "JobOutcomes") -> "JobOutcomes":
+        """Returns the jobs that another set lacks."""
+        remaining = JobOutcomes()
         for job, outcome in self.items():
-            if known.get(job) is None:
-                rest.add(job, outcome)
-        return rest
+            if other.get(job) is None:
+                remaining.add(job, outcome)
+        return remaining
 
     # -- encoding ----------------------------------------------------------------
 
     def to_records(self, value_bytes: int) -> list[dict[str, Any]]:
-        """The set as stored values of at most so many bytes each."""
-        found: list[dict[str, Any]] = []
-        room = 0
+        """Returns the set as stored values of at most `value_bytes` bytes each."""
+        values: list[dict[str, Any]] = []
+        remaining_bytes = 0
         for encoded in self._encoded_groups(value_bytes // 2):
             size = records.json_bytes(encoded) + 2
-            if not found or size > room:
-                found.append({"groups": []})
-                room = value_bytes - records.json_bytes(found[-1])
-            found[-1]["groups"].append(encoded)
-            room -= size
-        return found
+            if not values or size > remaining_bytes:
+                values.append({"groups": []})
+                remaining_bytes = value_bytes - records.json_bytes(values[-1])
+            values[-1]["groups"].append(encoded)
+            remaining_bytes -= size
+        return values
 
     def _encoded_groups(self, max_bytes: int) -> Iterator[dict[str, Any]]:
-        for job, outcome in self._long.items():
+        for job, outcome in self._long_numbered.items():
             yield msgspec.to_builtins(_EncodedJob(outcome.phase, outcome.tasks, job))
         for group, numbers in self._groups.items():
             for part in _split_bitmap(numbers, max_bytes):
@@ -125,7 +125,7 @@
                 yield msgspec.to_builtins(_EncodedGroup(group.phase, group.tasks, group.digits, ids))
 
     def load(self, value: Any) -> None:
-        """Adds what a value of `to_records` holds; raises `InvalidOutcomesError` if it can't be read."""
+        """Adds the outcomes in a value of `to_records`; raises `InvalidOutcomesError` if the value is invalid."""
         try:
             for encoded in value["groups"]:
                 self._load_group(encoded)
@@ -135,7 +135,7 @@
     def _load_group(self, encoded: dict[str, Any]) -> None:
         outcome = JobOutcome(str(encoded["phase"]), int(encoded["tasks"]))
         if "job" in encoded:
-            self._long[str(encoded["job"])] = outcome
+            self._long_numbered[str(encoded["job"])] = outcome
             return
         numbers = BitMap64.deserialize(base64.b64decode(encoded["ids"], validate=True))
         group = _Group(outcome.phase, outcome.tasks, int(encoded["digits"]))
@@ -143,7 +143,7 @@
 
 
 def _split_bitmap(numbers: BitMap64, max_bytes: int) -> Iterable[BitMap64]:
-    """The numbers in bitmaps whose text is at most so long."""
+    """Splits a bitmap into bitmaps whose encoded groups take at most `max_bytes` each, or hold a single number."""
     if len(base64.b64encode(numbers.serialize())) + GROUP_OVERHEAD_BYTES <= max_bytes or len(numbers) <= 1:
         return [numbers]
     ordered = list(numbers)
