--- a/stileloft/rebuild/decision_recorder.py
+++ b/stileloft/rebuild/decision_recorder.py
@@ -1,4 +1,4 @@
-"""Stores operators' decisions about unresolved tasks; the leader carries them out."""
+"""Stores operators' decisions about unresolved tasks, which the leader applies."""
 
 import logging
 from typing import Any
@@ -15,15 +15,16 @@
 
 
 class DecisionRecorder:
-    """Checks a decision against the job's record, and adds it there."""
+    """Validates a decision against the job's record of unresolved tasks, and adds it to the record."""
 
     def __init__(self, state: StateClient, integrity: StoreIntegrity) -> None:
         self._state = state
         self._integrity = integrity
 
     async def record(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Stores a decision about one task, or about all of the job's; None if the job has no unresolved tasks.
+        """Stores a decision about one task, or about all undecided tasks of the job if `task` is None.
 
+        Returns the updated record, or None if the job has no unresolved tasks.
         Raises `InvalidSettingsError`, `StaleVersionError` or `TemporarilyUnavailableError`.
         """
         try:
--- a/stileloft/rebuild/unresolved_task_manager.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -1,4 +1,4 @@
-"""Unresolved tasks: held back by the leader until an operator has decided."""
+"""Blocks unresolved tasks until an operator has decided about them, and applies the decisions."""
 
 import logging
 from collections.abc import Callable
@@ -19,16 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 1.0
-"""How often the leader looks for decisions, while anything is unresolved, in seconds."""
-RETRY = RetryPolicy((ConflictError, UnavailableError, UnknownOutcomeError), LOOK_S, LOOK_S)
+DECISION_POLL_S = 1.0
+"""Interval at which the leader reads operators' decisions while any task is unresolved, in seconds."""
+RETRY_POLICY = RetryPolicy((ConflictError, UnavailableError, UnknownOutcomeError), DECISION_POLL_S, DECISION_POLL_S)
 
-Stored = dict[str, tuple[UnresolvedTasks, int]]
-"""By job: its unresolved tasks, and the version of their record."""
+StoredUnresolvedTasks = dict[str, tuple[UnresolvedTasks, int]]
+"""By job: the unresolved tasks, and the version of their record."""
 
 
 class UnresolvedTaskManager:
-    """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
+    """Keeps unresolved tasks from being started, and applies operators' decisions about them."""
 
     def __init__(
         self,
@@ -48,8 +48,8 @@
         self._clock = clock
         self._request_scheduling = request_scheduling
 
-    async def read(self) -> Stored:
-        """All that is unresolved; nothing is asked without the feature."""
+    async def read(self) -> StoredUnresolvedTasks:
+        """Reads and returns all unresolved tasks; returns none, without a request, if the feature `rebuild` is off."""
         if not self._integrity.detects_loss:
             return {}
         items, _ = await self._store.client.scan(records.UNDECIDED)
@@ -58,55 +58,55 @@
             for key, value, version in items
         }
 
-    def apply(self, stored: Stored) -> None:
-        """Has no unresolved task started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
-        for job_id, (found, _) in stored.items():
+    def apply(self, stored: StoredUnresolvedTasks) -> None:
+        """Blocks all unresolved tasks; called with the cluster's lock held."""
+        self._jobs.undescribed = frozenset(job for job, (unresolved, _) in stored.items() if unresolved.spec_lost)
+        for job_id, (unresolved, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
-                job.tasks_awaiting_operator = frozenset(found.blocked_tasks())
+                job.tasks_awaiting_operator = frozenset(unresolved.blocked_tasks())
 
     async def run(self) -> None:
-        """Does what operators decide, for as long as the leadership lasts."""
+        """Applies operators' decisions until the leadership ends."""
         lease = self._store.lease
-        await sleep(self._clock, LOOK_S)
-        await repeat("unresolved tasks", self._carry_out, RETRY, self._clock, lambda: lease.active)
+        await sleep(self._clock, DECISION_POLL_S)
+        await repeat("operator decision poll", self._poll_decisions, RETRY_POLICY, self._clock, lambda: lease.active)
 
-    async def _carry_out(self) -> None:
-        if self._store.lease.is_held() and self._anything_unresolved():
+    async def _poll_decisions(self) -> None:
+        if self._store.lease.is_held() and self._has_unresolved_tasks():
             stored = await self.read()
-            for job_id, (found, version) in stored.items():
-                await self._carry_out_one(job_id, found, version)
-        await sleep(self._clock, LOOK_S)
+            for job_id, (unresolved, version) in stored.items():
+                await self._process_job(job_id, unresolved, version)
+        await sleep(self._clock, DECISION_POLL_S)
 
-    def _anything_unresolved(self) -> bool:
+    def _has_unresolved_tasks(self) -> bool:
         jobs = list(self._cluster.jobs.values())
         return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
 
-    async def _carry_out_one(self, job_id: str, found: UnresolvedTasks, version: int) -> None:
+    async def _process_job(self, job_id: str, unresolved: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
-        if job is not None and not found.spec_lost:
+        if job is not None and not unresolved.spec_lost:
             with self._cluster.lock:
-                if not self._apply_decisions(job, found):
+                if not self._apply_decisions(job, unresolved):
                     return
-        elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
+        elif unresolved.spec_lost and Decision.FORGET not in unresolved.decisions.values() and job is None:
             return
-        # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
+        # All tasks of the job are resolved, or the job has ended or has been submitted again.
         key = records.UNDECIDED + job_id
         await self._store.commit({}, [key], guards={key: version})
-        log.info("unresolved tasks settled job=%s", job_id)
+        log.info("unresolved tasks resolved job=%s", job_id)
         with self._cluster.lock:
             self._jobs.undescribed -= {job_id}
         self._request_scheduling()
 
-    def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
-        """Brings the job in line with the decisions; returns whether all are carried out and stored."""
-        blocked_tasks = found.blocked_tasks()
-        for text, decision in found.decisions.items():
-            index = int(text)
+    def _apply_decisions(self, job: Job, unresolved: UnresolvedTasks) -> bool:
+        """Applies the decisions to a job; returns whether all its tasks are decided and all its changes stored."""
+        blocked_tasks = unresolved.blocked_tasks()
+        for number, decision in unresolved.decisions.items():
+            index = int(number)
             chunk = job.chunk_of(index)
             if decision is Decision.DONE and index not in chunk.done and not job.end_phase:
-                log.info("task counted as done by an operator job=%s task=%s/%d", job.id, job.id, index)
+                log.info("task marked as done by an operator job=%s task=%s/%d", job.id, job.id, index)
                 chunk.done.add(index)
                 job.done += 1
                 chunk.dirty = True
@@ -114,5 +114,5 @@
         job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
         self._flush_timer.within(0.0)
-        decided = found.decisions.keys() >= found.evidence.keys()
+        decided = unresolved.decisions.keys() >= unresolved.evidence.keys()
         return decided and not job.write.dirty and not job.write.commit_in_flight
--- a/stileloft/rebuild/unresolved_tasks.py
+++ b/stileloft/rebuild/unresolved_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of which a rebuild could not tell whether they completed, kept until an operator decides."""
+"""Unresolved tasks: a rebuild could not determine whether they completed, and an operator has to decide."""
 
 from enum import StrEnum
 from typing import Any
@@ -10,32 +10,32 @@
 
 
 class Decision(StrEnum):
-    """What an operator may decide about unresolved tasks."""
+    """An operator's decision about unresolved tasks."""
 
     RUN = "run"
-    """They did not complete: they run again."""
+    """The tasks did not complete, and run again."""
     DONE = "done"
-    """They completed: they do not run again."""
+    """The tasks completed, and do not run again."""
     FORGET = "forget"
-    """The job's specification is lost: the job is known no longer."""
+    """The job, whose specification is lost, is forgotten."""
 
 
 class UnresolvedTasks(Struct, frozen=True, omit_defaults=True):
     """A job's unresolved tasks, with the evidence for each."""
 
     evidence: dict[str, str]
-    """By task number."""
+    """What is known of each task, by task number."""
     spec_lost: bool = field(default=False, name="unknown")
-    """No controller knows the job's specification: only workers' heartbeats name it."""
+    """Whether no controller knows the job's specification, and only workers' heartbeats name the job."""
     decisions: dict[str, Decision] = field(default_factory=dict)
-    """What an operator has decided about tasks, for the leader to carry out."""
+    """Operators' decisions by task number, which the leader applies."""
 
     def blocked_tasks(self) -> set[int]:
-        """Tasks that must not be started."""
+        """Returns the numbers of the tasks that must not be started."""
         return {int(task) for task in self.evidence if self.decisions.get(task) is not Decision.RUN}
 
     def decide(self, task: int | None, decision: Decision) -> "UnresolvedTasks":
-        """The record with an operator's decision about one task, or about all that are open.
+        """Returns the record with an operator's decision about a task; about all undecided tasks if `task` is None.
 
         Raises `InvalidDecisionError` if the decision does not fit the job.
         """
@@ -51,11 +51,11 @@
 
 
 def to_record(unresolved: UnresolvedTasks) -> dict[str, Any]:
-    """The record as it is stored."""
+    """Returns the stored form of a job's unresolved tasks."""
     record: dict[str, Any] = msgspec.to_builtins(unresolved)
     return record
 
 
 def from_record(value: Any) -> UnresolvedTasks:
-    """The unresolved tasks in a stored record."""
+    """Returns the unresolved tasks in a stored record."""
     return msgspec.convert(value, UnresolvedTasks)
