--- a/stileloft/rebuild/stored_jobs.py
+++ b/stileloft/rebuild/stored_jobs.py
@@ -67,7 +67,7 @@
         return inline
 
     def chunk_numbers(self) -> set[int]:
-        """Returns the numbers of the chunks that have a record, be it inline or an overflow record."""
+        """Returns the numbers of the chunks that have any record, inline and overflow records included."""
         numbers = {records.split_chunk_key(key)[1] for key in self.chunks}
         return numbers if self.inline_chunk is None else numbers | {0}
 
--- a/stileloft/rebuild/unresolved_task_manager.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -59,7 +59,7 @@
         }
 
     def apply(self, stored: StoredUnresolvedTasks) -> None:
-        """Blocks all unresolved tasks; called with the cluster's lock held."""
+        """Blocks the tasks that must not be started; called with the cluster's lock held."""
         self._jobs.undescribed = frozenset(job for job, (unresolved, _) in stored.items() if unresolved.spec_lost)
         for job_id, (unresolved, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
@@ -91,7 +91,7 @@
                     return
         elif unresolved.spec_lost and Decision.FORGET not in unresolved.decisions.values() and job is None:
             return
-        # All tasks of the job are resolved, or the job has ended or has been submitted again.
+        # The record is no longer needed: its tasks are resolved, or the job has ended or been submitted again.
         key = records.UNDECIDED + job_id
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks resolved job=%s", job_id)
