--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -91,7 +91,7 @@
         deployment = self.settings.deployment
         self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
-        self.budgets = StateBudgets.of(deployment, self.reactor)
+        self.budgets = StateBudgets.from_deployment(deployment, self.reactor)
         self.catalog = MachineCatalog(self.clients.cloud, self.reactor)
         self.state_service_check = StateServiceCheck(self.reactor, self.clients.state, self.clients.peers)
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
@@ -131,9 +131,9 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.first_chunk_size,
+                first_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
-                forget_record_versions=self.record_format.forget_record_version,
+                forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
             )
         )
@@ -217,7 +217,7 @@
 
     def healthy(self) -> bool:
         """Whether the load balancer should send users here."""
-        return bool(self.catalog.types) and not self.state_service_check.refused
+        return bool(self.catalog.types) and not self.state_service_check.is_refused
 
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
@@ -279,7 +279,7 @@
 
     def _on_format_advance(self) -> None:
         if self.leader is not None:
-            self.leader.upgrade.format_changed()
+            self.leader.upgrade.on_format_advanced()
 
     def _on_cancelled_here(self, job: str, revision: int) -> None:
         """A user of this controller has cancelled a job: as the leader we know it at once, not with the next watch."""
@@ -293,12 +293,12 @@
         if answer is not None:
             return answer
         leader = self.leader
-        if leader is not None and leader.tokens.is_later(heartbeat.token):
+        if leader is not None and leader.tokens.is_from_successor(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
-        if not leader.may_renew():
+        if not leader.may_renew_worker_leases():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
         return Response(200, leader.on_heartbeat(heartbeat))
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -90,7 +90,7 @@
                 job.coalesce_completions(self._clock.seconds(), flush_now)
             if job.spec.is_gang:
                 self._clock.callLater(0, self._reconcile_gang_later, job)
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
 
     def _reconcile_gang_later(self, job: Job) -> None:
         with self._cluster.lock:
@@ -101,12 +101,12 @@
         """Ends what is left of a gang of which a task is done, or lost."""
         if job.end_phase or job.reload_pending:
             return
-        if gangs.completed(job):
+        if gangs.is_completed(job):
             for placement in list(job.placements()):
                 placement.done = True
                 self.end(placement, EndReason.GANG_DONE)
             self._cluster.mark_dirty(job)
-        for placement in gangs.left_over(job):
+        for placement in gangs.remaining_placements(job):
             self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def untrack(self, placement: Placement) -> None:
@@ -172,7 +172,7 @@
         """How long the task is expected to run on, in seconds; without end for a service."""
         if job.spec.is_service:
             return math.inf
-        estimate_s = self._workload.estimate(job.spec)
+        estimate_s = self._workload.estimated_run_time_s(job.spec)
         if placement.running_since is None:
             return estimate_s
         return max(MIN_REMAINING_PART * estimate_s, estimate_s - (now - placement.running_since))
@@ -198,7 +198,7 @@
     def rewrite_all_chunks(self, job: Job) -> None:
         """Has all chunks of a job written again soon; those of a job that has ended go."""
         self._mark_chunks_dirty(job)
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
 
     def _mark_chunks_dirty(self, job: Job) -> None:
         for chunk in job.chunks.values():
--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_components.py
@@ -26,18 +26,18 @@
 from stileloft.model.machines import Machine
 from stileloft.rebuild.unresolved_task_manager import UnresolvedTaskManager
 from stileloft.scheduling.decision_applier import DecisionApplier
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
-from stileloft.store.access import LeaderStore
 from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.commit_queue import CommitQueue
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.format_upgrade import FormatUpgrade
 from stileloft.store.job_reloader import JobReloader
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.store.limits import StoreLimits
 from stileloft.workers.command_assertions import CommandAssertions
 from stileloft.workers.command_metrics import CommandMetrics
@@ -51,11 +51,11 @@
 from stileloft.workers.task_states import TaskStateTracker
 from stileloft.workers.transmission import CommandTransmitter
 
-HEARTBEAT_FLUSH_S = 0.02
+HEARTBEAT_FLUSH_DELAY_S = 0.02
 """Heartbeats that come so close together share one commit, in seconds."""
 
 
-class LeaderParts:
+class LeaderComponents:
     """Composes the parts that act while this controller leads; each is given what it needs.
 
     The parts know each other only as far as their constructors say; what would go round in a circle is a callback.
@@ -66,7 +66,7 @@
         self._clock = environment.clock
         self._deployment = environment.settings.deployment
         self._timings = self._deployment.workers
-        self.timeouts = FailureTimeouts.of(self._timings)
+        self.timeouts = FailureTimeouts.from_settings(self._timings)
         self._teams = {team.name: team for team in self._deployment.teams}
         self.lease = lease
         self.tokens = tokens
@@ -146,7 +146,7 @@
             self.lifecycle,
             env.integrity,
             clock,
-            env.record_format.first_chunk_size,
+            env.record_format.legacy_chunk_size,
             self.reloader.reload,
             self.request_scheduling,
         )
@@ -288,7 +288,7 @@
     def _build_snapshots(self) -> None:
         """What the decisions are made of."""
         env, clock = self._environment, self._clock
-        self.machine_views = MachineViews(
+        self.machine_views = MachineViewCache(
             self.cluster,
             self.lifecycle,
             self.workload,
@@ -343,7 +343,7 @@
 
     def _build_failover(self) -> None:
         """What takes over from the former leader."""
-        self.unresolved = UnresolvedTaskManager(
+        self.unresolved_tasks = UnresolvedTaskManager(
             self.store,
             self.cluster,
             self.job_registry,
@@ -362,7 +362,7 @@
             self.upgrade,
             self.provision_records,
             self.images,
-            self.unresolved,
+            self.unresolved_tasks,
             self._clock,
         )
 
@@ -375,12 +375,12 @@
     def _after_heartbeat(self) -> None:
         """Has written what a heartbeat has changed."""
         if self.cluster.dirty and self.cluster.loaded:
-            self.flush_timer.within(HEARTBEAT_FLUSH_S)
+            self.flush_timer.flush_within(HEARTBEAT_FLUSH_DELAY_S)
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
         machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
-        machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
+        machine_ids |= dict.fromkeys(self.fencing.take_machines_awaiting_token())
         with self.cluster.lock:
             for machine_id in machine_ids:
                 machine = self.cluster.machines.get(machine_id)
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -70,20 +70,20 @@
         controller that may know the job could not be reached.
         """
         await self.verify()
-        if not self.knows_outcomes():
+        if not self.has_all_outcomes():
             raise StoreLostError("the rebuilt store was not read yet")
         identity = self._store.identity
         if identity is not None and identity.unreconciled_members:
             members = ", ".join(identity.unreconciled_members)
             raise StoreLostError(f"it may be known to {members}, which could not be reached")
 
-    def verify_soon(self) -> None:
+    def request_verification(self) -> None:
         """Requests a check of the store, after a sign that it may be lost."""
         self._detector.request_check()
 
     # -- tokens ---------------------------------------------------------------------
 
-    async def take_leadership(self, version: int) -> int:
+    async def begin_term(self, version: int) -> int:
         """Returns the fencing token of a leader whose key has this version; marks a lost store as being rebuilt.
 
         Raises `StoreLostError` if the token would not be above all known ones.
@@ -131,7 +131,7 @@
 
     # -- jobs -----------------------------------------------------------------------
 
-    def knows_outcomes(self) -> bool:
+    def has_all_outcomes(self) -> bool:
         """Whether the outcomes of all ended jobs can be looked up, in whichever form they are recorded."""
         # A rebuild records outcomes in a form of its own, which is loaded with the replica.
         identity = self._store.identity
@@ -145,7 +145,7 @@
 
     def has_lost_spec(self, job: str) -> bool:
         """Whether a job is known only from workers' heartbeats, without its specification."""
-        record = self._replicas.current.records.get(records.UNDECIDED + job)
+        record = self._replicas.current.records.get(records.UNRESOLVED + job)
         return record is not None and unresolved_tasks.from_record(record.value()).spec_lost
 
 
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -122,7 +122,7 @@
 
     def _restore_other_records(self) -> None:
         for key, value in self._replica.records.items():
-            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNDECIDED)):
+            if key in (records.SETTINGS, records.FORMAT) or key.startswith((records.PROVISIONED, records.UNRESOLVED)):
                 self._target_records.setdefault(key, value)
 
     @functools.cached_property
@@ -141,7 +141,7 @@
 
     def _add_unresolved(self, job: str, unresolved: UnresolvedTasks) -> None:
         self._result.unresolved[job] = unresolved
-        self._target_records[records.UNDECIDED + job] = unresolved_tasks.to_record(unresolved)
+        self._target_records[records.UNRESOLVED + job] = unresolved_tasks.to_record(unresolved)
 
     def _keep_jobs_without_spec(self) -> None:
         """Keeps jobs that only heartbeats name: workers have tasks of accepted jobs only, which must stay known."""
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -12,7 +12,7 @@
 from stileloft.rebuild.job_outcomes import JobOutcomes
 
 # Records that a rebuild writes back. Workers report their cached images again, and outcomes are kept separately.
-RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNDECIDED)
+RESTORED_PREFIXES = (records.ACTIVE, records.TASKS, records.PROVISIONED, records.UNRESOLVED)
 RESTORED_KEYS = (records.SETTINGS, records.FORMAT)
 
 
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -117,7 +117,7 @@
             lost_for_s=lost_for_s,
             generation=store.generation,
             replica=ReplicaReport(replica.complete, replica.revision, len(replica.records), len(replica.outcomes)),
-            unresolved={key[len(records.UNDECIDED) :]: value for key, value in replica.values(records.UNDECIDED)},
+            unresolved={key[len(records.UNRESOLVED) :]: value for key, value in replica.values(records.UNRESOLVED)},
             refused_notices=self._refused_notices,
             rebuild=UNSET if self._rebuilder is None else self._rebuilder.progress(),
         )
--- a/stileloft/rebuild/unresolved_task_manager.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -10,9 +10,9 @@
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
-from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
@@ -52,15 +52,15 @@
         """Reads and returns all unresolved tasks; returns none, without a request, if the feature `rebuild` is off."""
         if not self._integrity.detects_loss:
             return {}
-        items, _ = await self._store.client.scan(records.UNDECIDED)
+        items, _ = await self._store.client.scan(records.UNRESOLVED)
         return {
-            key[len(records.UNDECIDED) :]: (unresolved_tasks.from_record(value), version)
+            key[len(records.UNRESOLVED) :]: (unresolved_tasks.from_record(value), version)
             for key, value, version in items
         }
 
     def apply(self, stored: StoredUnresolvedTasks) -> None:
         """Blocks the tasks that must not be started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (unresolved, _) in stored.items() if unresolved.spec_lost)
+        self._jobs.lost_spec_jobs = frozenset(job for job, (unresolved, _) in stored.items() if unresolved.spec_lost)
         for job_id, (unresolved, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
@@ -81,7 +81,7 @@
 
     def _has_unresolved_tasks(self) -> bool:
         jobs = list(self._cluster.jobs.values())
-        return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
+        return bool(self._jobs.lost_spec_jobs) or any(job.tasks_awaiting_operator for job in jobs)
 
     async def _process_job(self, job_id: str, unresolved: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
@@ -92,11 +92,11 @@
         elif unresolved.spec_lost and Decision.FORGET not in unresolved.decisions.values() and job is None:
             return
         # The record is no longer needed: its tasks are resolved, or the job has ended or been submitted again.
-        key = records.UNDECIDED + job_id
+        key = records.UNRESOLVED + job_id
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks resolved job=%s", job_id)
         with self._cluster.lock:
-            self._jobs.undescribed -= {job_id}
+            self._jobs.lost_spec_jobs -= {job_id}
         self._request_scheduling()
 
     def _apply_decisions(self, job: Job, unresolved: UnresolvedTasks) -> bool:
@@ -113,6 +113,6 @@
                 self._cluster.mark_dirty(job)
         job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
         decided = unresolved.decisions.keys() >= unresolved.evidence.keys()
         return decided and not job.write.dirty and not job.write.commit_in_flight
--- a/stileloft/scheduling/candidates.py
+++ b/stileloft/scheduling/candidate_machines.py
@@ -19,7 +19,7 @@
 """
 
 
-class Candidates:
+class CandidateMachines:
     """The machines that have room for a job's tasks, which are alike, the best first.
 
     Each machine is scored once, and again only when it has changed.
@@ -32,7 +32,7 @@
         self._requested = requested(job.spec)
         self._heap: list[ScoredMachine] = []
         self._versions: dict[str, int] = {}
-        for machine in cycle.open_machine_views() if among is None else among:
+        for machine in cycle.machines_with_room() if among is None else among:
             self._score(machine, 0)
         heapq.heapify(self._heap)
 
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -15,8 +15,8 @@
 # Bin packing: cost of a small task on a large machine; less for a class with an objective on starting, and more while
 # tasks wait that only large machines can take.
 FRAGMENTATION_PENALTY_S = 5.0
-FRAGMENTATION_PENALTY_PROMPT_S = 1.0
-FRAGMENTATION_PENALTY_SCARCE_S = 30.0
+FRAGMENTATION_PENALTY_START_OBJECTIVE_S = 1.0
+FRAGMENTATION_PENALTY_LARGE_SCARCE_S = 30.0
 # The share of that cost on a large machine that small tasks use already.
 ALREADY_FRAGMENTED_FACTOR = 0.3
 # Cost of a fetch that takes more than this share of the class's objective on starting.
@@ -25,7 +25,7 @@
 # Cost of on-demand machines: they are to run empty first, so that they can be released.
 ON_DEMAND_PENALTY_S = 2.0
 # For types that state no rate.
-LEAST_FETCH_GB_PER_S = 1e-3
+MIN_FETCH_GB_PER_S = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
     """Seconds until the machine is likely to have the task's image."""
     if spec.image in machine.images:
         return 0.0
-    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     if spec.image in machine.fetching:
         return alone_s  # it was begun some time ago, but may share the rate
     return alone_s * (1 + len(machine.fetching))  # fetches share the rate
@@ -76,9 +76,9 @@
 def _fragmentation_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
     """Small tasks leave large machines whole while others have room, and first fill those with small tasks on them."""
     if start_objective_s is not None:
-        weight = FRAGMENTATION_PENALTY_PROMPT_S
+        weight = FRAGMENTATION_PENALTY_START_OBJECTIVE_S
     elif sizes.large_scarce:
-        weight = FRAGMENTATION_PENALTY_SCARCE_S
+        weight = FRAGMENTATION_PENALTY_LARGE_SCARCE_S
     else:
         weight = FRAGMENTATION_PENALTY_S
     return weight * (1.0 if machine.free_cpus >= sizes.largest_cpus / 2 else ALREADY_FRAGMENTED_FACTOR)
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -11,7 +11,7 @@
 from stileloft.protocol.peers import PeerClient
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.settings import Settings
-from stileloft.store.access import LeaderStore
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
@@ -77,7 +77,7 @@
             log.info("record format written format=%d members=%s", records.NEWEST_FORMAT, ",".join(members))
             self._store.format.observe(records.NEWEST_FORMAT, version)
 
-    def format_changed(self) -> None:
+    def on_format_advanced(self) -> None:
         """Brings the records of jobs into the format that may be written from now on."""
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
@@ -93,7 +93,7 @@
             if (
                 not chunk.overflow
                 and records.json_bytes(whole_chunk_value(chunk, job.spec, job.chunk_size))
-                > self._store.limits.value_bytes
+                > self._store.limits.max_value_bytes
             ):
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
