--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -1,7 +1,6 @@
-"""The one place that decides whether the leader may start, stop, forget, scale or renew a worker's lease now.
+"""The only place that decides whether the leader may start, stop or forget tasks, scale, or renew worker leases.
 
-Each question is asked at the moment of the action, of what is known then; no answer may be kept for later. A refusal
-says why.
+Each check is made at the moment of the action, on the state known then; its result must not be reused later.
 """
 
 from enum import StrEnum
@@ -17,19 +16,19 @@
 
 
 class Refusal(StrEnum):
-    """Why something is not allowed now."""
+    """Reasons for which an action is not allowed now."""
 
     LEADERSHIP_ENDED = "the leadership has ended"
     LEASE_NOT_CONFIRMED = "the leader's lease is not confirmed"
-    STORE_NOT_READ = "the store was not read yet"
-    CANCELLATIONS_STALE = "cancellations are not known well enough"
+    STORE_NOT_READ = "the store has not been read yet"
+    CANCELLATIONS_STALE = "the watch of cancellations is out of date"
     MACHINE_NOT_CLAIMED = "the machine does not know the leader's fencing token"
     MACHINE_RELEASING = "the machine is being released"
     NOT_STORED = "the store does not place the task there"
     ALREADY_REPORTED = "the machine reports the task"
     JOB_ENDED = "the job has ended, or is being reloaded"
     STOPPING = "the task is being stopped"
-    GANG_INCOMPLETE = "the gang is not placed as a whole"
+    GANG_INCOMPLETE = "the gang is not placed completely"
     NO_SPARE_TOKEN = "no spare fencing token to fence the start"
     MESSAGE_IN_FLIGHT = "a message to the machine is in flight"
     START_IN_FLIGHT = "a start of the attempt is in flight"
@@ -37,7 +36,7 @@
 
 
 class Authority:
-    """The leader's rights at this moment. Each method returns why something is refused, or None if it is allowed."""
+    """Decides what the leader may do now. Each method returns the reason for a refusal, or None if allowed."""
 
     def __init__(
         self, lease: LeaderLease, tokens: FencingTokens, cluster: ClusterState, jobs: JobRegistry, watch: JobWatch
@@ -51,20 +50,20 @@
     # -- the whole cluster -------------------------------------------------------------
 
     def check_leadership(self) -> Refusal | None:
-        """Anything that another leader could be doing as well: needs a lease that is known to be held."""
+        """Checks an action that another leader could take as well: it requires a lease that is certainly held."""
         return None if self._lease.is_held() else Refusal.LEASE_NOT_CONFIRMED
 
     def check_commands(self) -> Refusal | None:
-        """Direct commands: before the store was read, all tasks would look as if they were not to be there."""
+        """Checks direct commands: before the store has been read, every task would look orphaned."""
         return self.check_leadership() or (None if self._cluster.loaded else Refusal.STORE_NOT_READ)
 
     def check_renewal(self) -> Refusal | None:
-        """An answer that renews a worker's lease: the bound that `renewal_grace` derives.
+        """Checks an answer that renews a worker's lease, by the bound that `renewal_grace` derives.
 
-        It asks for both. A leader that others may have replaced, or one that still leads but hears nothing of
-        cancellations, must not keep tasks alive for longer. Each answer that renews carries the stops of all
-        cancellations known, and a token that fences their starts, so one after the other several leaders keep a
-        cancelled task no longer than one.
+        Both the lease and the view of cancellations must be recent: a leader that may have been replaced, or one that
+        receives no cancellations, must not keep tasks alive any longer. Each renewing answer stops the tasks of all
+        jobs known to be cancelled, and its token fences their starts, so several leaders in succession keep a cancelled
+        task alive no longer than a single leader does.
         """
         if not self._cluster.loaded:
             return Refusal.STORE_NOT_READ
@@ -73,17 +72,17 @@
         return Refusal.CANCELLATIONS_STALE if self._watch.staleness_s() > self._lease.renewal_grace_s else None
 
     def check_scale_out(self) -> Refusal | None:
-        """A request for machines: another leader would rent them too."""
+        """Checks a request for machines: another leader would request the same ones."""
         return self.check_leadership()
 
     def check_scale_in(self) -> Refusal | None:
-        """The release of machines, with all that is on them."""
+        """Checks the release of machines, which ends all tasks on them."""
         return self.check_leadership()
 
     # -- one machine -------------------------------------------------------------------
 
     def check_starts_on(self, machine: Machine) -> Refusal | None:
-        """Any start on a machine."""
+        """Checks whether a machine may be sent starts at all."""
         if refusal := self.check_leadership():
             return refusal
         if not self._watch.is_fresh():
@@ -92,14 +91,14 @@
             return Refusal.MACHINE_NOT_CLAIMED
         if machine.releasing:
             return Refusal.MACHINE_RELEASING
-        # It must be possible to fence what is sent without asking the store, which may be out when that is needed.
+        # Fencing the start must not depend on the store, which may be unavailable when the fence is needed.
         return None if self._tokens.has_spare_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
-        """The start of a task, or its repetition, on a machine that may be given starts.
+        """Checks the start of a task, or a retry of it, on a machine that passes `check_starts_on`.
 
-        A start without an answer may be executed at any later time. One that is to be stopped by now is repeated too:
-        only a task that was reported can be told to exit, and so be let go.
+        An unanswered start may be executed at any later time. It is retried even if the task is to be stopped by now,
+        because only a task that its worker reports can be stopped and then released.
         """
         if placement.state != PlacementState.BOUND:
             return Refusal.NOT_STORED
@@ -112,26 +111,27 @@
         return None if gangs.may_start(self._cluster.jobs[placement.job]) else Refusal.GANG_INCOMPLETE
 
     def check_transmission(self, starts: list[Placement], machine: Machine) -> Refusal | None:
-        """A message that was made a moment ago, as its connection is there at last and its bytes go out.
+        """Checks a message again when its connection has been made, just before it is sent.
 
-        Without starts it goes out as long as the leadership lasts: stops are wanted all the more when we know less.
+        A message without starts is sent while the leadership lasts: stops are needed even more when the leader's state
+        is out of date.
         """
         if not starts:
             return None if self._lease.active else Refusal.LEADERSHIP_ENDED
         if refusal := self.check_commands() or self.check_starts_on(machine):
             return refusal
-        return next((refusal for each in starts if (refusal := self.check_start(each, machine))), None)
+        return next((refusal for start in starts if (refusal := self.check_start(start, machine))), None)
 
     def check_stop_job(self, job_id: str) -> Refusal | None:
-        """A stop does no harm under an old token; only what no store knows of is left to operators."""
+        """Checks stops of a job, harmless under an old token; a job known only from heartbeats is left to operators."""
         return Refusal.AWAITS_OPERATOR if self._jobs.awaits_operator(job_id) else None
 
     def check_stop_task(self, task: str) -> Refusal | None:
-        """The same of a task that the store does not place where it is."""
+        """Checks the stop of a task that the store does not place on the machine, as `check_stop_job` does."""
         return self.check_stop_job(records.split_task(task)[0])
 
     def check_forgets_on(self, machine: Machine) -> Refusal | None:
-        """Any forgetting on a machine."""
+        """Checks whether a machine may be sent forgets at all."""
         if machine.command_in_flight:
             return Refusal.MESSAGE_IN_FLIGHT
         if not machine.has_current_token:
@@ -139,10 +139,11 @@
         return self.check_leadership()
 
     def check_forget(self, machine: Machine, task: str, attempt: int, done: bool) -> Refusal | None:
-        """An exited attempt: once forgotten, a start of it that comes late runs it again, beside a newer one elsewhere.
+        """Checks whether a worker may forget an exited attempt.
 
-        So its start must be fenced before. A task that is done only says so again; but a message of which it is not
-        known whether it was executed may also have been meant for others.
+        A late start would run a forgotten attempt again, in parallel with a newer one elsewhere, so the start must be
+        fenced first. A late start of a done task only makes the worker report it as done again. But a message in doubt
+        may also carry starts of other tasks, so a start in doubt must be fenced even if its task is done.
         """
         start = machine.inflight_starts.get(task, attempt)
         if start is None or (done and start.in_doubt_since is None):
--- a/stileloft/leadership/leader_environment.py
+++ b/stileloft/leadership/leader_environment.py
@@ -1,4 +1,4 @@
-"""What a controller hands to its leader."""
+"""The dependencies that a controller passes to its leader."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderEnvironment:
-    """What a controller hands to its leader."""
+    """The dependencies that a controller passes to its leader."""
 
     settings: Settings
     clock: Clock
@@ -35,7 +35,7 @@
     integrity: StoreIntegrity
     invariants: InvariantMonitor
     operator_settings: Callable[[], OperatorSettings]
-    """The operators' settings in force."""
+    """Returns the operator settings in force."""
     run_in_thread: InThread
     nonce: str
-    """Of this process; it keeps the names of requests to the cloud apart."""
+    """Random identifier of this process; makes the identifiers of its requests to the cloud unique."""
