--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -1,4 +1,7 @@
-"""Leader election: the key `leader` on a lease of the state service; its version is the fencing token."""
+"""Leader election: the leader holds the key `leader` on a lease of the state service.
+
+The key's version determines the fencing token.
+"""
 
 import contextlib
 import logging
@@ -26,17 +29,17 @@
 
 
 RENEWALS_PER_LEASE = 4
-"""How often a lease is renewed while it lasts."""
+"""Number of renewals within one lease duration."""
 CAMPAIGNS_PER_LEASE = 8
-"""How often a vacant leadership is sought while a lease would last."""
+"""Number of campaigns for a vacant leadership within one lease duration."""
 RENEWAL_TIMEOUT_DIVISOR = 3
-"""A renewal is given up after one part in so many of the lease."""
+"""The time-out of a renewal is the lease duration divided by this."""
 WATCH_TIMEOUT_LEASES = 4
-"""How long one watch of another's leadership waits, in leases."""
+"""Time-out of one watch of another controller's leader key, in lease durations."""
 
 
 class Election:
-    """Campaigns for the leadership, renews its lease, and knows for how long it is surely held."""
+    """Campaigns for the leadership, renews its lease, and tracks until when the lease is certainly held."""
 
     def __init__(
         self,
@@ -49,7 +52,7 @@
         on_deposed: Callable[[str], None],
         integrity: StoreIntegrity,
     ) -> None:
-        """`nonce` tells this process from others that ran as the same member; `lease_s` is the lease in seconds.
+        """`nonce` tells this process from former ones of the same member; `lease_s` is the lease duration in seconds.
 
         `on_elected` is called with the fencing token, `on_deposed` with the reason.
         """
@@ -62,12 +65,12 @@
         self._on_deposed = on_deposed
         self._integrity = integrity
         self._suspicion_reason: str | None = None
-        """Why the leadership is in doubt, while it is found out whether it is over or the store is lost."""
+        """Why the leadership is in doubt, until it is known whether it has ended or the store is lost; None if not."""
         self.key_version = 0
-        """The version of the leader key while we lead: it guards our transactions."""
+        """The version of the leader key while this controller leads; it guards the leader's transactions."""
         self.token: int | None = None
         self.leader_member: str | None = None
-        """The member that leads, as far as is known."""
+        """The member last observed to lead; None if there is none."""
         self._lease: int | None = None
         self._held_until = 0.0
         self.last_renewed_at = 0.0
@@ -79,21 +82,22 @@
         return self.token is not None
 
     def holds_lease(self) -> bool:
-        """Whether nobody else can have been elected yet."""
+        """Returns whether no other controller can have been elected yet."""
         return self.token is not None and self._clock.seconds() < self._held_until
 
     def seconds_since_renewal(self) -> float:
-        """Seconds since the lease was last known to be alive."""
+        """Returns the seconds since the lease was last known to be valid."""
         return max(0.0, self._clock.seconds() - self.last_renewed_at)
 
     def pause_campaign(self, seconds: float) -> None:
-        """Leaves the leadership to others for a while, as long as there are any."""
+        """Does not campaign for this many seconds, so that another controller, if there is one, can be elected."""
         self._campaign_paused_until = self._clock.seconds() + seconds
 
     def suspect(self, reason: str) -> None:
-        """The leadership seems to be over: nothing is decided any more until it is known why.
+        """Suspends all decisions until it is known whether the leadership has ended.
 
-        If the store has lost its records, nobody else can lead either, and heartbeats are answered for the grace.
+        If the store has lost its records, no other controller can lead either, and heartbeats are still answered for
+        the renewal grace. Steps down at once if losses are not detected.
         """
         if not self._integrity.detects_loss:
             self.step_down(reason)
@@ -102,7 +106,7 @@
             self._suspicion_reason = self._suspicion_reason or reason
 
     def step_down(self, reason: str) -> None:
-        """Gives up the leadership, and ends its lease."""
+        """Gives up the leadership and revokes its lease; without effect if this controller does not lead."""
         if self.token is None:
             return
         self.token = self._suspicion_reason = None
@@ -113,11 +117,11 @@
             defer.ensureDeferred(self._end_lease(lease))
 
     async def _end_lease(self, lease: int) -> None:
-        with contextlib.suppress(UnavailableError, UnknownOutcomeError):  # it ends by itself
+        with contextlib.suppress(UnavailableError, UnknownOutcomeError):  # the lease then expires by itself
             await self._state.revoke_lease(lease)
 
     async def run(self) -> None:
-        """Campaigns for the leadership and keeps it, for as long as the process lives."""
+        """Campaigns for the leadership and holds it, for the lifetime of the process."""
         policy = RetryPolicy(
             (UnavailableError, UnknownOutcomeError, CompactedError),
             retry_s=self.lease_s / CAMPAIGNS_PER_LEASE,
@@ -134,24 +138,24 @@
             await self._renew_lease()
 
     async def _resolve_suspicion(self, reason: str) -> None:
-        """Finds out whether the leadership is over, or the store has lost its records."""
+        """Determines whether the leadership has ended or the store has lost its records."""
         try:
             await self._integrity.verify()
         except StoreLostError:
-            # Whoever gets the leader key next writes the records back; until then our leadership goes on, unconfirmed.
-            # Its lease is lost with the rest, and another may have the same number by now.
+            # The next holder of the leader key writes the records back; until then this leadership continues,
+            # unconfirmed. Its lease was lost with the records, and another lease may have the same number by now.
             self._lease = None
             await self._campaign()
             return
         self.step_down(reason)
 
-    def _record_renewal(self, sent: float) -> None:
-        """The lease was renewed by a request that was sent at this moment."""
-        self.last_renewed_at = sent
-        self._held_until = sent + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
+    def _record_renewal(self, sent_at: float) -> None:
+        """Records that the lease was renewed by a request that was sent at this time."""
+        self.last_renewed_at = sent_at
+        self._held_until = sent_at + self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT)
 
     async def _campaign(self) -> None:
-        """Looks who leads, and acquires the leadership if nobody does."""
+        """Reads the leader key, and acquires the leadership if it is vacant."""
         found = await self._state.get(records.LEADER)
         if found is not None:
             await self._observe_leader(*found)
@@ -164,22 +168,22 @@
         await self._acquire_lease()
 
     async def _observe_leader(self, value: dict[str, Any], version: int, lease: int | None) -> None:
-        """Waits for the end of another's leadership, or ends what is left of one of our own."""
+        """Waits for the end of another controller's leadership, or revokes a remaining lease of this member."""
         self.leader_member = value["member"]
         if self._suspicion_reason is not None and value["member"] != self._member:
-            self.step_down("another controller leads")
+            self.step_down(f"controller {value['member']} holds the leader key")
         if value["member"] != self._member or lease is None:
             await self._state.watch(records.LEADER, version, self.lease_s * WATCH_TIMEOUT_LEASES)
             return
         if value["nonce"] != self._nonce:
-            # Only one process runs as this member, so the one that held the key is over.
-            log.info("ending lease of former process member=%s lease=%d", self._member, lease)
-        # Or else it is our own acquisition, whose answer was lost or whose key was given up: start anew.
+            # Only one process runs as this member, so the process that acquired the key has ended.
+            log.info("revoking lease of former process member=%s lease=%d", self._member, lease)
+        # Otherwise this process acquired the key, and either lost the answer or gave up the leadership: campaign again.
         await self._state.revoke_lease(lease)
 
     async def _acquire_lease(self) -> None:
-        """Takes the leader key, unless another does so first."""
-        sent = self._clock.seconds()
+        """Acquires the leader key, unless another controller does so first."""
+        sent_at = self._clock.seconds()
         lease = await self._state.grant_lease(self.lease_s)
         guards = {records.LEADER: 0} | self._integrity.guards()
         try:
@@ -195,10 +199,10 @@
         except LeaseExpiredError:
             return
         if self.token is not None:
-            self.step_down("elected anew")
+            self.step_down("elected again after the store lost its records")
         self._lease = lease
         self.key_version = version
-        self._record_renewal(sent)
+        self._record_renewal(sent_at)
         if not self._clock.seconds() < self._held_until:
             await self._end_lease(lease)
             return
@@ -208,15 +212,15 @@
         self._on_elected(token)
 
     async def _renew_lease(self) -> None:
-        """Renews the lease, and waits until the next renewal."""
+        """Renews the lease, and waits until the next renewal is due."""
         if self._lease is None:
             return
-        sent = self._clock.seconds()
+        sent_at = self._clock.seconds()
         try:
             await self._state.renew_lease(self._lease, self.lease_s / RENEWAL_TIMEOUT_DIVISOR)
         except LeaseExpiredError:
-            self.suspect("the lease expired")
+            self.suspect("the leader's lease expired")
             return
         if self.token is not None:
-            self._record_renewal(sent)
+            self._record_renewal(sent_at)
         await sleep(self._clock, self.lease_s / RENEWALS_PER_LEASE)
--- a/stileloft/leadership/invariants.py
+++ b/stileloft/leadership/invariants.py
@@ -1,7 +1,7 @@
-"""Invariants that are checked while the service runs.
+"""Invariants that are checked at run time.
 
-A violation is counted, logged with its evidence and shown in `GET /status`. It never ends the process: where refusing
-is safe, whoever found it refuses what would have been done.
+A violation is counted, logged with its evidence and shown in `GET /status`. It never ends the process: where a refusal
+is safe, the code that detects the violation refuses the action.
 """
 
 import logging
@@ -13,13 +13,13 @@
 log = logging.getLogger(__name__)
 
 MAX_EVIDENCE = 20
-"""Newest violations of which the evidence is kept."""
+"""Number of newest violations whose evidence is kept."""
 MAX_LOGGED_PER_INVARIANT = 100
-"""Violations of each invariant that are logged."""
+"""Number of violations of each invariant that are logged."""
 
 
 class Invariant(StrEnum):
-    """What must hold at each command and answer."""
+    """Conditions that must hold for each command and each answer to a heartbeat."""
 
     NO_START_AFTER_END = "no start is sent of a job that is known to have ended"
     NO_START_WITHOUT_SPARE_TOKEN = "no start is sent that could not be fenced at once"
@@ -31,19 +31,19 @@
 
 
 class InvariantMonitor:
-    """Counts violations; one for each process."""
+    """Counts violations; one instance for each process."""
 
     listener: Callable[[Invariant, str], None] | None = None
-    """Called with each violation in any process of this program; the tests fail on it."""
+    """Called with each violation that any instance records; the tests fail on it."""
 
     def __init__(self) -> None:
         self.violations: Counter[Invariant] = Counter()
         self._evidence: deque[str] = deque(maxlen=MAX_EVIDENCE)
 
     def check(self, holds: bool, invariant: Invariant, evidence: str, *arguments: Any) -> bool:
-        """Takes note if an invariant does not hold; returns whether it does.
+        """Records a violation unless `holds`; returns `holds`.
 
-        The evidence is formatted as a log line is, and only if it is needed.
+        `evidence` is a format string like that of a log line, formatted with `arguments` only for a violation.
         """
         if not holds:
             self._violated(invariant, evidence % arguments)
@@ -59,7 +59,7 @@
             listener(invariant, evidence)
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows: how often each was violated, and the newest evidence."""
+        """Returns what the administration API shows: violations of each invariant, and the newest evidence."""
         return {
             "violations": {invariant.name: count for invariant, count in self.violations.items()},
             "newest": list(self._evidence),
--- a/stileloft/leadership/lease.py
+++ b/stileloft/leadership/lease.py
@@ -1,4 +1,4 @@
-"""The lease of one leadership, as the leader's parts see it."""
+"""The lease of one leadership, as the leader's components see it."""
 
 from stileloft.leadership.election import Election
 from stileloft.model import records
@@ -6,36 +6,36 @@
 
 
 class LeaderLease:
-    """Whether this leadership still holds, and how to give it up; one object for each election that was won."""
+    """Tells whether a leadership is still held, and gives it up; one object for each election won."""
 
     def __init__(self, election: Election, clock: Clock, renewal_grace_s: float) -> None:
         self._election = election
         self._key_version = election.key_version
         self.active = True
-        """Until the leadership is over for this controller; nothing is decided, sent or stored afterwards."""
+        """False once the leadership has ended for this controller; nothing is decided, sent or stored afterwards."""
         self.began_at = clock.seconds()
         self.renewal_grace_s = renewal_grace_s
-        """How long heartbeats are answered without a confirmed lease, in seconds."""
+        """Time for which heartbeats are answered without a confirmed lease, in seconds."""
 
     @property
     def duration_s(self) -> float:
-        """How long the lease lasts without a renewal, in seconds."""
+        """Duration of the lease without a renewal, in seconds."""
         return self._election.lease_s
 
     def is_held(self) -> bool:
-        """Whether nobody else can have been elected yet."""
+        """Returns whether no other controller can have been elected yet."""
         return self.active and self._election.holds_lease()
 
     def seconds_since_renewal(self) -> float:
-        """Seconds since the lease was last known to be alive."""
+        """Returns the seconds since the lease was last known to be valid."""
         return self._election.seconds_since_renewal()
 
     def guard(self) -> dict[str, int]:
-        """The condition of the leader's transactions that no other leader has been elected since."""
+        """Returns the guard of the leader's transactions: no other leader has been elected since."""
         return {records.LEADER: self._key_version}
 
     def suspect(self, reason: str) -> None:
-        """The leadership seems to be over: nothing is decided any more until it is known why."""
+        """Suspends all decisions until it is known whether the leadership has ended."""
         self._election.suspect(reason)
 
     def step_down(self, reason: str) -> None:
@@ -44,9 +44,9 @@
             self._election.step_down(reason)
 
     def pause_campaign(self, seconds: float) -> None:
-        """Leaves the leadership to others for a while."""
+        """Does not campaign for this many seconds, so that another controller can be elected."""
         self._election.pause_campaign(seconds)
 
     def end(self) -> None:
-        """The leadership is over."""
+        """Marks the leadership as ended."""
         self.active = False
--- a/stileloft/leadership/renewal_grace.py
+++ b/stileloft/leadership/renewal_grace.py
@@ -1,22 +1,22 @@
-"""How long a leader may go on answering heartbeats without a confirmed lease."""
+"""The time for which a leader may answer heartbeats without a confirmed lease."""
 
 from stileloft.machines.worker_leases import EXPIRY_MARGIN_LEASES
 from stileloft.settings import Workers
 from stileloft.transport.clock import MAX_CLOCK_DRIFT
 
 MAX_GRACE_LEASES = 3.0
-"""The longest grace, in leases of the workers."""
+"""Upper limit of the grace, in worker leases."""
 
 
 def renewal_grace(timings: Workers, leader_lease_s: float, store_timeout_s: float) -> float:
-    """Seconds for which heartbeats are answered without knowing that we still lead, or what users cancel.
+    """Returns for how many seconds heartbeats are answered without a confirmed lease, or without news of cancellations.
 
-    The earliest cancellation that the leader may not know of is confirmed when it last knew of all
-    (`JobWatch.up_to_date_at`). A worker counts its lease from when it sent the heartbeat, which is before the answer.
-    So what an answer keeps alive is gone after this grace and one lease, with what clocks and their checks may add;
-    that must be within the time for a cancellation. A lease of the leader and a time-out of the state service are left
-    as a reserve.
+    A cancellation that the leader does not know of was confirmed at `JobWatch.up_to_date_at`, when the leader last knew
+    of all, or later. A worker's lease starts when it sends the heartbeat, which is before the answer. So a task that an
+    answer keeps alive ends within this grace and one worker lease, plus the margins for expiry checks and clock drift.
+    That sum must not exceed `cancel_s`, the time limit of a cancellation. One leader lease and one time-out of the
+    state service are subtracted as a reserve.
     """
-    worker_lease_s = timings.lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
-    latest_s = timings.cancel_s - worker_lease_s - leader_lease_s - store_timeout_s
-    return max(0.0, min(MAX_GRACE_LEASES * timings.lease_s, latest_s))
+    max_worker_lease_s = timings.lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
+    remaining_s = timings.cancel_s - max_worker_lease_s - leader_lease_s - store_timeout_s
+    return max(0.0, min(MAX_GRACE_LEASES * timings.lease_s, remaining_s))
