--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -156,9 +156,9 @@
 
     async def _campaign(self) -> None:
         """Reads the leader key, and acquires the leadership if it is vacant."""
-        found = await self._state.get(records.LEADER)
-        if found is not None:
-            await self._observe_leader(*found)
+        leader_key = await self._state.get(records.LEADER)
+        if leader_key is not None:
+            await self._observe_leader(*leader_key)
             return
         if self._integrity.is_sound():
             self.leader_member = None
