--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -1,4 +1,4 @@
-"""Failover: a new leader reads from the store what is unfinished, and goes on with it."""
+"""Failover: a new leader recovers unfinished jobs and their placements from the store, and resumes them."""
 
 import logging
 from typing import Any, Protocol
@@ -22,23 +22,23 @@
 log = logging.getLogger(__name__)
 
 STORE_RETRY_S = 0.3
-"""Pause after the store refused to be read, in seconds."""
+"""Pause after the store could not be read, in seconds."""
 UNEXPECTED_ERROR_RETRY_S = 1.0
 """Pause after any other error, in seconds."""
 
 
 class UnresolvedTaskSource(Protocol):
-    """Tasks of which it is not known whether they completed, as the feature `rebuild` records them."""
+    """The records that the feature `rebuild` keeps of tasks that may or may not have completed."""
 
     async def read(self) -> Any:
-        """All of them, as `apply` takes them."""
+        """Returns all records, in the form that `apply` takes."""
 
     def apply(self, stored: Any) -> None:
-        """Holds them back from being started."""
+        """Prevents starts of the tasks in these records."""
 
 
 class Failover:
-    """Takes over the jobs, machines and records of the former leader."""
+    """Recovers the jobs, machines and records of the former leader."""
 
     def __init__(
         self,
@@ -67,16 +67,16 @@
         self._clock = clock
 
     async def run(self) -> bool:
-        """Reads the store until it succeeds; returns whether it did before the leadership was over."""
+        """Reads the store, with retries; returns False if the leadership ended first."""
         while self._lease.active:
             try:
                 await self._recover()
                 break
             except (UnavailableError, UnknownOutcomeError) as error:
-                log.info("failover delayed, store not readable: %s", error)
+                log.info("failover delayed, store not readable retry_s=%.1f error=%s", STORE_RETRY_S, error)
                 await sleep(self._clock, STORE_RETRY_S)
             except Exception:
-                log.exception("failover failed")
+                log.exception("failover failed retry_s=%.1f", UNEXPECTED_ERROR_RETRY_S)
                 await sleep(self._clock, UNEXPECTED_ERROR_RETRY_S)
         if not self._lease.active:
             return False
@@ -84,8 +84,8 @@
         return True
 
     async def _recover(self) -> None:
-        """Fills the cluster's state; raises the state service's errors, and may then be called again."""
-        # The watch continues from the first read, so that nothing is missed in between.
+        """Loads the cluster state from the store; may be called again after it raised an error of the state service."""
+        # The watch continues from the revision of the first read, so that no change after it is missed.
         asked_at = self._clock.seconds()
         client = self._store.client
         active, revision = await client.scan(records.ACTIVE)
@@ -93,7 +93,7 @@
         provisioned, _ = await client.scan(records.PROVISIONED)
         images, _ = await client.scan(records.IMAGES)
         unresolved = await self._unresolved_tasks.read()
-        # A chunk that was read after its job's record may be newer: its version guards it.
+        # A chunk is read after its job's record and may be newer; the chunk's version guards later writes of it.
         with self._cluster.lock:
             self._cluster.jobs.clear()
             self._load_jobs(active, chunks)
@@ -108,7 +108,7 @@
             self._watch.up_to_date_at = asked_at
 
     def _load_jobs(self, active: list[Item], chunks: list[Item]) -> None:
-        """Unfinished jobs with their chunks, and what is left of those that have ended."""
+        """Loads unfinished jobs with their chunks, and the remaining chunks of jobs that have ended."""
         first_chunk_size = self._store.format.first_chunk_size
         for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
             self._jobs.adopt(job_from_record(value, version, first_chunk_size))
@@ -116,13 +116,13 @@
         for item in chunks:
             by_job.setdefault(records.split_chunk_key(item[0])[0], []).append(item)
         for job_id, items in by_job.items():
-            found = self._cluster.jobs.get(job_id)
-            if found is None:
-                found = self._cluster.jobs[job_id] = cancelled_job(job_id, items, first_chunk_size)
-            apply_chunk_records(found, items)
+            job = self._cluster.jobs.get(job_id)
+            if job is None:
+                job = self._cluster.jobs[job_id] = cancelled_job(job_id, items, first_chunk_size)
+            apply_chunk_records(job, items)
 
     def _resume(self, job: Job) -> None:
-        """Goes on with a job where the former leader left it."""
+        """Continues a job in the state in which the former leader left it."""
         for placement in job.placements():
             self._lifecycle.track(placement)
         if self._store.format.has_chunk_sizes:
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -1,4 +1,4 @@
-"""The leader: what this controller does while it leads."""
+"""The leader: its takeover, its periodic checks, and the events it handles."""
 
 import logging
 from typing import Any
@@ -13,30 +13,30 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-"""How often all machines are checked, in seconds."""
+"""Interval of the check of all machines, in seconds."""
 MAX_SHOWN_AGE_S = 1e9
-"""Shown in place of an age that has no bound."""
+"""Highest age shown in the status, in seconds; stands for an infinite one."""
 
 
 class Leader(LeaderComponents):
-    """The life of one leadership; nothing of it outlives the leadership."""
+    """One leadership from its takeover to its end; its state is discarded with it."""
 
     def begin(self) -> None:
-        """Starts the leader's work."""
+        """Starts the takeover, which goes on in the background."""
         defer.ensureDeferred(self._take_over())
 
     def end(self) -> None:
-        """Ends the leadership: nothing is decided, sent or stored any more."""
+        """Ends the leadership: nothing is decided, sent or stored afterwards."""
         self.lease.end()
         self.scheduling.stop()
 
     async def _take_over(self) -> None:
-        """Reads what is unfinished, claims the machines that are known, and begins the regular work."""
+        """Recovers the state from the store, claims the known machines, and starts the periodic work."""
         defer.ensureDeferred(self.inventory.run())
         if not await self.failover.run():
             return
         with self.cluster.lock:
-            # Where tasks are comes first: their ends and what is to be stopped wait for it.
+            # Machines with placements first: exits and stops of their tasks are processed only once they are claimed.
             for machine in sorted(self.cluster.machines.values(), key=lambda machine: not machine.placements):
                 self.dispatcher.send(machine)
         log.info(
@@ -56,7 +56,7 @@
         self.request_scheduling()
 
     def _check_machines(self) -> None:
-        """Looks after all machines, again and again."""
+        """Checks all machines, sends the commands that are due, and schedules the next check."""
         if not self.lease.active:
             return
         self._clock.callLater(CHECK_INTERVAL_S, self._check_machines)
@@ -69,7 +69,7 @@
                     self.dispatcher.send(machine)
                 self.cluster.expire_nominations(self._clock.seconds())
         except Exception:
-            log.exception("check of the machines failed")
+            log.exception("machine check failed token=%d machines=%d", self.tokens.first, len(self.cluster.machines))
         if self.cluster.dirty:
             self.commit_queue.flush()
         self.request_scheduling()
@@ -77,14 +77,14 @@
     # -- events -----------------------------------------------------------------------
 
     def may_renew_worker_leases(self) -> bool:
-        """Whether an answer of ours may renew a worker's lease."""
+        """Returns whether answers to heartbeats may renew worker leases now."""
         return self.authority.check_renewal() is None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
-        """Takes in a worker's heartbeat, and answers it."""
+        """Processes a worker's heartbeat and returns the answer."""
         if heartbeat.machine in self.releaser.released:
-            # Held back on its way: the cloud has told us that the machine is gone. Believing
-            # it would bring the machine back to life here, and place tasks on nothing.
+            # A delayed heartbeat: the cloud has confirmed that the machine is gone. Processing it
+            # would register the machine again, and tasks would be placed on a machine that does not exist.
             return CommandMessage(self.tokens.first, [])
         with self.cluster.lock:
             answer = self.responder.on_heartbeat(heartbeat)
@@ -92,7 +92,7 @@
         return answer
 
     def on_unanswered_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Takes in a heartbeat whose worker must not count on us, as we know too little to answer it."""
+        """Processes a heartbeat that is left unanswered, because an answer must not renew the worker's lease now."""
         if heartbeat.machine not in self.releaser.released:
             with self.cluster.lock:
                 self.heartbeats.process(heartbeat)
@@ -100,7 +100,7 @@
     # -- administration ---------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows of the leadership."""
+        """Returns what the administration API shows of the leadership."""
         with self.cluster.lock:
             jobs = self.cluster.jobs.values()
             return {
--- a/stileloft/leadership/leader_components.py
+++ b/stileloft/leadership/leader_components.py
@@ -1,4 +1,4 @@
-"""The parts of a leader, and what is handed from one to the other."""
+"""The components of a leader, and the dependencies between them."""
 
 from stileloft.jobs.failure_attribution import FailureAttribution
 from stileloft.jobs.job_backoff import JobBackoff
@@ -52,13 +52,13 @@
 from stileloft.workers.transmission import CommandTransmitter
 
 HEARTBEAT_FLUSH_DELAY_S = 0.02
-"""Heartbeats that come so close together share one commit, in seconds."""
+"""Changes from heartbeats are committed after this delay, so that many share one commit, in seconds."""
 
 
 class LeaderComponents:
-    """Composes the parts that act while this controller leads; each is given what it needs.
+    """Composes the components that act while this controller leads.
 
-    The parts know each other only as far as their constructors say; what would go round in a circle is a callback.
+    Each gets its dependencies as constructor arguments; a dependency that would be circular is a callback instead.
     """
 
     def __init__(self, environment: LeaderEnvironment, lease: LeaderLease, tokens: FencingTokens) -> None:
@@ -84,7 +84,7 @@
         self._build_failover()
 
     def _build_jobs(self) -> None:
-        """The registries of jobs and machines, and the life of tasks."""
+        """Builds the registries of jobs and machines, and the life cycle of tasks."""
         env, clock = self._environment, self._clock
         self.store = LeaderStore(
             env.state, env.write_budget, StoreLimits(self._deployment.state), env.record_format, self.lease
@@ -112,7 +112,7 @@
         self.exits = TaskExitHandler(self.cluster, self.lifecycle, attribution, backoff, self.workload, self._timings)
 
     def _build_store(self) -> None:
-        """What is written to the store, and read again."""
+        """Builds the components that write the store, reload jobs from it, and watch it."""
         env, clock = self._environment, self._clock
         self.reloader = JobReloader(
             self.store,
@@ -152,7 +152,7 @@
         )
 
     def _build_workers(self) -> None:
-        """What may be sent to workers, and under which token."""
+        """Builds the components that decide which commands may be sent to workers, and under which token."""
         env = self._environment
         self.authority = Authority(self.lease, self.tokens, self.cluster, self.job_registry, self.watch)
         self.fencing = MachineFencing(
@@ -163,7 +163,7 @@
         )
 
     def _build_scale_in(self) -> None:
-        """Scaling in: worker leases, and the release of machines."""
+        """Builds scale-in: worker leases, and the release of machines."""
         env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
         lag_s, failure_s = self._deployment.cloud.list_lag_s, self.timeouts.failure_s
         self.boots = BootMonitor(self.lease, env.catalog, clock, failure_s, lease_s, lag_s)
@@ -182,7 +182,7 @@
         )
 
     def _build_scale_out(self) -> None:
-        """Scaling out: machines are provisioned, and recorded for a successor."""
+        """Builds scale-out: machines are provisioned, and recorded for a successor."""
         env, clock, lag_s = self._environment, self._clock, self._deployment.cloud.list_lag_s
         self.provision_records = ProvisionRecords(self.store, self.machine_registry, clock, env.wall_clock, lag_s)
         self.provisioner = MachineProvisioner(
@@ -199,7 +199,7 @@
         )
 
     def _build_membership(self) -> None:
-        """The inventory, and the detection of failures."""
+        """Builds the machine inventory, and failure detection."""
         env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
         self.inventory = MachineInventory(
             self.cluster,
@@ -224,7 +224,7 @@
         )
 
     def _build_dispatcher(self) -> None:
-        """Heartbeats, and commands to workers."""
+        """Builds the processing of heartbeats, and the dispatch of commands to workers."""
         env = self._environment
         self.heartbeats = HeartbeatProcessor(
             self.cluster,
@@ -286,7 +286,7 @@
         )
 
     def _build_snapshots(self) -> None:
-        """What the decisions are made of."""
+        """Builds the snapshots of the cluster state on which scheduling decisions are made."""
         env, clock = self._environment, self._clock
         self.machine_views = MachineViews(
             self.cluster,
@@ -312,7 +312,7 @@
         )
 
     def _build_scheduling_loop(self) -> None:
-        """What decides, and what applies the decisions."""
+        """Builds the scheduling loop, and what applies its decisions."""
         env, clock = self._environment, self._clock
         applier = DecisionApplier(
             self.cluster,
@@ -342,7 +342,7 @@
         )
 
     def _build_failover(self) -> None:
-        """What takes over from the former leader."""
+        """Builds what takes over from the former leader."""
         self.unresolved_tasks = UnresolvedTaskKeeper(
             self.store,
             self.cluster,
@@ -369,16 +369,16 @@
     # -- callbacks --------------------------------------------------------------------
 
     def request_scheduling(self) -> None:
-        """Asks for a scheduling cycle."""
+        """Requests a scheduling cycle."""
         self.scheduling.request()
 
     def _after_heartbeat(self) -> None:
-        """Has written what a heartbeat has changed."""
+        """Schedules the commit of what a heartbeat has changed."""
         if self.cluster.dirty and self.cluster.loaded:
             self.flush_timer.within(HEARTBEAT_FLUSH_DELAY_S)
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
-        """Starts what was bound, at once, and looks for use of what was freed."""
+        """Sends commands for new placements and awaited spare tokens, and requests scheduling if capacity was freed."""
         machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
         machine_ids |= dict.fromkeys(self.fencing.take_machines_awaiting_token())
         with self.cluster.lock:
