--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of direct commands: which machine is sent a message, and when."""
+"""Dispatch of direct commands: decides when a machine is sent a message, and with which commands."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,13 +20,13 @@
 from stileloft.workers.transmission import RETRY_PAUSE_HEARTBEATS, CommandBatch, CommandTransmitter
 
 MAX_COMMANDS_PER_MESSAGE = 200
-"""A body may hold 64 KiB, and several kinds of commands share a message."""
+"""Limit of starts, and of stops and forgets together, in one message: a body may hold 64 KiB."""
 MAX_CLAIMS_SOCKET_FRACTION = 0.125
-"""Claims in flight, as a part of the sockets: a new leader claims hundreds of machines, and some don't answer."""
+"""Fraction of the sockets for claims in flight: a new leader claims hundreds of machines, and some don't answer."""
 MAX_IN_DOUBT_SHOWN = 50
-"""In-doubt starts that `GET /status` shows one by one."""
+"""Number of in-doubt starts that `GET /status` lists."""
 FIRST_EPOCH = 1
-"""The epoch of a worker that was not heard yet, as far as we can know."""
+"""The epoch assumed for a worker that has sent no heartbeat yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +36,12 @@
     heartbeat_s: float
     """Interval of workers' heartbeats, in seconds."""
     reachability_timeout_s: float
-    """A machine that did not show for so long that it hears us is of no use, in seconds."""
+    """A machine is unreachable after this time without evidence that it receives answers or commands, in seconds."""
     max_sockets: int
 
 
 class CommandDispatcher:
-    """Sends machines what is due for them, one message at a time."""
+    """Sends each machine the commands that are due, one message at a time."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         metrics: CommandMetrics,
         after_heartbeat: Callable[[], None],
     ) -> None:
-        """`after_heartbeat` is called when a worker's answer was processed."""
+        """`after_heartbeat` is called after the heartbeat in a worker's answer has been processed."""
         self._cluster = cluster
         self._authority = authority
         self._planner = planner
@@ -69,14 +69,14 @@
         self._after_heartbeat = after_heartbeat
         self._claims_in_flight = 0
         self._max_claims = int(MAX_CLAIMS_SOCKET_FRACTION * settings.max_sockets)
-        """Claims beyond these are sent by a later check of the machines."""
+        """Limit of claims in flight; the periodic check of the machines sends the others later."""
 
     def is_reachable(self, machine: Machine, now: float) -> bool:
-        """Whether the machine showed lately that it hears us: one that is only heard is of no use."""
+        """Returns whether the machine recently showed that answers or commands reach it; heartbeats alone do not."""
         return now - machine.last_reachable_at <= self._settings.reachability_timeout_s
 
     def send(self, machine: Machine) -> None:
-        """Sends what is due for the machine, unless a message to it is in flight, or it is backed off from."""
+        """Sends the commands that are due, unless a message to the machine is in flight or its back-off lasts."""
         now = self._clock.seconds()
         if machine.command_in_flight or not machine.address or now < machine.retry_at:
             return
@@ -87,13 +87,13 @@
         stops = self._planner.due_stops(machine, MAX_COMMANDS_PER_MESSAGE)
         is_claim = not starts and not stops
         if is_claim and not self._may_claim(machine, now):
-            return  # forgets alone can wait for the answer to the next heartbeat
+            return  # forgets alone are sent with the answer to the next heartbeat
         self._send_batch(machine, starts, stops, is_claim, now)
 
     def _send_batch(
         self, machine: Machine, starts: list[Placement], stops: list[StopCommand], is_claim: bool, now: float
     ) -> None:
-        """Sends a message with these starts and stops, and with forgets as far as there is room."""
+        """Sends one message with these starts and stops, and with due forgets up to the limit."""
         forgets = self._planner.due_forgets(machine, MAX_COMMANDS_PER_MESSAGE - len(stops))
         commands: list[Command] = [*stops, *forgets]
         commands += [StartCommand(placement.task, placement.attempt) for placement in starts]
@@ -116,13 +116,13 @@
         with self._cluster.lock:
             self._heartbeats.process(reply.heartbeat)
         if not reply.executed and (batch.epoch, batch.token) != (machine.epoch, machine.token):
-            self.send(machine)  # refused for an epoch or a token that is known better now
+            self.send(machine)  # refused for its epoch or token, which the heartbeat has corrected
         elif self._planner.due_starts(machine) or _has_unsent_stop(machine):
             self._clock.callLater(RETRY_PAUSE_HEARTBEATS * self._settings.heartbeat_s, self.send, machine)
         self._after_heartbeat()
 
     def _has_nothing_due(self, machine: Machine, now: float) -> bool:
-        """Whether it is plain that nothing is due, as for most of a large fleet, which is checked often."""
+        """Returns whether certainly nothing is due: a cheap test, since most of a large fleet is idle at each check."""
         return (
             machine.has_current_token
             and not machine.placements
@@ -132,14 +132,14 @@
         )
 
     def _may_claim(self, machine: Machine, now: float) -> bool:
-        """Whether the machine is to be told our token, or asked whether it hears us, and there is a socket for that."""
+        """Returns whether the machine needs a claim or a reachability probe, may answer it, and a socket is free."""
         is_claimed = machine.has_current_token and not self._fencing.is_acknowledgement_overdue(machine, now)
         if is_claimed and (self.is_reachable(machine, now) or not machine.heartbeat_received):
             return False
         return _can_answer(machine) and self._claims_in_flight < self._max_claims
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows of commands."""
+        """Returns what the administration API shows of commands."""
         machines = self._cluster.machines.values()
         in_doubt = [row for machine in machines for row in machine.inflight_starts.describe(machine.id)]
         return msgspec.structs.asdict(self._metrics) | {
@@ -150,12 +150,12 @@
 
 
 def _can_answer(machine: Machine) -> bool:
-    """Whether the machine may be up; one that is booting sends a heartbeat by itself as soon as it is."""
+    """Returns whether the machine may be up; a booting one sends a heartbeat on its own when its boot is complete."""
     return machine.heartbeat_received or bool(machine.placements) or machine.cloud_state == "running"
 
 
 def _has_unsent_stop(machine: Machine) -> bool:
-    """Whether a stop is due that was not sent to a machine that executes our commands."""
+    """Returns whether an unsent stop is due on a machine that knows the leader's token."""
     return machine.has_current_token and any(
         placement.stop_grace_s is not None and placement.stop_sent_at == 0.0
         for placement in machine.placements.values()
--- a/stileloft/workers/transmission.py
+++ b/stileloft/workers/transmission.py
@@ -1,4 +1,4 @@
-"""Transmission of direct commands: one message to a worker, and what its answer or its lack shows."""
+"""Transmission of direct commands: sends one message to a worker, and records the outcome."""
 
 import logging
 from dataclasses import dataclass
@@ -19,9 +19,9 @@
 log = logging.getLogger(__name__)
 
 RETRY_PAUSE_HEARTBEATS = 0.4
-"""A message is repeated after this part of the heartbeat interval, and later with each further failure."""
+"""Pause before the first retry of a message, in heartbeat intervals; it grows with each further failure."""
 MAX_RETRY_FACTOR = 4
-"""The back-off ends at this multiple of the first pause."""
+"""Upper limit of the back-off, as a multiple of the first pause."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,12 +31,12 @@
     machine: Machine
     token: int
     epoch: int
-    """The worker's epoch for which the commands are meant; in any other it refuses them."""
+    """The worker's epoch for which the commands are meant; the worker refuses them in any other."""
     commands: list[Command]
     starts: list[Placement]
-    """The placements that the message has started."""
+    """The placements whose tasks the message starts."""
     is_claim: bool
-    """Whether it is sent to have the worker take our token and show that it hears us; it may carry forgets."""
+    """Whether the message only conveys the leader's token and probes reachability; it may also carry forgets."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 
 class CommandTransmitter:
-    """Sends messages to workers, and notes what is known of their starts."""
+    """Sends messages to workers, and records the outcomes of their starts."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self._metrics = metrics
 
     async def transmit(self, batch: CommandBatch) -> CommandReply | None:
-        """Sends a message; None if it was not answered, or if the leadership is over or in doubt."""
+        """Sends a message; returns None if it was not answered, or if the leadership has ended or is in doubt."""
         machine = batch.machine
         if batch.starts and log.isEnabledFor(logging.DEBUG):
             tasks = [f"{placement.task}:{placement.attempt}" for placement in batch.starts]
@@ -98,15 +98,25 @@
             self._record_executed(batch)
         if self._tokens.is_from_successor(heartbeat.token):
             self._integrity.observe_token(heartbeat.token)
-            self._lease.suspect(f"{machine.id} knows token {heartbeat.token}")
+            self._lease.suspect(
+                f"machine {machine.id} knows token {heartbeat.token}, above {self._tokens.highest_issued}"
+            )
             return None
         return CommandReply(executed, heartbeat)
 
     def _is_still_allowed(self, batch: CommandBatch) -> bool:
-        """Whether a message may go out now that its connection is made: what was known may have changed since."""
+        """Returns whether a message may be sent now that its connection is made; the state may have changed since."""
         refusal = self._authority.check_transmission(batch.starts, batch.machine)
         if refusal is not None:
-            log.info("commands withdrawn machine=%s reason=%r", batch.machine.id, str(refusal))
+            log.info(
+                "commands withdrawn machine=%s token=%d epoch=%d commands=%d starts=%d reason=%r",
+                batch.machine.id,
+                batch.token,
+                batch.epoch,
+                len(batch.commands),
+                len(batch.starts),
+                str(refusal),
+            )
             self._metrics.messages_withdrawn += 1
             return False
         if not self._assertions.check_transmission(batch.machine, batch.starts):
@@ -115,7 +125,7 @@
         return True
 
     def _record_executed(self, batch: CommandBatch) -> None:
-        """The worker has executed the commands."""
+        """Records that the worker has executed the commands."""
         now = batch.machine.last_reachable_at = self._clock.seconds()
         self._metrics.starts_answered += len(batch.starts)
         for placement in batch.starts:
@@ -124,18 +134,20 @@
                 start.answered_at = now
 
     def _record_failure(self, batch: CommandBatch, error: NotDeliveredError | UncertainDeliveryError) -> None:
-        """A message was not delivered, or it is not known whether it was."""
+        """Records that a message was not delivered, or may not have been, and backs off."""
         machine, now = batch.machine, self._clock.seconds()
         machine.command_in_flight = False
         machine.send_failures += 1
         machine.retry_at = now + self._retry_s * min(MAX_RETRY_FACTOR, machine.send_failures)
         is_uncertain = isinstance(error, UncertainDeliveryError)
         log.info(
-            "%s machine=%s token=%d epoch=%d failures=%d: %s",
+            "%s machine=%s token=%d epoch=%d commands=%d starts=%d failures=%d error=%s",
             "command outcome unknown" if is_uncertain else "commands not delivered",
             machine.id,
             batch.token,
             batch.epoch,
+            len(batch.commands),
+            len(batch.starts),
             machine.send_failures,
             error,
         )
@@ -144,7 +156,7 @@
                 self._record_in_doubt(machine, placement, now)
 
     def _record_in_doubt(self, machine: Machine, placement: Placement, now: float) -> None:
-        """A start may be executed at any later time."""
+        """Marks a start as in doubt: the worker may execute it at any later time."""
         start = machine.inflight_starts.get(placement.task, placement.attempt)
         if start is None or start.in_doubt_since is not None:
             return
