--- a/stileloft/workers/__init__.py
+++ b/stileloft/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Heartbeats of the agents on machines, and the commands sent to them."""
+"""Heartbeats from workers, the agents on machines, and the commands sent to them."""
--- a/stileloft/workers/command_assertions.py
+++ b/stileloft/workers/command_assertions.py
@@ -1,4 +1,4 @@
-"""Invariants of what is sent to workers, asserted apart from the code that decides it."""
+"""Assertions on the messages to workers, independent of the code that decides what is sent."""
 
 from stileloft.leadership.fencing_tokens import FencingTokens
 from stileloft.leadership.invariants import Invariant, InvariantMonitor
@@ -9,7 +9,7 @@
 
 
 class CommandAssertions:
-    """Asserts the invariants of answers and commands; what would violate one is not sent."""
+    """Asserts the invariants of answers and commands; a message that would violate one is not sent."""
 
     def __init__(self, cluster: ClusterState, tokens: FencingTokens, invariants: InvariantMonitor) -> None:
         self._cluster = cluster
@@ -17,7 +17,7 @@
         self._invariants = invariants
 
     def check_renewal(self, machine: Machine, stopped: set[AttemptKey]) -> bool:
-        """Whether an answer that stops these attempts may renew the lease: the bound on a cancelled task holds."""
+        """Returns whether an answer that stops these attempts may renew the lease within the bound on cancellations."""
         jobs, check = self._cluster.jobs, self._invariants.check
         for placement in machine.placements.values():
             job = jobs.get(placement.job)
@@ -34,14 +34,14 @@
         return True
 
     def check_transmission(self, machine: Machine, starts: list[Placement]) -> bool:
-        """Whether starts may go out now: their jobs go on, and they could be fenced at once."""
+        """Returns whether starts may be sent now: their jobs have not ended, and the starts could be fenced at once."""
         jobs, check = self._cluster.jobs, self._invariants.check
         for placement in starts:
             job = jobs.get(placement.job)
-            goes_on = job is not None and job.end_phase is None
+            is_unfinished = job is not None and job.end_phase is None
             evidence = "task=%s attempt=%d machine=%s"
             arguments = placement.task, placement.attempt, machine.id
-            if not check(goes_on, Invariant.NO_START_AFTER_END, evidence, *arguments):
+            if not check(is_unfinished, Invariant.NO_START_AFTER_END, evidence, *arguments):
                 return False
         can_fence = not starts or self._tokens.has_spare_above(machine.token)
         evidence = "machine=%s token=%d"
--- a/stileloft/workers/command_metrics.py
+++ b/stileloft/workers/command_metrics.py
@@ -4,14 +4,14 @@
 
 
 class CommandMetrics(msgspec.Struct):
-    """What was sent, and what was not; shown in `GET /status`."""
+    """Counts of commands sent, answered, in doubt, withdrawn or withheld; shown in `GET /status`."""
 
     starts_sent: int = 0
-    """Starts that went out, repeats included."""
+    """Starts that were sent, including retries."""
     starts_answered: int = 0
     starts_in_doubt: int = 0
     """Attempts with a start whose delivery is uncertain."""
     messages_withdrawn: int = 0
-    """Messages that were no longer allowed when their connection was made."""
+    """Messages that were not sent, as they were no longer allowed when their connection was made."""
     lease_renewals_withheld: int = 0
-    """Answers to heartbeats that renewed no lease, as they would have kept a cancelled task alive."""
+    """Answers to heartbeats that renewed no lease, as a renewal could have kept a cancelled task alive."""
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -1,4 +1,4 @@
-"""Plans commands: the starts, stops and forgets that are due for a machine, as far as they are allowed now."""
+"""Plans commands: the starts, stops and forgets that are due for a machine and allowed now."""
 
 from stileloft.leadership.authority import Authority, Refusal
 from stileloft.model.cluster import ClusterState
@@ -10,7 +10,7 @@
 from stileloft.workers.fencing import MachineFencing
 
 STOP_RETRY_HEARTBEATS = 1.0
-"""A stop is repeated after so many heartbeat intervals."""
+"""Pause before a stop is sent again, in heartbeat intervals."""
 
 
 class CommandPlanner:
@@ -26,9 +26,9 @@
         self._heartbeat_s = heartbeat_s
 
     def due_starts(self, machine: Machine) -> list[Placement]:
-        """Placements whose task has to be started, or whose start has to be repeated.
+        """Returns placements whose start has to be sent or retried.
 
-        Where starts wait for a spare fencing token, one is requested.
+        Requests a spare fencing token if starts have to wait for one.
         """
         unreported = [
             placement
@@ -45,9 +45,9 @@
         return [placement for placement in unreported if self._authority.check_start(placement, machine) is None]
 
     def due_stops(self, machine: Machine, limit: int, for_renewal: bool = False) -> list[StopCommand]:
-        """What the machine has to stop, at most `limit` commands.
+        """Returns at most `limit` stops that are due.
 
-        `for_renewal`: for an answer that renews its lease; the tasks of all jobs that have ended come first.
+        With `for_renewal`, for an answer that renews the lease, stops for all tasks of ended jobs come first.
         """
         now = self._clock.seconds()
         required: list[Placement] = []
@@ -56,12 +56,12 @@
             if placement.stop_grace_s is None or placement.state != PlacementState.BOUND:
                 continue
             if for_renewal and self._cluster.job_has_ended(placement.job):
-                required.append(placement)  # whatever became of the stops before
+                required.append(placement)  # whether or not earlier stops were delivered
             elif self._is_stop_due(placement, now) and _may_have_started(placement):
                 others.append(placement)
         commands: list[StopCommand] = []
         for placement in (required + others)[:limit]:
-            # It paces the repeats only: it moves for as long as the machine sends heartbeats.
+            # This time only paces retries: it is updated as long as the machine sends heartbeats.
             placement.stop_sent_at = now
             commands.append(StopCommand(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
         return commands + self._stops_of_orphaned_tasks(machine)[: limit - len(commands)]
@@ -77,9 +77,9 @@
         ]
 
     def due_forgets(self, machine: Machine, limit: int) -> list[ForgetCommand]:
-        """Exited attempts that the store no longer places there, at most `limit` commands.
+        """Returns at most `limit` forgets of exited attempts that the store no longer places on the machine.
 
-        An attempt is forgotten only once its start is fenced: a late one would run it again.
+        An attempt is forgotten only once its start is fenced, because a late start would run it again.
         """
         authority = self._authority
         if not machine.pending_forgets or authority.check_forgets_on(machine) is not None:
@@ -94,12 +94,12 @@
         if len(allowed) < len(due):
             self._fencing.fence_for_forgets(machine, now)
         for command in allowed:
-            del machine.pending_forgets[command.task]  # an attempt that is reported again is forgotten again
+            del machine.pending_forgets[command.task]  # a forget is scheduled again if the attempt is reported again
             machine.inflight_starts.drop(command.task, command.attempt)
         return allowed
 
     def stops_required_for_renewal(self, machine: Machine) -> set[AttemptKey]:
-        """Attempts that an answer has to stop in order to renew the lease."""
+        """Returns the attempts that an answer must stop in order to renew the lease."""
         return {
             (placement.task, placement.attempt)
             for placement in machine.placements.values()
