--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -1,9 +1,8 @@
 """Fences starts that must not be executed any more, by raising the token that a machine's worker knows.
 
-An in-flight start, one that may still be executed, can be executed at any later time. Once its job has ended the worker
-has to see a higher token before its lease is renewed again: then either it has seen the token, and refuses the start,
-or its lease expires, and with it the epoch that the start was sent to. Neither the state service nor the cloud is
-needed at that moment.
+An in-flight start may be executed at any later time. Once its job has ended, only an answer with a higher token renews
+the worker's lease: either the worker has seen that token and refuses the start, or its lease expires, and with it the
+epoch that the start was sent to. Neither the state service nor the cloud is needed at that moment.
 """
 
 import logging
@@ -23,11 +22,11 @@
 log = logging.getLogger(__name__)
 
 MAX_FENCED_STARTS_KEPT = 64
-"""Fenced starts that are remembered for each machine, to assert that they stay fenced."""
+"""Number of fenced starts kept for each machine, to assert that they stay fenced."""
 
 
 class MachineFencing:
-    """The tokens that machines are addressed with, and what follows from those that their workers know.
+    """Raises the tokens of machines, and evaluates the tokens that their workers acknowledge.
 
     Called with the cluster's lock held.
     """
@@ -48,20 +47,22 @@
         self._flush_timer = flush_timer
         self._timings = timings
         self.machines_awaiting_token: dict[str, None] = {}
-        """Machines that get no starts until there is a spare token."""
+        """Identifiers of machines that are sent no starts until there is a spare token."""
         self.starts_fenced = 0
-        """Starts that were sent and are known never to be executed, in whose place nothing was lost."""
+        """Number of starts that were sent and then fenced, so that they are never executed and no task is lost."""
 
     def fence_starts_of_ended_jobs(self, machine: Machine, now: float) -> bool:
-        """Has our next message fence in-flight starts of jobs that have ended; returns whether they are fenced then."""
-        unwanted = self._unreported_starts_of_ended_jobs(machine)
-        if not unwanted or machine.inflight_starts.highest_token(unwanted) < machine.token:
+        """Raises the token if in-flight starts of ended jobs need it; returns whether the next message fences them."""
+        attempts = self._unreported_starts_of_ended_jobs(machine)
+        if not attempts or machine.inflight_starts.highest_token(attempts) < machine.token:
             return True
-        task, attempt = unwanted[0]
-        return self._raise_token(machine, now, f"start of {task} attempt {attempt} is in flight, its job has ended")
+        task, attempt = attempts[0]
+        return self._raise_token(
+            machine, now, f"start of task {task} attempt {attempt} is in flight after its job ended"
+        )
 
     def _unreported_starts_of_ended_jobs(self, machine: Machine) -> list[AttemptKey]:
-        """Attempts of jobs that have ended which were started and are not reported."""
+        """Returns attempts of ended jobs whose start was sent and which the worker does not report."""
         return [
             (placement.task, placement.attempt)
             for placement in machine.placements.values()
@@ -72,13 +73,13 @@
         ]
 
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
-        """Fences the starts of attempts that are to be forgotten; for many together, as it takes a heartbeat."""
-        raised_lately = now - machine.token_raised_at <= self._timings.lease_s
-        if not raised_lately and self._tokens.has_spare_above(machine.token):
-            self._raise_token(machine, now, "attempts are to be forgotten")
+        """Raises the token to forget attempts: for many at once, at most once per lease, as it takes a heartbeat."""
+        recently_raised = now - machine.token_raised_at <= self._timings.lease_s
+        if not recently_raised and self._tokens.has_spare_above(machine.token):
+            self._raise_token(machine, now, "exited attempts are due to be forgotten")
 
     def _raise_token(self, machine: Machine, now: float, reason: str) -> bool:
-        """Has the machine addressed with a higher token from now on; returns whether there was one."""
+        """Raises the token of all further messages to the machine; returns False if there is no higher spare token."""
         check, previous = self._invariants.check, machine.token
         token = self._tokens.issue_spare_above(previous)
         if token is None:
@@ -103,11 +104,11 @@
         return True
 
     def is_acknowledgement_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether the machine's worker should have shown by a heartbeat that it knows its raised token."""
+        """Returns whether a heartbeat should have acknowledged the machine's raised token by now."""
         return machine.acknowledged_token < machine.token and now > machine.token_raised_at + self._timings.heartbeat_s
 
     def process_heartbeat(self, machine: Machine, tasks: list[TaskStatus]) -> None:
-        """Drops the starts that a trusted heartbeat shows to be fenced: of a lower token, or of an earlier epoch."""
+        """Drops the starts that a trusted heartbeat shows to be fenced: with a lower token, or an earlier epoch."""
         machine.inflight_starts.drop_fenced(machine.epoch, machine.acknowledged_token)
         if not machine.fenced_starts:
             return
@@ -123,14 +124,14 @@
             )
 
     def record_fenced(self, machine: Machine, placement: Placement) -> None:
-        """The worker does not report a task, and has seen a higher token than any that its start had."""
+        """Records a fenced start: the worker does not report the task, and has seen a higher token than the start's."""
         self.starts_fenced += 1
         machine.fenced_starts[placement.task] = placement.attempt
         while len(machine.fenced_starts) > MAX_FENCED_STARTS_KEPT:
             del machine.fenced_starts[next(iter(machine.fenced_starts))]
 
     def request_spare_token(self, machine: Machine, unreported: list[Placement]) -> None:
-        """Has a record of one of these placements' jobs written again: the commit's revision is a spare token."""
+        """Has the record of one of these placements' jobs rewritten: the revision of the commit is a spare token."""
         self.machines_awaiting_token[machine.id] = None
         for placement in unreported:
             job = self._cluster.jobs.get(placement.job)
@@ -143,13 +144,13 @@
             return
 
     def take_machines_awaiting_token(self) -> list[str]:
-        """Takes the machines that waited for a spare token off the list."""
-        found = list(self.machines_awaiting_token)
+        """Returns the identifiers of the machines that awaited a spare token, and clears the list."""
+        machine_ids = list(self.machines_awaiting_token)
         self.machines_awaiting_token.clear()
-        return found
+        return machine_ids
 
     def status(self) -> dict[str, Any]:
-        """What the administration API shows of the tokens."""
+        """Returns what the administration API shows of the tokens."""
         tokens = self._tokens
         return {
             "first": tokens.first,
--- a/stileloft/workers/task_reconciliation.py
+++ b/stileloft/workers/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of the tasks that a machine reports with those that the store places there."""
+"""Reconciliation of the tasks that a machine reports with those that the store places on it."""
 
 import logging
 from collections.abc import Callable
@@ -40,7 +40,7 @@
         self._request_scheduling = request_scheduling
 
     def reconcile(self, machine: Machine, tasks: list[TaskStatus], now: float) -> None:
-        """Brings placements and orphaned tasks in line with a heartbeat that carries our own token."""
+        """Updates placements and orphaned tasks from a heartbeat that carries a token of this leader."""
         missing = dict(machine.placements)
         orphaned_tasks: dict[str, OrphanedTask] = {}
         self._fencing.process_heartbeat(machine, tasks)
@@ -67,7 +67,7 @@
         return OrphanedTask(task.attempt, spec.cpus, spec.gpus or 0.0, spec.memory_gb, spec.team)
 
     def _update_orphaned_tasks(self, machine: Machine, orphaned_tasks: dict[str, OrphanedTask]) -> None:
-        """Notes the tasks that run there without a placement; the next commands stop them."""
+        """Records the tasks that run on the machine without a placement; the next commands stop them."""
         if machine.orphaned_tasks.keys() - orphaned_tasks.keys():
             self._request_scheduling()
         if orphaned_tasks.keys() != machine.orphaned_tasks.keys():
@@ -79,18 +79,18 @@
         machine.orphaned_tasks = orphaned_tasks
 
     def _handle_missing_task(self, machine: Machine, placement: Placement) -> None:
-        """The machine does not report a task that is placed there."""
+        """Handles a placement whose task the machine does not report."""
         placement.reported_state = None
         if placement.state != PlacementState.BOUND:
             return
-        unwanted = machine.drain_reason is not None or placement.stop_grace_s is not None
+        is_unwanted = machine.drain_reason is not None or placement.stop_grace_s is not None
         if placement.sent_epoch is None:
-            if unwanted:
-                # The worker knows our token, so no former leader's start can be executed any more.
+            if is_unwanted:
+                # The worker knows this leader's token, so no start of a former leader can be executed any more.
                 self._lifecycle.end(placement, EndReason.NOT_STARTED)
         elif placement.sent_epoch < machine.epoch:
-            # A worker kills its tasks when an epoch ends, and starts sent in one fail in the next.
+            # A worker kills its tasks when its epoch ends, and refuses starts sent to an earlier epoch.
             self._lifecycle.end(placement, EndReason.EPOCH_OVER)
-        elif unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
+        elif is_unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
             self._fencing.record_fenced(machine, placement)
             self._lifecycle.end(placement, EndReason.START_FENCED)
