--- a/stileloft/workers/heartbeat_responder.py
+++ b/stileloft/workers/heartbeat_responder.py
@@ -1,4 +1,4 @@
-"""Answers to heartbeats: each renews its worker's lease, or is one that the worker ignores."""
+"""Answers to heartbeats: an answer either renews the worker's lease or is ignored by the worker."""
 
 import logging
 
@@ -17,11 +17,11 @@
 log = logging.getLogger(__name__)
 
 UNANSWERED_RETRY_S = 4.5
-"""A worker that got no answer sends its next heartbeat to the same controller after this long at the earliest."""
+"""Minimum time until a worker that got no answer sends a heartbeat to the same controller again, in seconds."""
 MAX_COMMANDS_PER_ANSWER = 500
-"""A body may hold 64 KiB, and a stop takes some 110 bytes at the most."""
+"""Limit of commands in an answer: a body may hold 64 KiB, and a stop takes at most about 110 bytes."""
 NO_TOKEN = 0
-"""The token of an answer that its worker ignores: it renews no lease."""
+"""The token of an answer that the worker ignores, and that renews no lease."""
 
 
 class HeartbeatResponder:
@@ -48,22 +48,22 @@
         self._metrics = metrics
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> CommandMessage:
-        """Processes a heartbeat that a worker sent, and answers it."""
+        """Processes a heartbeat and returns the answer to it."""
         now = self._clock.seconds()
         machine = self._machines.get_or_create(heartbeat.machine)
         epoch, sequence = machine.epoch, machine.sequence
-        previous_at, was_claimed = machine.last_heartbeat_at, machine.claimed
+        previous_heartbeat_at, was_claimed = machine.last_heartbeat_at, machine.claimed
         self._heartbeats.process(heartbeat)
         if (machine.epoch, machine.sequence) == (epoch, sequence):
-            # A late copy must show no sign of life. If it is the original, overtaken by the answer to a command, its
-            # worker is to ignore this answer: it must renew no lease that we don't count.
+            # A late duplicate is no sign of life. It may also be the original, overtaken by the heartbeat in an answer
+            # to a command; the worker must then ignore this answer, as a renewal would not be recorded here.
             return CommandMessage(NO_TOKEN, [])
         if machine.epoch != epoch:
-            machine.last_reachable_at = float("-inf")  # its tasks were lost though we answered: does it hear us?
-        elif was_claimed and now - previous_at < UNANSWERED_RETRY_S:
-            # Unanswered it would not have come to us again so soon. The previous heartbeat may have been an old one,
-            # so this counts only once the worker is known to have our token.
-            machine.last_reachable_at = max(machine.last_reachable_at, previous_at)
+            machine.last_reachable_at = float("-inf")  # it lost its tasks despite the answers, so they may not reach it
+        elif was_claimed and now - previous_heartbeat_at < UNANSWERED_RETRY_S:
+            # Without an answer the worker would not have returned to this controller so soon. The previous heartbeat
+            # may have been an old one, so this counts only once the worker is known to have the leader's token.
+            machine.last_reachable_at = max(machine.last_reachable_at, previous_heartbeat_at)
         machine.last_pushed_heartbeat_at = now
         answer = self._renew_lease(machine, now)
         if not machine.has_current_token or (not machine.command_in_flight and self._planner.due_starts(machine)):
@@ -71,11 +71,12 @@
         return answer
 
     def _renew_lease(self, machine: Machine, now: float) -> CommandMessage:
-        """An answer that renews a worker's lease, or one that its worker ignores if that would break the bound.
+        """Returns an answer that renews the lease, or one that the worker ignores if that would break the bound.
 
-        A worker that does not know our token learns it with this answer. So it has to tell of all that is cancelled:
-        the stops of what may run, and a token that fences what may still start. If not all of it fits in, the lease is
-        not renewed; direct commands stop the rest, and if they don't come through, the lease's expiry does.
+        A worker that does not know the leader's token learns it from this answer. So the answer must cover all
+        cancelled jobs: it stops their tasks that may run, and its token fences their starts that may still be executed.
+        If not all stops fit in, the lease is not renewed; direct commands then stop the tasks, or, if these commands
+        don't arrive, the expiry of the lease does.
         """
         required = self._planner.stops_required_for_renewal(machine)
         is_fenced = self._fencing.fence_starts_of_ended_jobs(machine, now)
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: what workers tell of their machines."""
+"""Processing of heartbeats, which report the state of machines and their tasks."""
 
 import logging
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class HeartbeatProcessor:
-    """Processes heartbeats in the order in which their workers made them. Called with the cluster's lock held."""
+    """Processes each worker's heartbeats in the order of their creation. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._request_scheduling = request_scheduling
 
     def process(self, heartbeat: Heartbeat) -> Machine:
-        """Takes in a heartbeat, unless a newer one is known."""
+        """Updates the machine from a heartbeat, unless a newer one has been processed; returns the machine."""
         now = self._clock.seconds()
         machine = self._machines.get_or_create(heartbeat.machine)
         if machine.heartbeat_received and (heartbeat.epoch, heartbeat.sequence) <= (machine.epoch, machine.sequence):
@@ -56,7 +56,7 @@
         if heartbeat.reclaim_in_s is not None and machine.reclaim_at is None:
             self._record_reclaim(machine, heartbeat.reclaim_in_s, now)
         if machine.has_current_token and self._cluster.loaded:
-            # Before the store was read, all of its tasks would look as if they were not to be there, and be stopped.
+            # Before the store has been read, all of its tasks would look orphaned, and be stopped.
             self._reconciler.reconcile(machine, heartbeat.tasks, now)
         machine.idle_since = None if machine.placements or machine.orphaned_tasks else (machine.idle_since or now)
         return machine
@@ -68,32 +68,32 @@
         machine.type, machine.zone, machine.spot = heartbeat.type, heartbeat.zone, heartbeat.spot
 
     def _record_boot(self, machine: Machine, now: float) -> None:
-        """The machine has sent its first heartbeat."""
+        """Records that the machine has sent its first heartbeat."""
         machine.up_since = now
         machine.scheduling_view = None
-        # Failures from before it was up say nothing about it.
+        # Commands that failed before the machine was up say nothing about it.
         machine.send_failures, machine.retry_at = 0, 0.0
         log.info("machine up machine=%s type=%s zone=%s spot=%s", machine.id, machine.type, machine.zone, machine.spot)
         self._boots.record_boot(machine)
         self._request_scheduling()
 
     def _update_token(self, machine: Machine, token: int, is_new_epoch: bool, now: float) -> None:
-        """Notes the token that the worker knows: its heartbeats are trusted while that is one of ours."""
+        """Records the token that the worker knows; its heartbeats are trusted while this leader issued that token."""
         had_current_token = machine.has_current_token
         machine.has_current_token = self._tokens.is_own(token)
         machine.acknowledged_token = token
         is_claimed_now = machine.has_current_token and not machine.claimed
         if is_new_epoch or is_claimed_now:
-            # An epoch that nobody answers lasts for a lease as well, and what was started in it lives as long.
+            # A new epoch lasts for one lease even without any answer, and so do tasks that are started in it.
             machine.lease_renewed_at = now
         if is_claimed_now:
             machine.claimed = True
-            machine.last_pushed_heartbeat_at = now  # having learned our token, it sends one by itself at once
+            machine.last_pushed_heartbeat_at = now  # a worker that learns a token sends a heartbeat at once
         if machine.has_current_token and not had_current_token:
             self._request_scheduling()
 
     def _record_reclaim(self, machine: Machine, reclaim_in_s: float, now: float) -> None:
-        """The cloud has announced that it takes the spot instance away."""
+        """Records that the cloud has announced the reclaim of the spot instance."""
         log.info("spot instance to be reclaimed machine=%s seconds_left=%.1f", machine.id, reclaim_in_s)
         machine.reclaim_at = now + reclaim_in_s
         machine.drain_reason = DrainReason.RECLAIMED.value
@@ -101,7 +101,7 @@
 
 
 def _drop_former_epoch(machine: Machine) -> None:
-    """Drops what was known of a worker that has begun a new epoch: it has killed its tasks, and forgotten them."""
+    """Drops the state from the worker's former epoch: the worker has killed and forgotten its tasks."""
     machine.fenced_starts.clear()
     machine.pending_forgets.clear()
     machine.orphaned_tasks.clear()
--- a/stileloft/workers/task_states.py
+++ b/stileloft/workers/task_states.py
@@ -1,4 +1,4 @@
-"""States of placed tasks, as heartbeats show them."""
+"""States of placed tasks, as reported by heartbeats."""
 
 import logging
 
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 COUNTS_FLUSH_DELAY_S = 0.25
-"""The counts that users see are committed this soon after a task has begun to run, in seconds."""
+"""Delay of the commit of the counts that users see, after a task has begun to run, in seconds."""
 
 
 class TaskStateTracker:
@@ -36,7 +36,7 @@
         self._wall_clock = wall_clock
 
     def update(self, machine: Machine, placement: Placement, task: TaskStatus, now: float) -> None:
-        """A heartbeat reports a task that is placed there."""
+        """Processes the state that a heartbeat reports for a task placed on the machine."""
         if task.state == TaskState.EXITED:
             self._exits.handle(machine, placement, task.exit_reason, now)
             return
@@ -46,7 +46,7 @@
         machine.scheduling_view = None
         job = self._cluster.jobs.get(placement.job)
         if job is not None and task.state in (TaskState.WAITING, TaskState.RUNNING):
-            # One that waits for the others of its gang has its image too, but has not begun.
+            # A task that waits for the others of its gang already has its image, but has not begun.
             self._images.record_use(machine, job.spec.image)
         if task.state == TaskState.RUNNING:
             self._record_running(placement, job, now)
