--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -14,8 +14,8 @@
 from stileloft.model.job_records import apply_chunk_records, cancelled_job, job_from_record
 from stileloft.model.jobs import Job
 from stileloft.protocol.state import Item, UnavailableError, UnknownOutcomeError
-from stileloft.store.access import LeaderStore
 from stileloft.store.format_upgrade import FormatUpgrade
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.timers import sleep
 
@@ -109,16 +109,16 @@
 
     def _load_jobs(self, active: list[Item], chunks: list[Item]) -> None:
         """Loads unfinished jobs with their chunks, and the remaining chunks of jobs that have ended."""
-        first_chunk_size = self._store.format.first_chunk_size
+        legacy_chunk_size = self._store.format.legacy_chunk_size
         for _, value, version in sorted(active, key=lambda item: item[1]["t"]):
-            self._jobs.adopt(job_from_record(value, version, first_chunk_size))
+            self._jobs.add(job_from_record(value, version, legacy_chunk_size))
         by_job: dict[str, list[Item]] = {}
         for item in chunks:
             by_job.setdefault(records.split_chunk_key(item[0])[0], []).append(item)
         for job_id, items in by_job.items():
             job = self._cluster.jobs.get(job_id)
             if job is None:
-                job = self._cluster.jobs[job_id] = cancelled_job(job_id, items, first_chunk_size)
+                job = self._cluster.jobs[job_id] = cancelled_job(job_id, items, legacy_chunk_size)
             apply_chunk_records(job, items)
 
     def _resume(self, job: Job) -> None:
--- a/stileloft/leadership/leader_components.py
+++ b/stileloft/leadership/leader_components.py
@@ -24,20 +24,20 @@
 from stileloft.machines.worker_leases import WorkerLeases
 from stileloft.model.cluster import ClusterState
 from stileloft.model.machines import Machine
-from stileloft.rebuild.operator_decisions import UnresolvedTaskKeeper
+from stileloft.rebuild.unresolved_task_manager import UnresolvedTaskManager
 from stileloft.scheduling.decision_applier import DecisionApplier
-from stileloft.scheduling.machine_views import MachineViews
+from stileloft.scheduling.machine_view_cache import MachineViewCache
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.scheduling.snapshot_builder import SnapshotBuilder
 from stileloft.scheduling.workload import Workload
-from stileloft.store.access import LeaderStore
 from stileloft.store.commit_applier import CommitApplier
 from stileloft.store.commit_queue import CommitQueue
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.format_upgrade import FormatUpgrade
 from stileloft.store.job_reloader import JobReloader
 from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.leader_store import LeaderStore
 from stileloft.store.limits import StoreLimits
 from stileloft.workers.command_assertions import CommandAssertions
 from stileloft.workers.command_metrics import CommandMetrics
@@ -66,7 +66,7 @@
         self._clock = environment.clock
         self._deployment = environment.settings.deployment
         self._timings = self._deployment.workers
-        self.timeouts = FailureTimeouts.of(self._timings)
+        self.timeouts = FailureTimeouts.from_settings(self._timings)
         self._teams = {team.name: team for team in self._deployment.teams}
         self.lease = lease
         self.tokens = tokens
@@ -146,7 +146,7 @@
             self.lifecycle,
             env.integrity,
             clock,
-            env.record_format.first_chunk_size,
+            env.record_format.legacy_chunk_size,
             self.reloader.reload,
             self.request_scheduling,
         )
@@ -288,7 +288,7 @@
     def _build_snapshots(self) -> None:
         """Builds the snapshots of the cluster state on which scheduling decisions are made."""
         env, clock = self._environment, self._clock
-        self.machine_views = MachineViews(
+        self.machine_views = MachineViewCache(
             self.cluster,
             self.lifecycle,
             self.workload,
@@ -343,7 +343,7 @@
 
     def _build_failover(self) -> None:
         """Builds what takes over from the former leader."""
-        self.unresolved_tasks = UnresolvedTaskKeeper(
+        self.unresolved_tasks = UnresolvedTaskManager(
             self.store,
             self.cluster,
             self.job_registry,
@@ -375,7 +375,7 @@
     def _after_heartbeat(self) -> None:
         """Schedules the commit of what a heartbeat has changed."""
         if self.cluster.dirty and self.cluster.loaded:
-            self.flush_timer.within(HEARTBEAT_FLUSH_DELAY_S)
+            self.flush_timer.flush_within(HEARTBEAT_FLUSH_DELAY_S)
 
     def _after_commit(self, parts: list[JobTransaction]) -> None:
         """Sends commands for new placements and awaited spare tokens, and requests scheduling if capacity was freed."""
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -10,9 +10,9 @@
 from stileloft.protocol.state import ConflictError, UnavailableError, UnknownOutcomeError
 from stileloft.rebuild import unresolved_tasks
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
-from stileloft.store.access import LeaderStore
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
+from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 from stileloft.transport.retry import RetryPolicy, repeat
 from stileloft.transport.timers import sleep
@@ -27,7 +27,7 @@
 """By job: its unresolved tasks, and the version of their record."""
 
 
-class UnresolvedTaskKeeper:
+class UnresolvedTaskManager:
     """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
 
     def __init__(
@@ -52,19 +52,19 @@
         """All that is unresolved; nothing is asked without the feature."""
         if not self._integrity.detects_loss:
             return {}
-        items, _ = await self._store.client.scan(records.UNDECIDED)
+        items, _ = await self._store.client.scan(records.UNRESOLVED)
         return {
-            key[len(records.UNDECIDED) :]: (unresolved_tasks.from_record(value), version)
+            key[len(records.UNRESOLVED) :]: (unresolved_tasks.from_record(value), version)
             for key, value, version in items
         }
 
     def apply(self, stored: Stored) -> None:
         """Has no unresolved task started; called with the cluster's lock held."""
-        self._jobs.undescribed = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
+        self._jobs.lost_spec_jobs = frozenset(job for job, (found, _) in stored.items() if found.spec_lost)
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
-                job.tasks_awaiting_operator = frozenset(found.open_tasks())
+                job.tasks_awaiting_operator = frozenset(found.blocked_tasks())
 
     async def run(self) -> None:
         """Does what operators decide, for as long as the leadership lasts."""
@@ -81,7 +81,7 @@
 
     def _anything_unresolved(self) -> bool:
         jobs = list(self._cluster.jobs.values())
-        return bool(self._jobs.undescribed) or any(job.tasks_awaiting_operator for job in jobs)
+        return bool(self._jobs.lost_spec_jobs) or any(job.tasks_awaiting_operator for job in jobs)
 
     async def _carry_out_one(self, job_id: str, found: UnresolvedTasks, version: int) -> None:
         job = self._cluster.jobs.get(job_id)
@@ -92,16 +92,16 @@
         elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
             return
         # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
-        key = records.UNDECIDED + job_id
+        key = records.UNRESOLVED + job_id
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks settled job=%s", job_id)
         with self._cluster.lock:
-            self._jobs.undescribed -= {job_id}
+            self._jobs.lost_spec_jobs -= {job_id}
         self._request_scheduling()
 
     def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
         """Brings the job in line with the decisions; returns whether all are carried out and stored."""
-        open_tasks = found.open_tasks()
+        blocked_tasks = found.blocked_tasks()
         for text, decision in found.decisions.items():
             index = int(text)
             chunk = job.chunk_of(index)
@@ -111,8 +111,8 @@
                 job.done += 1
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
-        job.tasks_awaiting_operator = frozenset(open_tasks)
+        job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
-        self._flush_timer.within(0.0)
+        self._flush_timer.flush_within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
         return decided and not job.write.dirty and not job.write.commit_in_flight
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -5,7 +5,7 @@
 from stileloft.model.machines import fits_type
 from stileloft.protocol.messages import JobSpec, MachineType
 from stileloft.scheduling.constraints import machine_allowed
-from stileloft.scheduling.machine_scoring import LEAST_FETCH_GB_PER_S
+from stileloft.scheduling.machine_scoring import MIN_FETCH_GB_PER_S
 from stileloft.scheduling.machine_view import MachineView
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
@@ -32,7 +32,7 @@
     """Boot and image fetch of a new machine for the job, at the best; 0 if no type suits it."""
     return min(
         (
-            machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
+            machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
             for machine_type in types
             if fits_type(spec, machine_type)
         ),
@@ -60,7 +60,7 @@
     return -LATE_BOOTS * ready_s < spare_s < EARLY_BOOTS * ready_s
 
 
-def served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
+def can_be_served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
     """Whether the present machines will have room well before a new one could be up.
 
     What gangs are to have of it is taken already: a job that waited for that room would wait for ever.
--- a/stileloft/workers/task_reconciliation.py
+++ b/stileloft/workers/task_reconciliation.py
@@ -90,7 +90,7 @@
                 self._lifecycle.end(placement, EndReason.NOT_STARTED)
         elif placement.sent_epoch < machine.epoch:
             # A worker kills its tasks when its epoch ends, and refuses starts sent to an earlier epoch.
-            self._lifecycle.end(placement, EndReason.EPOCH_OVER)
+            self._lifecycle.end(placement, EndReason.EPOCH_ENDED)
         elif is_unwanted and machine.inflight_starts.get(placement.task, placement.attempt) is None:
             self._fencing.record_fenced(machine, placement)
             self._lifecycle.end(placement, EndReason.START_FENCED)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -292,21 +292,21 @@
     )
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.reduce_after_refusal(["small"] * 8, 10)
-    assert (limits.ops, limits.value_bytes) == (5, 4096)
+    assert (limits.max_changes, limits.max_value_bytes) == (5, 4096)
     limits.reduce_after_refusal(["small", "x" * 3000], 2)
-    assert (limits.ops, limits.value_bytes) == (5, 2048)
+    assert (limits.max_changes, limits.max_value_bytes) == (5, 2048)
     for _ in range(40):
         limits.reduce_after_refusal(["small"], 1)
-    assert limits.ops == 5
-    assert limits.value_bytes == 512
+    assert limits.max_changes == 5
+    assert limits.max_value_bytes == 512
     # Of large values too fewer changes are tried first: smaller values would make more of them.
     limits = StoreLimits(State(100.0, 50.0, 4.0, 12))
     limits.reduce_after_refusal(["x" * 3000] * 6, 6)
-    assert (limits.ops, limits.value_bytes) == (3, 4096)
+    assert (limits.max_changes, limits.max_value_bytes) == (3, 4096)
     for _ in range(3):
         limits.reduce_after_refusal(["x" * 3000] * 3, 3)
-    assert limits.ops == 2
-    assert limits.value_bytes < 4096
+    assert limits.max_changes == 2
+    assert limits.max_value_bytes < 4096
 
 
 def stored_spec(pieces: int) -> JobSpec:
@@ -334,7 +334,7 @@
     chunk = job.chunk_of(0)
     chunk.attempt, chunk.done = 999, set(range(0, 2 * done, 2))
     for index in range(2 * done, 2 * done + placed):
-        job.add(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PlacementState.PLANNED))
+        job.add_placement(Placement("j-1", index, 999, name, "zone-with-a-long-name", True, PlacementState.PLANNED))
     return job, chunk
 
 
