--- a/stileloft/leadership/leader_parts.py
+++ b/stileloft/leadership/leader_parts.py
@@ -36,7 +36,7 @@
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.format_upgrade import FormatUpgrade
 from stileloft.store.job_reloader import JobReloader
-from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_write_set import JobWriteSet
 from stileloft.store.leader_store import LeaderStore
 from stileloft.store.limits import StoreLimits
 from stileloft.workers.command_assertions import CommandAssertions
@@ -377,7 +377,7 @@
         if self.cluster.dirty and self.cluster.loaded:
             self.flush_timer.flush_within(HEARTBEAT_FLUSH_S)
 
-    def _after_commit(self, parts: list[JobTransaction]) -> None:
+    def _after_commit(self, parts: list[JobWriteSet]) -> None:
         """Starts what was bound, at once, and looks for use of what was freed."""
         machine_ids = dict.fromkeys(placement.machine for part in parts for placement in part.new_placements)
         machine_ids |= dict.fromkeys(self.fencing.take_waiting_machines())
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -6,7 +6,7 @@
 from stileloft.model.placements import PlacementState
 from stileloft.model.records.keys import chunk_key
 from stileloft.store.job_record_policy import JobRecordPolicy
-from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_write_set import JobWriteSet
 from stileloft.store.leader_store import LeaderStore
 
 
@@ -17,54 +17,56 @@
         self._store = store
         self._policy = policy
 
-    def add(self, part: JobTransaction, number: int) -> int:
+    def add(self, write_set: JobWriteSet, number: int) -> int:
         """Adds a chunk; returns how many of its tasks are done that were not before."""
-        job = part.job
+        job = write_set.job
         chunk = job.chunks[number]
         ended, live = chunk.ended_placements(), chunk.live_placements()
         completed = {p.index for p in ended if p.done}
-        if not part.is_inline:
-            part.guards[chunk_key(job.id, number)] = chunk.version
-        part.cleared_placements += ended
+        if not write_set.is_inline:
+            write_set.guards[chunk_key(job.id, number)] = chunk.version
+        write_set.cleared_placements += ended
         if job.end_phase and not live:
-            part.deletes += stored_keys(job, number)
-            part.removed_chunks.append(number)
+            write_set.deletes += stored_keys(job, number)
+            write_set.removed_chunks.append(number)
             return 0
         # What is left of a cancelled job is recorded until it is gone.
         complete = not live and len(chunk.done | completed) == job.chunk_length(number)
         if (
             not job.end_phase
             and complete
-            and self._policy.has_room_for_finished(job, {*part.newly_finished_chunks, number})
+            and self._policy.has_room_for_finished(job, {*write_set.newly_finished_chunks, number})
         ):
-            part.deletes += stored_keys(job, number)
-            part.newly_finished_chunks.append(number)
+            write_set.deletes += stored_keys(job, number)
+            write_set.newly_finished_chunks.append(number)
         else:
-            part.written_chunks.append(number)
-            part.new_placements += [p for p in live if p.state == PlacementState.PLANNED]
-            if not part.is_inline:
-                self._put(part, number, chunk)
+            write_set.written_chunks.append(number)
+            write_set.new_placements += [p for p in live if p.state == PlacementState.PLANNED]
+            if not write_set.is_inline:
+                self._put(write_set, number, chunk)
         return len(completed - chunk.done)
 
-    def _put(self, part: JobTransaction, number: int, chunk: Chunk) -> None:
+    def _put(self, write_set: JobWriteSet, number: int, chunk: Chunk) -> None:
         """Writes a chunk as records of its own."""
-        job = part.job
+        job = write_set.job
         key = chunk_key(job.id, number)
         # A leader that has just begun may not have read the format yet. The size must be told all the same if the
         # job's record has it: what is left of a cancelled job is read by the size that its chunks tell.
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
-            part.puts[key] = whole_chunk_value(chunk, job.spec, None)
+            write_set.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
         values = chunk_values(chunk, job.spec, job.chunk_size, self._store.limits.max_value_bytes)
-        part.puts[key] = values[0]
-        part.overflow[number] = values[1:]
+        write_set.puts[key] = values[0]
+        write_set.overflow[number] = values[1:]
         for overflow, value in enumerate(values[1:], 1):
             stored = chunk.overflow.get(overflow, NO_RECORD)
             overflow_key = chunk_key(job.id, number, overflow)
-            part.guards[overflow_key] = stored.version
+            write_set.guards[overflow_key] = stored.version
             if value != stored.value:
-                part.puts[overflow_key] = value
-        part.deletes += [chunk_key(job.id, number, overflow) for overflow in chunk.overflow if overflow >= len(values)]
+                write_set.puts[overflow_key] = value
+        write_set.deletes += [
+            chunk_key(job.id, number, overflow) for overflow in chunk.overflow if overflow >= len(values)
+        ]
 
 
 def stored_keys(job: Job, number: int) -> list[str]:
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -6,7 +6,7 @@
 from stileloft.model.jobs import EndPhase
 from stileloft.model.placements import PlacementState
 from stileloft.model.records import VersionedValue
-from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_write_set import JobWriteSet
 from stileloft.transport.clock import Clock
 
 
@@ -18,30 +18,30 @@
         self._lifecycle = lifecycle
         self._clock = clock
 
-    def apply(self, part: JobTransaction, revision: int) -> None:
+    def apply(self, write_set: JobWriteSet, revision: int) -> None:
         """Applies a job's part of a transaction that was executed at this revision of the store."""
-        job = part.job
+        job = write_set.job
         job.write.commit_in_flight = False
-        self._settle_placements(part)
-        self._settle_chunks(part, revision)
-        if part.ends_job:
+        self._settle_placements(write_set)
+        self._settle_chunks(write_set, revision)
+        if write_set.ends_job:
             job.done = job.spec.tasks
             self._lifecycle.end_job(job, EndPhase.DONE)
-        elif part.writes_job_record:
-            job.stores_chunk_size = part.has_chunk_size
+        elif write_set.writes_job_record:
+            job.stores_chunk_size = write_set.has_chunk_size
             job.version = revision
-            job.write.stored_counts = part.counts
+            job.write.stored_counts = write_set.counts
             job.write.counts_stored_at = self._clock.seconds()
         if job.end_phase and not job.chunks:
             self._jobs.remove(job)
 
-    def _settle_placements(self, part: JobTransaction) -> None:
+    def _settle_placements(self, write_set: JobWriteSet) -> None:
         """Planned placements are bound now, and ended ones are no longer stored."""
-        job = part.job
-        for placement in part.new_placements:
+        job = write_set.job
+        for placement in write_set.new_placements:
             if placement.state == PlacementState.PLANNED:
                 placement.state = PlacementState.BOUND
-        for placement in part.cleared_placements:
+        for placement in write_set.cleared_placements:
             chunk = job.chunk_of(placement.index)
             if placement.done and not job.end_phase and placement.index not in chunk.done:
                 chunk.done.add(placement.index)
@@ -51,22 +51,22 @@
             self._lifecycle.untrack(placement)
 
     @staticmethod
-    def _settle_chunks(part: JobTransaction, revision: int) -> None:
+    def _settle_chunks(write_set: JobWriteSet, revision: int) -> None:
         """Notes where the store holds each chunk, and in which version."""
-        job = part.job
-        for number in part.written_chunks:
+        job = write_set.job
+        for number in write_set.written_chunks:
             chunk = job.chunks[number]
-            if part.is_inline:
+            if write_set.is_inline:
                 chunk.storage = ChunkStorage.INLINE
                 continue
             chunk.storage = ChunkStorage.OWN_RECORDS
             chunk.version = revision
             before, chunk.overflow = chunk.overflow, {}
-            for overflow, value in enumerate(part.overflow.get(number, ()), 1):
+            for overflow, value in enumerate(write_set.overflow.get(number, ()), 1):
                 stored = before.get(overflow, NO_RECORD)
                 chunk.overflow[overflow] = stored if stored.value == value else VersionedValue(value, revision)
-        for number in part.newly_finished_chunks:
+        for number in write_set.newly_finished_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
-        for number in part.removed_chunks:
+        for number in write_set.removed_chunks:
             del job.chunks[number]
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -21,8 +21,8 @@
 from stileloft.store.flush_timer import FlushTimer
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.store.job_record_policy import COUNTS_INTERVAL_S, MAX_COUNTS_DELAY_S
-from stileloft.store.job_transaction import JobTransaction
-from stileloft.store.job_transaction_builder import JobTransactionBuilder
+from stileloft.store.job_write_set import JobWriteSet
+from stileloft.store.job_write_set_builder import JobWriteSetBuilder
 from stileloft.store.leader_store import LeaderStore
 from stileloft.store.transaction_batch import JOB_END_CHANGES, TransactionBatch
 from stileloft.transport.clock import Clock
@@ -58,7 +58,7 @@
         flush_timer: FlushTimer,
         clock: Clock,
         reload: Callable[[Job], None],
-        on_committed: Callable[[list[JobTransaction]], None],
+        on_committed: Callable[[list[JobWriteSet]], None],
     ) -> None:
         self._store = store
         self._cluster = cluster
@@ -70,7 +70,7 @@
         self._clock = clock
         self._reload = reload
         self._on_committed = on_committed
-        self._builder = JobTransactionBuilder(store, clock)
+        self._builder = JobWriteSetBuilder(store, clock)
         self._in_flight = 0
         self._refused_until = 0.0
         self.commits = 0
@@ -94,7 +94,7 @@
             waiting = self._due_jobs(now)
             while waiting and self._in_flight < MAX_IN_FLIGHT and self._budget_allows():
                 batch, waiting = self._build_batch(waiting, now)
-                if not batch.parts or not self._take_budget(batch):
+                if not batch.write_sets or not self._take_budget(batch):
                     break
                 self._begin(batch)
 
@@ -152,10 +152,10 @@
                 rest.append(job)
                 continue
             job.write.checked_at = now
-            part = self._builder.build(job, batch.room)
-            if part is None:
+            write_set = self._builder.build(job, batch.room)
+            if write_set is None:
                 self._record_unchanged(job)
-            elif not batch.add(part):
+            elif not batch.add(write_set):
                 rest.append(job)
         return batch, rest
 
@@ -178,23 +178,23 @@
         return True
 
     def _begin(self, batch: TransactionBatch) -> None:
-        for part in batch.parts:
-            part.job.write.commit_in_flight = True
-            part.job.write.commit_began_at = self._clock.seconds()
-            part.job.write.flush_now, part.job.write.coalescing_since = False, None
-            for number in part.chunks:
-                part.job.chunks[number].dirty = False
+        for write_set in batch.write_sets:
+            write_set.job.write.commit_in_flight = True
+            write_set.job.write.commit_began_at = self._clock.seconds()
+            write_set.job.write.flush_now, write_set.job.write.coalescing_since = False, None
+            for number in write_set.chunks:
+                write_set.job.chunks[number].dirty = False
         self._in_flight += 1
-        defer.ensureDeferred(self._commit(batch.parts))
+        defer.ensureDeferred(self._commit(batch.write_sets))
 
-    async def _commit(self, parts: list[JobTransaction]) -> None:
+    async def _commit(self, write_sets: list[JobWriteSet]) -> None:
         guards = self._lease.guard()
         puts: dict[str, Any] = {}
         deletes: list[str] = []
-        for part in parts:
-            guards.update(part.guards)
-            puts.update(part.puts)
-            deletes += part.deletes
+        for write_set in write_sets:
+            guards.update(write_set.guards)
+            puts.update(write_set.puts)
+            deletes += write_set.deletes
         revision = 0  # only forgotten chunks that were never stored
         try:
             if puts or deletes:
@@ -202,22 +202,22 @@
             else:
                 await sleep(self._clock, 0.0)  # whoever began this holds the lock, which is taken anew below
         except ConflictError as conflict:
-            self._resolve_conflict(parts, conflict)
+            self._resolve_conflict(write_sets, conflict)
         except TooLargeError as error:
-            self._reduce_limits(parts, error, puts, len(puts) + len(deletes))
+            self._reduce_limits(write_sets, error, puts, len(puts) + len(deletes))
         except UnavailableError as error:
-            log.info("commit not executed jobs=%d: %s", len(parts), error)
-            self._retry_later(parts)
+            log.info("commit not executed jobs=%d: %s", len(write_sets), error)
+            self._retry_later(write_sets)
             self._store.write_budget.refund(len(puts) + len(deletes))
         except UnknownOutcomeError as error:
-            self._reload_all(parts, error)
+            self._reload_all(write_sets, error)
         else:
             self._integrity.record_commit(puts, deletes, revision, announce_all=False)
-            self._record_executed(parts, revision)
+            self._record_executed(write_sets, revision)
 
     # -- outcomes -------------------------------------------------------------------
 
-    def _record_executed(self, parts: list[JobTransaction], revision: int) -> None:
+    def _record_executed(self, write_sets: list[JobWriteSet], revision: int) -> None:
         self._in_flight -= 1
         if not self._lease.active:
             return
@@ -225,27 +225,27 @@
         if revision:
             self._tokens.committed(revision)
         with self._cluster.lock:
-            for part in parts:
-                self._applier.apply(part, revision)
-        self._on_committed(parts)
+            for write_set in write_sets:
+                self._applier.apply(write_set, revision)
+        self._on_committed(write_sets)
         self.flush()
 
-    def _resolve_conflict(self, parts: list[JobTransaction], conflict: ConflictError) -> None:
+    def _resolve_conflict(self, write_sets: list[JobWriteSet], conflict: ConflictError) -> None:
         """A guard failed: the jobs whose records have changed are read again."""
         self._in_flight -= 1
         if records.LEADER in conflict.failed:
             self._lease.suspect("the leader key has another version")
             return
         log.debug("commit conflict keys=%s", conflict)
-        for part in parts:
-            if any(key in conflict.failed for key in part.guards):
-                self._reload(part.job)
+        for write_set in write_sets:
+            if any(key in conflict.failed for key in write_set.guards):
+                self._reload(write_set.job)
             else:
-                self._requeue(part)
+                self._requeue(write_set)
         self.flush()
 
     def _reduce_limits(
-        self, parts: list[JobTransaction], error: TooLargeError, puts: dict[str, Any], changes: int
+        self, write_sets: list[JobWriteSet], error: TooLargeError, puts: dict[str, Any], changes: int
     ) -> None:
         """The limits have become lower than was announced. Unchanged it would be refused for ever."""
         limits = self._store.limits
@@ -253,30 +253,30 @@
         log.info(
             "commit too large max_changes=%d max_value_bytes=%d: %s", limits.max_changes, limits.max_value_bytes, error
         )
-        self._retry_later(parts)
+        self._retry_later(write_sets)
 
-    def _reload_all(self, parts: list[JobTransaction], error: UnknownOutcomeError) -> None:
+    def _reload_all(self, write_sets: list[JobWriteSet], error: UnknownOutcomeError) -> None:
         """The commit may still be executed: the jobs are read once it can't be any more."""
         self._in_flight -= 1
-        log.info("commit outcome unknown jobs=%d: %s", len(parts), error)
-        for part in parts:
-            part.job.write.has_unresolved_commit = True
-            self._reload(part.job)
+        log.info("commit outcome unknown jobs=%d: %s", len(write_sets), error)
+        for write_set in write_sets:
+            write_set.job.write.has_unresolved_commit = True
+            self._reload(write_set.job)
 
-    def _retry_later(self, parts: list[JobTransaction]) -> None:
+    def _retry_later(self, write_sets: list[JobWriteSet]) -> None:
         """Has everything tried again after a pause."""
         self._in_flight -= 1
-        for part in parts:
-            self._requeue(part)
+        for write_set in write_sets:
+            self._requeue(write_set)
         self._refused_until = self._clock.seconds() + REFUSED_BACKOFF_S
         self._flush_timer.flush_within(REFUSED_BACKOFF_S)
 
-    def _requeue(self, part: JobTransaction) -> None:
+    def _requeue(self, write_set: JobWriteSet) -> None:
         """Nothing was written: what the part is about is dirty still."""
-        part.job.write.commit_in_flight = False
-        for number in part.chunks:
-            part.job.chunks[number].dirty = True
-        self._cluster.mark_dirty(part.job)
+        write_set.job.write.commit_in_flight = False
+        for number in write_set.chunks:
+            write_set.job.chunks[number].dirty = True
+        self._cluster.mark_dirty(write_set.job)
 
 
 def _is_waited_for(job: Job, now: float) -> bool:
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -8,7 +8,7 @@
 from stileloft.model.records.forms import ActiveRecord, to_stored
 from stileloft.model.records.ranges import to_ranges
 from stileloft.model.records.sizes import json_bytes
-from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_write_set import JobWriteSet
 from stileloft.store.leader_store import LeaderStore
 from stileloft.transport.clock import Clock
 
@@ -57,16 +57,16 @@
         record = msgspec.structs.replace(job_record(job, True), finished_chunks=ranges)
         return json_bytes(to_stored(record)) <= self._store.limits.max_value_bytes
 
-    def is_due(self, part: JobTransaction) -> bool:
+    def is_due(self, write_set: JobWriteSet) -> bool:
         """Whether the job's record is to be written now."""
-        changes_chunks = part.newly_finished_chunks or (part.is_inline and part.written_chunks)
-        if changes_chunks or detaches_inline_chunk(part) or self._counts_overdue(part):
+        changes_chunks = write_set.newly_finished_chunks or (write_set.is_inline and write_set.written_chunks)
+        if changes_chunks or detaches_inline_chunk(write_set) or self._counts_overdue(write_set):
             return True
-        return self._store.format.has_chunk_sizes and not part.job.stores_chunk_size and self._budget_is_ample()
+        return self._store.format.has_chunk_sizes and not write_set.job.stores_chunk_size and self._budget_is_ample()
 
-    def _counts_overdue(self, part: JobTransaction) -> bool:
+    def _counts_overdue(self, write_set: JobWriteSet) -> bool:
         """Whether users would see the counts too late if they were not written now."""
-        counts, write = part.counts, part.job.write
+        counts, write = write_set.counts, write_set.job.write
         if counts == write.stored_counts:
             return False
         if (counts.running > 0) != (write.stored_counts.running > 0):
@@ -83,6 +83,6 @@
         return budget.level() > AMPLE_BUDGET_PART * budget.rate_per_s
 
 
-def detaches_inline_chunk(part: JobTransaction) -> bool:
+def detaches_inline_chunk(write_set: JobWriteSet) -> bool:
     """Whether the chunk that the job's record holds gets records of its own."""
-    return part.job.has_inline_chunk and not part.is_inline
+    return write_set.job.has_inline_chunk and not write_set.is_inline
--- a/stileloft/store/job_transaction.py
+++ b/stileloft/store/job_write_set.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class JobTransaction:
+class JobWriteSet:
     """What is written of a job in one transaction, and what follows for the job once it is executed."""
 
     job: Job
--- /dev/null
+++ b/stileloft/store/job_write_set_builder.py
@@ -0,0 +1,78 @@
+"""What has to be written about a job."""
+
+from stileloft.model import gangs
+from stileloft.model.jobs import Job
+from stileloft.model.records.forms import FinalPhase, StoredCounts, to_stored
+from stileloft.model.records.keys import active_key, final_key
+from stileloft.model.records.outcomes import final_record
+from stileloft.model.records.ranges import to_ranges
+from stileloft.store.chunk_writer import ChunkWriter, stored_keys
+from stileloft.store.job_record_policy import JobRecordPolicy, detaches_inline_chunk
+from stileloft.store.job_write_set import JobWriteSet
+from stileloft.store.leader_store import LeaderStore
+from stileloft.transport.clock import Clock
+
+JOB_CHANGES = 2
+"""Changes left for a job's own record when its chunks are gathered into a transaction."""
+
+
+class JobWriteSetBuilder:
+    """Compares the leader's state of a job with what the store holds of it."""
+
+    def __init__(self, store: LeaderStore, clock: Clock) -> None:
+        self._policy = JobRecordPolicy(store, clock)
+        self._chunks = ChunkWriter(store, self._policy)
+
+    def build(self, job: Job, room: int) -> JobWriteSet | None:
+        """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
+        write_set = JobWriteSet(job, is_inline=self._policy.stores_chunk_inline(job))
+        gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
+        newly_done = self._add_chunks(write_set, room)
+        if job.end_phase:
+            return write_set if write_set.changes or write_set.removed_chunks else None
+        write_set.guards[active_key(job.id)] = job.version
+        write_set.counts = StoredCounts(job.done + newly_done, job.running())
+        if gang_completed or write_set.counts.done >= job.spec.tasks:
+            self._end_job(write_set, room)
+        elif self._policy.is_due(write_set):
+            self._put_job(write_set)
+        return write_set if write_set.changes else None
+
+    def _add_chunks(self, write_set: JobWriteSet, room: int) -> int:
+        """Adds the chunks that have changed, as far as there is room; returns how many tasks are newly done."""
+        job = write_set.job
+        all_chunks = detaches_inline_chunk(write_set) and not job.end_phase
+        newly_done = 0
+        for number in [n for n, chunk in job.chunks.items() if chunk.dirty or all_chunks]:
+            if write_set.guards and write_set.changes >= max(1, room - JOB_CHANGES):
+                break
+            newly_done += self._chunks.add(write_set, number)
+        return newly_done
+
+    @staticmethod
+    def _end_job(write_set: JobWriteSet, room: int) -> None:
+        """The job is done, which is told in one step, whatever it is stored in.
+
+        One task that completed means that all of a gang have. Chunks that have no room beside the end are removed
+        later, as are those of a cancelled job.
+        """
+        job = write_set.job
+        write_set.ends_job = True
+        write_set.puts = {final_key(job.id): final_record(FinalPhase.DONE, job.spec.tasks)}
+        write_set.deletes = [active_key(job.id)]
+        for number in write_set.written_chunks + write_set.newly_finished_chunks:
+            keys = stored_keys(job, number)
+            if not keys or write_set.changes + len(keys) <= room:
+                write_set.deletes += keys
+                write_set.removed_chunks.append(number)
+        write_set.written_chunks, write_set.newly_finished_chunks = [], []
+
+    def _put_job(self, write_set: JobWriteSet) -> None:
+        """Writes the job's own record."""
+        job = write_set.job
+        record = self._policy.record(job, write_set.is_inline)
+        record.finished_chunks = to_ranges(job.finished_chunks | set(write_set.newly_finished_chunks))
+        record.counts = write_set.counts
+        write_set.puts[active_key(job.id)] = to_stored(record)
+        write_set.writes_job_record = True
+        write_set.has_chunk_size = isinstance(record.chunk_size, int)
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -1,7 +1,7 @@
 """Several jobs' parts in one transaction."""
 
 from stileloft.model import records
-from stileloft.store.job_transaction import JobTransaction
+from stileloft.store.job_write_set import JobWriteSet
 
 MAX_TRANSACTION_BYTES = 40 * 1024
 """Bytes of values and guards in a transaction; the store takes 64 KiB with keys and all."""
@@ -15,7 +15,7 @@
     """Jobs' parts that share a transaction, within its limits."""
 
     def __init__(self, max_changes: int) -> None:
-        self.parts: list[JobTransaction] = []
+        self.write_sets: list[JobWriteSet] = []
         self.max_changes = max_changes
         self.changes = 0
         self._bytes = 0
@@ -30,18 +30,18 @@
         """Whether no further job is worth looking at."""
         return self.changes >= max(1, self.max_changes - JOB_END_CHANGES + 1)
 
-    def add(self, part: JobTransaction) -> bool:
+    def add(self, write_set: JobWriteSet) -> bool:
         """Adds a job's part, unless the transaction would become too large; returns whether it did."""
-        size = records.max_compact_bytes([part.puts, part.guards])
-        guards = self._guards + len(part.guards)
-        if self.parts and (
-            self.changes + part.changes > self.max_changes
+        size = records.max_compact_bytes([write_set.puts, write_set.guards])
+        guards = self._guards + len(write_set.guards)
+        if self.write_sets and (
+            self.changes + write_set.changes > self.max_changes
             or self._bytes + size > MAX_TRANSACTION_BYTES
             or guards > GUARDS_PER_CHANGE * self.max_changes
         ):
             return False
-        self.parts.append(part)
-        self.changes += part.changes
+        self.write_sets.append(write_set)
+        self.changes += write_set.changes
         self._bytes += size
         self._guards = guards
         return True
