--- a/stileloft/jobs/job_status.py
+++ b/stileloft/jobs/job_status.py
@@ -11,7 +11,7 @@
 from stileloft.transport.clock import Clock
 
 MAX_CACHED_OUTCOMES = 5000
-SPARE_READS_PART = 0.5
+SPARE_READS_FRACTION = 0.5
 """While more than this part of a second's reads is left, each question has a read of its own; then they share one."""
 
 
@@ -83,7 +83,7 @@
         """The record of an unfinished job. Many users asking often must not take what the leader needs."""
         key = records.active_key(job)
         read_budget = self._store.read_budget
-        if read_budget.level() > SPARE_READS_PART * read_budget.rate_per_s:
+        if read_budget.level() > SPARE_READS_FRACTION * read_budget.rate_per_s:
             self._store.take_reads()
             found = await self._store.client.lookup(key)
             return None if found is None else found[0]
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -19,11 +19,11 @@
 
 log = logging.getLogger(__name__)
 
-WATCH_LEASE_PART = 0.5
+WATCH_LEASE_FRACTION = 0.5
 """A watch waits for this part of the leader's lease: until it is answered, nothing shows that it still hears."""
-FRESH_WATCHES = 4.0
+MAX_STALE_WATCHES = 4.0
 """Nothing is started when nothing was heard of cancellations for so many watches."""
-GATHER_PART = 0.1
+WATCH_PAUSE_FRACTION = 0.1
 """After an answer with news the next watch begins this part of a watch later."""
 SETTLE_RETRY_S = 0.25
 """How soon it is checked again whether an ended job has no transaction in flight any more, in seconds."""
@@ -57,7 +57,7 @@
         self._request_scheduling = request_scheduling
         self._cluster = cluster
         self.revision = 0
-        self.watch_s = lease.duration_s * WATCH_LEASE_PART
+        self.watch_s = lease.duration_s * WATCH_LEASE_FRACTION
         self.up_to_date_at = float("-inf")
         """Until then we know of all cancellations: when we sent the newest question that the store answered."""
         self._compacted = False
@@ -69,7 +69,7 @@
 
     def is_fresh(self) -> bool:
         """Whether we hear of cancellations, so that nothing is started of a job that ended long ago."""
-        return self.staleness_s() <= FRESH_WATCHES * self.watch_s
+        return self.staleness_s() <= MAX_STALE_WATCHES * self.watch_s
 
     async def run(self) -> None:
         """Follows the jobs' records for as long as the leadership lasts."""
@@ -99,7 +99,7 @@
         self._jobs.prune_removed(self.up_to_date_at)
         if events:
             # Under a burst each change would else be an answer and a request of its own.
-            await sleep(self._clock, self.watch_s * GATHER_PART)
+            await sleep(self._clock, self.watch_s * WATCH_PAUSE_FRACTION)
 
     async def _resync(self) -> None:
         """Reads all jobs, as changes since the last look are no longer known."""
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -27,7 +27,7 @@
 """Added to the grace of each stop, in seconds."""
 RECLAIM_RESERVE_S = 1.0
 """A checkpoint is begun so long before a reclaim would come too late, in seconds."""
-MIN_REMAINING_PART = 0.1
+MIN_REMAINING_FRACTION = 0.1
 """A running task is expected to run for at least this part of its estimate."""
 
 
@@ -175,7 +175,7 @@
         estimate_s = self._workload.estimate(job.spec)
         if placement.running_since is None:
             return estimate_s
-        return max(MIN_REMAINING_PART * estimate_s, estimate_s - (now - placement.running_since))
+        return max(MIN_REMAINING_FRACTION * estimate_s, estimate_s - (now - placement.running_since))
 
     def end_job(self, job: Job, phase: EndPhase) -> None:
         """The job has ended: what still runs of it is stopped, and what is stored of it goes."""
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -32,15 +32,15 @@
 
 MAX_IN_FLIGHT = 3
 """Transactions in flight at once."""
-MIN_BATCH_FRACTION = 3
+MIN_BATCH_DIVISOR = 3
 """A transaction is begun when one part in so many of its most changes is within the budget."""
 COUNTS_CHECK_S = 0.25
 """How often a job is checked of which nothing but the counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
 """The store is left alone for so long after it has not executed a commit, in seconds."""
-LOW_BUDGET_PART = 0.5
+LOW_BUDGET_FRACTION = 0.5
 """The budget is low when less than this part of a second's changes is left."""
-COALESCE_S = 1.2
+COALESCE_INTERVAL_S = 1.2
 """Completed tasks of a job are gathered for this long into one change; their room is free at once."""
 
 
@@ -109,11 +109,11 @@
             elif (
                 job.write.coalescing_since is not None
                 and not job.write.flush_now
-                and now < job.write.coalescing_since + COALESCE_S
+                and now < job.write.coalescing_since + COALESCE_INTERVAL_S
             ):
-                self._flush_timer.flush_within(job.write.coalescing_since + COALESCE_S - now)
-            elif self._is_paced(job) and now < job.write.commit_began_at + COALESCE_S:
-                self._flush_timer.flush_within(job.write.commit_began_at + COALESCE_S - now)
+                self._flush_timer.flush_within(job.write.coalescing_since + COALESCE_INTERVAL_S - now)
+            elif self._is_paced(job) and now < job.write.commit_began_at + COALESCE_INTERVAL_S:
+                self._flush_timer.flush_within(job.write.commit_began_at + COALESCE_INTERVAL_S - now)
             elif not job.write.commit_in_flight:
                 due.append(job)
         # Under a burst the budget does not suffice for all. First what something waits for: placements, and
@@ -127,7 +127,7 @@
         if job.chunk_count() <= 1 or job.end_phase:
             return False
         write_budget = self._store.write_budget
-        return write_budget.level() < LOW_BUDGET_PART * write_budget.rate_per_s
+        return write_budget.level() < LOW_BUDGET_FRACTION * write_budget.rate_per_s
 
     # -- transactions ---------------------------------------------------------------
 
@@ -137,7 +137,7 @@
     def _budget_allows(self) -> bool:
         """Whether a transaction may begin; seen before parts are built, which would be in vain."""
         write_budget = self._store.write_budget
-        least, level = self._max_changes() // MIN_BATCH_FRACTION, write_budget.level()
+        least, level = self._max_changes() // MIN_BATCH_DIVISOR, write_budget.level()
         if level < least:
             self._flush_timer.flush_within((least - level) / write_budget.rate_per_s)
         return level >= least
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -16,13 +16,13 @@
 """Changed counts are written after so many seconds; users may see the state of 3 s ago."""
 MAX_COUNTS_DELAY_S = 2.4
 """The same while the write budget is short."""
-SHORT_BUDGET_PART = 0.5
+SHORT_BUDGET_FRACTION = 0.5
 """The write budget is short when less than this part of a second's changes is left."""
-AMPLE_BUDGET_PART = 0.75
+AMPLE_BUDGET_FRACTION = 0.75
 """What nothing waits for is written while at least this part of a second's changes is left."""
-FEW_RANGES = 8
+MAX_UNMEASURED_RANGES = 8
 """A job's record is not measured while its finished chunks make at most so many ranges."""
-MAX_INLINE_VALUE_PART = 0.5
+MAX_INLINE_VALUE_FRACTION = 0.5
 """The most of a value that a record with a chunk takes: it can still be written if the limits become lower."""
 
 
@@ -39,7 +39,7 @@
             return False
         if any(chunk.storage is ChunkStorage.OWN_RECORDS for chunk in job.chunks.values()):
             return False  # it was stored before format 2, and stays where it is
-        max_bytes = MAX_INLINE_VALUE_PART * self._store.limits.max_value_bytes
+        max_bytes = MAX_INLINE_VALUE_FRACTION * self._store.limits.max_value_bytes
         # The bound comes first: this is asked each time a job is checked, and encoding the record takes long.
         if max_inline_record_bytes(job) <= max_bytes:
             return True
@@ -52,7 +52,7 @@
     def has_room_for_finished(self, job: Job, chunks: set[int]) -> bool:
         """Whether the job's record has room to say that these chunks are finished too."""
         ranges = to_ranges(job.finished_chunks | chunks)
-        if len(ranges) <= FEW_RANGES:
+        if len(ranges) <= MAX_UNMEASURED_RANGES:
             return True
         record = msgspec.structs.replace(job_record(job, True), finished_chunks=ranges)
         return json_bytes(to_stored(record)) <= self._store.limits.max_value_bytes
@@ -72,7 +72,7 @@
         if (counts.running > 0) != (write.stored_counts.running > 0):
             return True
         budget = self._store.write_budget
-        is_short = budget.level() <= SHORT_BUDGET_PART * budget.rate_per_s
+        is_short = budget.level() <= SHORT_BUDGET_FRACTION * budget.rate_per_s
         interval_s = MAX_COUNTS_DELAY_S if is_short else COUNTS_INTERVAL_S
         now: float = self._clock.seconds()
         return now - write.counts_stored_at > interval_s
@@ -80,7 +80,7 @@
     def _budget_is_ample(self) -> bool:
         """Whether there are changes to spare for what nothing waits for."""
         budget = self._store.write_budget
-        return budget.level() > AMPLE_BUDGET_PART * budget.rate_per_s
+        return budget.level() > AMPLE_BUDGET_FRACTION * budget.rate_per_s
 
 
 def detaches_inline_chunk(write_set: JobWriteSet) -> bool:
