--- a/stileloft/store/__init__.py
+++ b/stileloft/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader writes to the state service: transactions, their outcome, and the format of the records."""
+"""Writes to the state service by the leader: transactions, their outcomes, and the format of the records."""
--- a/stileloft/store/flush_timer.py
+++ b/stileloft/store/flush_timer.py
@@ -1,4 +1,4 @@
-"""When the next commit of what has changed is due."""
+"""The timer of the next flush, which commits the changes of dirty jobs."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class FlushTimer:
-    """One timer for all who want changes committed; the earliest request counts."""
+    """One timer for all flush requests; it fires at the earliest requested time."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -16,12 +16,12 @@
         """Called when the timer fires; set by the commit queue."""
 
     def flush_within(self, seconds: float) -> None:
-        """Has a flush made within so many seconds."""
+        """Requests a flush within this many seconds."""
         due_at = self._clock.seconds() + seconds
         if self._timer is not None and self._timer.active():
             if self._due_at <= due_at:
                 return
-            self._timer.cancel()  # moving it would search all timers, of which a large fleet has thousands
+            self._timer.cancel()  # rescheduling it would search all timers: thousands in a large fleet
         self._due_at = due_at
         self._timer = self._clock.callLater(seconds, self._fire)
 
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -1,4 +1,4 @@
-"""The change of the store's format, once all controllers read the new one."""
+"""The upgrade of the store's format, once all controllers can read the new one."""
 
 import logging
 from collections.abc import Callable
@@ -18,11 +18,11 @@
 log = logging.getLogger(__name__)
 
 POLL_S = 1.0
-"""How often the other controllers are asked which format they read, in seconds, until all read the newest."""
+"""Interval at which the other controllers are asked which formats they can read, in seconds."""
 
 
 class FormatUpgrade:
-    """Has the newest format written, which is for good, and brings older records into it."""
+    """Puts the newest format in force, which is never reverted, and rewrites older records in it."""
 
     def __init__(
         self,
@@ -43,42 +43,43 @@
         self._request_scheduling = request_scheduling
 
     async def run(self) -> None:
-        """Writes the newest format once all controllers have said in one round that they read it.
+        """Writes the format record once all controllers have stated in one round that they read the newest format.
 
-        A silent controller holds the upgrade back, as does a process of an older version, which does not say so.
+        A controller that does not answer delays the upgrade, as does a process of an older version, which does not
+        state it.
         """
         while self._lease.active and self._store.format.number < records.NEWEST_FORMAT:
-            if await self._all_read_it() and self._lease.is_held():
+            if await self._all_read_newest_format() and self._lease.is_held():
                 await self._write_format()
             await sleep(self._clock, POLL_S)
 
-    def _others(self) -> set[str]:
+    def _peer_members(self) -> set[str]:
         return {peer.member for peer in self._settings.peers}
 
-    async def _all_read_it(self) -> bool:
-        """Whether every controller of the deployment says now that it reads the newest format."""
-        others = self._others()
+    async def _all_read_newest_format(self) -> bool:
+        """Asks every controller of the deployment; returns whether all state that they read the newest format."""
+        peer_members = self._peer_members()
         views = await self._peers.views()
         readers = {view.member for view in views if view.reads >= records.NEWEST_FORMAT}
-        return readers >= others and len(others) + 1 >= self._settings.deployment.size
+        return readers >= peer_members and len(peer_members) + 1 >= self._settings.deployment.size
 
     async def _write_format(self) -> None:
-        members = sorted({self._settings.member, *self._others()})
-        # An earlier change of format has left a record, which is written over in the version that we know.
+        members = sorted({self._settings.member, *self._peer_members()})
+        # The record of an earlier upgrade is overwritten, guarded on the version in which it was last read.
         guards = {records.FORMAT: self._store.format.record_version}
         value = records.to_stored(records.FormatRecord(records.NEWEST_FORMAT, members))
         try:
             version = await self._store.commit({records.FORMAT: value}, guards=guards)
         except ConflictError:
-            pass  # a former leader wrote it, or another controller leads: the watch of the format tells
+            pass  # written by a former leader, or another controller leads now: the watch of the format finds out
         except (UnavailableError, UnknownOutcomeError) as error:
-            log.debug("record format not written format=%d: %s", records.NEWEST_FORMAT, error)
+            log.debug("record format not written format=%d error=%s", records.NEWEST_FORMAT, error)
         else:
             log.info("record format written format=%d members=%s", records.NEWEST_FORMAT, ",".join(members))
             self._store.format.observe(records.NEWEST_FORMAT, version)
 
     def on_format_advanced(self) -> None:
-        """Brings the records of jobs into the format that may be written from now on."""
+        """Has job records of an older format rewritten, and lifts that format's limit on the placements of a chunk."""
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
                 job.max_placed_per_chunk = None
@@ -88,7 +89,7 @@
         self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
-        """Has chunks written anew whose record is over the limit of a value, before the job's end needs it."""
+        """Has chunks whose record exceeds the limit of a value rewritten as several records, before the job's end."""
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -1,6 +1,6 @@
-"""Whether the state service still holds what it was given: what other modules ask, and the answer if nobody checks.
+"""The interface to the check that the state service still holds its records, and the version that checks nothing.
 
-The feature `rebuild` puts `stileloft.rebuild.protection` in place of what is here.
+The feature `rebuild` replaces it by `stileloft.rebuild.protection.StoreProtection`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,59 +10,65 @@
 
 
 class StoreIntegrity:
-    """The store is trusted: it never loses anything, and needs no identity."""
+    """Trusts the store: assumes that it never loses records, and verifies no identity."""
 
     detects_loss = False
-    """Whether a loss would be noticed at all."""
+    """Whether a loss of records is detected."""
 
     def is_sound(self) -> bool:
-        """Whether the store may be trusted, and written."""
+        """Whether the store may be trusted and written."""
         return True
 
     def may_campaign(self) -> bool:
-        """Whether this controller may seek the leadership."""
+        """Whether this controller may stand for election."""
         return True
 
     def is_rebuilding(self) -> bool:
-        """Whether a new leader has to write lost records back before anything else."""
+        """Whether a new leader has to restore lost records before anything else."""
         return False
 
     def guards(self) -> dict[str, int]:
-        """Conditions under which a transaction is one of the store as it is known."""
+        """Returns the guards by which a transaction fails in a store with another identity."""
         return {}
 
     async def verify(self) -> None:
-        """Asks whether the store is still the one that is known; raises `StoreLostError` if not."""
+        """Checks that the store still has the known identity; raises `StoreLostError` if not."""
 
     async def verify_absence(self) -> None:
-        """The same, before a user is told that something does not exist; raises it also while that is not known yet."""
+        """Like `verify`, before a user is told that a job does not exist.
+
+        Raises `StoreLostError` also while not all replicas that may hold the job's record have been read.
+        """
 
     def has_all_outcomes(self) -> bool:
-        """Whether jobs that ended are known, wherever that is recorded."""
+        """Whether the outcomes of all ended jobs can be looked up, including those recorded by a rebuild."""
         return True
 
     def request_verification(self) -> None:
-        """Has the store verified soon: something was not as it should be."""
+        """Requests a verification of the store soon, after an unexpected answer."""
 
     async def begin_term(self, version: int) -> int:
-        """The token of a leader whose key has this version."""
+        """Returns the first fencing token of a leader whose leader key has this version."""
         return version
 
     def observe_token(self, token: int) -> None:
-        """A worker knows this token."""
+        """Records that a worker knows this fencing token."""
 
     def record_raised_token(self, token: int) -> None:
-        """As the leader, we tell a worker this token, which is above the one of our election."""
+        """Records that this leader issues this fencing token to a worker; it is higher than the leader's first one."""
 
     def record_commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str], revision: int, announce_all: bool = True
     ) -> None:
-        """Takes note of a change of ours; `announce_all`: users are told of all of it, not only of outcomes."""
+        """Records a commit of this controller.
+
+        `announce_all`: the other controllers are notified of all its changes, not only of the outcomes of jobs.
+        """
 
     def outcome_of(self, _job: str) -> JobOutcome | None:
-        """How a job ended of which the store has no record of its own."""
+        """Returns the outcome of a job that has no final record; None if there is none."""
         return None
 
     def has_lost_spec(self, _job: str) -> bool:
-        """Whether a job is known by workers' heartbeats alone."""
+        """Whether a job is known only from workers' heartbeats, as the store has lost its specification."""
         return False
--- a/stileloft/store/leader_store.py
+++ b/stileloft/store/leader_store.py
@@ -1,4 +1,4 @@
-"""What a leader needs to write to the store."""
+"""The leader's write access to the store."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderStore:
-    """The store as the leader writes it: each transaction is guarded on the leadership."""
+    """The store as the leader writes it: each transaction is guarded on the leader key."""
 
     client: StateClient
     write_budget: TokenBucket
-    """The leader's part of the store's limit on changes."""
+    """The leader's share of the store's rate limit on changes."""
     limits: StoreLimits
     format: RecordFormat
     lease: LeaderLease
@@ -25,9 +25,9 @@
     async def commit(
         self, puts: Mapping[str, Any], deletes: Iterable[str] = (), guards: Mapping[str, int] | None = None
     ) -> int:
-        """One transaction under the leader's guard; returns its revision.
+        """Executes one transaction, guarded on the leader key as well; returns its revision.
 
-        Raises the errors of `StateClient.commit`; a `ConflictError` that names the leader key says that another
+        Raises the errors of `StateClient.commit`; a `ConflictError` that names the leader key means that another
         controller was elected.
         """
         return await self.client.commit({**self.lease.guard(), **(guards or {})}, dict(puts), list(deletes))
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -7,24 +7,24 @@
 from stileloft.settings import State
 
 MIN_CHANGES = 2
-"""The lowest limit on the changes of a transaction that is assumed: a job's end takes two."""
+"""Lower bound of the limit on the changes of a transaction: the end of a job takes two."""
 MIN_VALUE_BYTES = 512
-"""The lowest limit on the bytes of a value that is assumed."""
+"""Lower bound of the limit on the bytes of a value."""
 
 
 class StoreLimits:
-    """Limits of a transaction and of a value: the lowest announced, or lower after a refusal."""
+    """Limits of a transaction and of a value: the lowest that are announced, lowered further after a refusal."""
 
     def __init__(self, state: State) -> None:
-        least = state.least()
-        self.max_changes = least.txn_ops
-        self.max_value_bytes = least.value_bytes
+        announced = state.least()
+        self.max_changes = announced.txn_ops
+        self.max_value_bytes = announced.value_bytes
 
     def reduce_after_refusal(self, values: Iterable[Any], changes: int) -> None:
-        """Lowers a limit after a transaction of these values and so many changes was too large.
+        """Lowers a limit after a transaction with these values and this number of changes was too large.
 
-        The store does not say which limit it was. Fewer changes are tried first: with smaller values a chunk takes more
-        records, so that its transaction could exceed the limit on changes for good.
+        The store does not say which limit was exceeded. The limit on changes is lowered first: with smaller values a
+        chunk takes more records, and its transaction might never fit the limit on changes.
         """
         largest = max((records.json_bytes(value) for value in values), default=0)
         if changes > MIN_CHANGES and self.max_changes > MIN_CHANGES:
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -12,27 +12,27 @@
 log = logging.getLogger(__name__)
 
 WATCH_S = 30.0
-"""How long one watch of the format's record waits, in seconds."""
+"""Duration of one watch of the format record, in seconds."""
 RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError, CompactedError), WATCH_S / 10, WATCH_S / 10)
 
 
 class RecordFormat:
-    """The format in force, as far as this controller knows; it only ever advances."""
+    """The newest format that this controller has seen in force; formats only advance."""
 
     def __init__(self, limits: State) -> None:
         self.number = 0
         self.record_version = 0
-        """The version of the record that says so; 0 before there is one."""
+        """The version of the format record; 0 if there is none."""
         self.legacy_chunk_size = records.chunk_size(limits.value_kb)
-        """Tasks per chunk of the jobs whose records don't say."""
+        """Tasks per chunk of jobs whose records do not state it."""
         self.chunk_size = records.sized_chunk_size(limits.least().value_bytes)
-        """Tasks per chunk of new jobs, once their records may say so."""
+        """Tasks per chunk of new jobs, once their records may state it."""
         self.on_advance: Callable[[], None] = lambda: None
         """Called after the format has advanced."""
 
     @property
     def has_chunk_sizes(self) -> bool:
-        """Whether records say how many tasks a chunk has."""
+        """Whether records state the number of tasks per chunk."""
         return self.number >= records.SIZED_FORMAT
 
     @property
@@ -41,19 +41,19 @@
         return self.number >= records.INLINE_FORMAT
 
     def observe(self, number: int, version: int) -> None:
-        """Takes note of the stored format, and of the version of its record."""
+        """Records the stored format and the version of the format record."""
         self.record_version = max(self.record_version, version)
         if number > self.number:
-            log.info("record format advanced format=%d", number)
+            log.info("record format advanced format=%d previous=%d", number, self.number)
             self.number = number
             self.on_advance()
 
     def reset_record_version(self) -> None:
-        """The store was rebuilt: its records have other versions now."""
+        """Resets the version of the format record after a rebuild of the store, which changes all versions."""
         self.record_version = 0
 
     async def follow(self, state: StateClient, clock: Clock) -> None:
-        """Watches the stored format until it is the newest; it never goes back."""
+        """Watches the stored format until it is the newest."""
 
         async def read_and_watch() -> None:
             found = await state.get(records.FORMAT)
