--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -1,4 +1,4 @@
-"""What is written of a job's chunks in a transaction."""
+"""The records of a job's chunks that a transaction writes or deletes."""
 
 from stileloft.model.chunk_records import chunk_values, whole_chunk_value
 from stileloft.model.chunks import NO_RECORD, Chunk, ChunkStorage
@@ -11,14 +11,14 @@
 
 
 class ChunkWriter:
-    """Adds chunks to jobs' parts of a transaction."""
+    """Adds chunks to the write sets of their jobs."""
 
     def __init__(self, store: LeaderStore, policy: JobRecordPolicy) -> None:
         self._store = store
         self._policy = policy
 
     def add(self, write_set: JobWriteSet, number: int) -> int:
-        """Adds a chunk; returns how many of its tasks are done that were not before."""
+        """Adds a chunk; returns how many of its tasks have completed since it was last stored."""
         job = write_set.job
         chunk = job.chunks[number]
         ended, live = chunk.ended_placements(), chunk.live_placements()
@@ -30,7 +30,7 @@
             write_set.deletes += stored_keys(job, number)
             write_set.removed_chunks.append(number)
             return 0
-        # What is left of a cancelled job is recorded until it is gone.
+        # A chunk of an ended job stays stored until the last of its tasks is off its machine.
         complete = not live and len(chunk.done | completed) == job.chunk_length(number)
         if (
             not job.end_phase
@@ -47,11 +47,11 @@
         return len(completed - chunk.done)
 
     def _put(self, write_set: JobWriteSet, number: int, chunk: Chunk) -> None:
-        """Writes a chunk as records of its own."""
+        """Adds the chunk's own records: the main record and, if it is too large, overflow records."""
         job = write_set.job
         key = chunk_key(job.id, number)
-        # A leader that has just begun may not have read the format yet. The size must be told all the same if the
-        # job's record has it: what is left of a cancelled job is read by the size that its chunks tell.
+        # A new leader may not have read the format yet. If the job's record states the chunk size, its chunks must
+        # state it too: the remaining chunks of a cancelled job are read by the size stated in them.
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
             write_set.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
@@ -70,7 +70,7 @@
 
 
 def stored_keys(job: Job, number: int) -> list[str]:
-    """The keys of the records that the store holds of a chunk."""
+    """Returns the keys of a chunk's own records in the store; none if it is inline or not stored."""
     chunk = job.chunks[number]
     if chunk.storage is not ChunkStorage.OWN_RECORDS:
         return []
--- a/stileloft/store/job_write_set.py
+++ b/stileloft/store/job_write_set.py
@@ -1,4 +1,4 @@
-"""A job's part of a transaction of the leader."""
+"""What a transaction of the leader writes of one job."""
 
 from dataclasses import dataclass, field
 
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class JobWriteSet:
-    """What is written of a job in one transaction, and what follows for the job once it is executed."""
+    """One job's guards, puts and deletes in a transaction, and what changes in the job once it is executed."""
 
     job: Job
     is_inline: bool = False
-    """The job's own record holds its only chunk from now on."""
+    """The job's own record holds its only chunk once the transaction is executed."""
     guards: dict[str, int] = field(default_factory=dict)
-    """Versions that records must have; 0 for none."""
+    """Versions that records must have, by key; 0 if there must be no record."""
     puts: dict[str, StoredValue] = field(default_factory=dict)
     deletes: list[str] = field(default_factory=list)
 
@@ -25,25 +25,25 @@
     """Ended placements that the store no longer holds."""
     written_chunks: list[int] = field(default_factory=list)
     newly_finished_chunks: list[int] = field(default_factory=list)
-    """Finished chunks: the job's record says so instead of records of their own."""
+    """Chunks that the job's record lists as finished, and that lose their own records."""
     removed_chunks: list[int] = field(default_factory=list)
-    """Chunks of which nothing is left to know."""
+    """Chunks of an ended job that are removed from the store."""
     overflow: dict[int, list[StoredValue]] = field(default_factory=dict)
-    """The overflow records of chunks that are written."""
+    """Overflow records of the written chunks, by chunk number."""
 
     ends_job: bool = False
-    """The job is done, and its record is moved to `final/`."""
+    """The job is done: its record moves to `final/`."""
     writes_job_record: bool = False
     has_chunk_size: bool = False
-    """The job's record, if it is written, says how many tasks a chunk has."""
+    """The job's record, if it is written, states the number of tasks per chunk."""
     counts: StoredCounts = field(default_factory=StoredCounts)
 
     @property
     def changes(self) -> int:
-        """Changes of the store that it takes."""
+        """Number of puts and deletes."""
         return len(self.puts) + len(self.deletes)
 
     @property
     def chunks(self) -> list[int]:
-        """All chunks that it is about."""
+        """Numbers of all chunks that are changed."""
         return self.written_chunks + self.newly_finished_chunks + self.removed_chunks
--- a/stileloft/store/job_write_set_builder.py
+++ b/stileloft/store/job_write_set_builder.py
@@ -1,4 +1,4 @@
-"""What has to be written about a job."""
+"""Builds the write sets of jobs."""
 
 from stileloft.model import gangs
 from stileloft.model.jobs import Job
@@ -13,7 +13,7 @@
 from stileloft.transport.clock import Clock
 
 JOB_CHANGES = 2
-"""Changes left for a job's own record when its chunks are gathered into a transaction."""
+"""Changes reserved for the job's own record while its chunks are added to a write set."""
 
 
 class JobWriteSetBuilder:
@@ -24,7 +24,10 @@
         self._chunks = ChunkWriter(store, self._policy)
 
     def build(self, job: Job, room: int) -> JobWriteSet | None:
-        """What is to be written about a job, in at most `room` puts and deletes if they suffice for one chunk."""
+        """Returns the job's write set, or None if nothing has to be written.
+
+        It has at most `room` puts and deletes, unless a single chunk takes more.
+        """
         write_set = JobWriteSet(job, is_inline=self._policy.stores_chunk_inline(job))
         gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
         newly_done = self._add_chunks(write_set, room)
@@ -39,7 +42,7 @@
         return write_set if write_set.changes else None
 
     def _add_chunks(self, write_set: JobWriteSet, room: int) -> int:
-        """Adds the chunks that have changed, as far as there is room; returns how many tasks are newly done."""
+        """Adds changed chunks while there is room; returns how many of their tasks are newly done."""
         job = write_set.job
         all_chunks = detaches_inline_chunk(write_set) and not job.end_phase
         newly_done = 0
@@ -51,10 +54,10 @@
 
     @staticmethod
     def _end_job(write_set: JobWriteSet, room: int) -> None:
-        """The job is done, which is told in one step, whatever it is stored in.
+        """Writes the end of a job that is done, in one transaction however many chunks are stored.
 
-        One task that completed means that all of a gang have. Chunks that have no room beside the end are removed
-        later, as are those of a cancelled job.
+        A gang is done once one of its tasks has completed. Chunks for whose deletion there is no room are removed
+        later, as those of a cancelled job are.
         """
         job = write_set.job
         write_set.ends_job = True
@@ -68,7 +71,7 @@
         write_set.written_chunks, write_set.newly_finished_chunks = [], []
 
     def _put_job(self, write_set: JobWriteSet) -> None:
-        """Writes the job's own record."""
+        """Adds the job's own record."""
         job = write_set.job
         record = self._policy.record(job, write_set.is_inline)
         record.finished_chunks = to_ranges(job.finished_chunks | set(write_set.newly_finished_chunks))
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -1,18 +1,18 @@
-"""Several jobs' parts in one transaction."""
+"""Several jobs' write sets in one transaction."""
 
 from stileloft.model import records
 from stileloft.store.job_write_set import JobWriteSet
 
 MAX_TRANSACTION_BYTES = 40 * 1024
-"""Bytes of values and guards in a transaction; the store takes 64 KiB with keys and all."""
+"""The most bytes of values and guards in a transaction; the store accepts 64 KiB, keys included."""
 GUARDS_PER_CHANGE = 4
-"""The most guards of a transaction, as a multiple of its changes."""
+"""The most guards of a transaction, as a multiple of its most changes."""
 JOB_END_CHANGES = 4
-"""Changes that a job may take at its end; a transaction with less room gets no further job."""
+"""Changes that the end of a job may take; a transaction with less room gets no further job."""
 
 
 class TransactionBatch:
-    """Jobs' parts that share a transaction, within its limits."""
+    """Write sets that share a transaction, within its limits."""
 
     def __init__(self, max_changes: int) -> None:
         self.write_sets: list[JobWriteSet] = []
@@ -23,15 +23,18 @@
 
     @property
     def room(self) -> int:
-        """Changes that may be added."""
+        """Number of changes that may still be added."""
         return self.max_changes - self.changes
 
     def is_full(self) -> bool:
-        """Whether no further job is worth looking at."""
+        """Whether the remaining room is too small for a further job."""
         return self.changes >= max(1, self.max_changes - JOB_END_CHANGES + 1)
 
     def add(self, write_set: JobWriteSet) -> bool:
-        """Adds a job's part, unless the transaction would become too large; returns whether it did."""
+        """Adds a write set unless the transaction would exceed its limits; returns whether it was added.
+
+        The first write set is always added.
+        """
         size = records.max_compact_bytes([write_set.puts, write_set.guards])
         guards = self._guards + len(write_set.guards)
         if self.write_sets and (
