--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -1,4 +1,4 @@
-"""Applies executed commits to the leader's state of the cluster."""
+"""Applies executed transactions to the leader's state of the cluster."""
 
 from stileloft.jobs.registry import JobRegistry
 from stileloft.jobs.task_lifecycle import TaskLifecycle
@@ -11,7 +11,7 @@
 
 
 class CommitApplier:
-    """Brings jobs in line with what was committed of them. Called with the cluster's lock held."""
+    """Updates jobs after a commit. Called with the cluster's lock held."""
 
     def __init__(self, jobs: JobRegistry, lifecycle: TaskLifecycle, clock: Clock) -> None:
         self._jobs = jobs
@@ -19,11 +19,11 @@
         self._clock = clock
 
     def apply(self, write_set: JobWriteSet, revision: int) -> None:
-        """Applies a job's part of a transaction that was executed at this revision of the store."""
+        """Applies a job's write set that was executed at this revision of the store."""
         job = write_set.job
         job.write.commit_in_flight = False
-        self._settle_placements(write_set)
-        self._settle_chunks(write_set, revision)
+        self._apply_placements(write_set)
+        self._apply_chunks(write_set, revision)
         if write_set.ends_job:
             job.done = job.spec.tasks
             self._lifecycle.end_job(job, EndPhase.DONE)
@@ -35,8 +35,8 @@
         if job.end_phase and not job.chunks:
             self._jobs.remove(job)
 
-    def _settle_placements(self, write_set: JobWriteSet) -> None:
-        """Planned placements are bound now, and ended ones are no longer stored."""
+    def _apply_placements(self, write_set: JobWriteSet) -> None:
+        """Marks the new placements as bound, and removes those that the store no longer holds."""
         job = write_set.job
         for placement in write_set.new_placements:
             if placement.state == PlacementState.PLANNED:
@@ -51,8 +51,8 @@
             self._lifecycle.untrack(placement)
 
     @staticmethod
-    def _settle_chunks(write_set: JobWriteSet, revision: int) -> None:
-        """Notes where the store holds each chunk, and in which version."""
+    def _apply_chunks(write_set: JobWriteSet, revision: int) -> None:
+        """Records where the store holds each chunk, and at which version."""
         job = write_set.job
         for number in write_set.written_chunks:
             chunk = job.chunks[number]
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -1,7 +1,7 @@
 """The queue of commits: which jobs' changes are written to the store, when, and in which transaction.
 
-Every transaction is guarded on the leader key's version, on each job's record and on each chunk it writes. A job has at
-most one transaction in flight.
+Every transaction is guarded on the versions of the leader key, of its jobs' records and of the chunks that it writes.
+A job has at most one transaction in flight.
 """
 
 import logging
@@ -31,21 +31,21 @@
 log = logging.getLogger(__name__)
 
 MAX_IN_FLIGHT = 3
-"""Transactions in flight at once."""
+"""The most transactions in flight at once."""
 MIN_BATCH_DIVISOR = 3
-"""A transaction is begun when one part in so many of its most changes is within the budget."""
+"""A transaction begins once the write budget covers the most changes of a transaction, divided by this."""
 COUNTS_CHECK_S = 0.25
-"""How often a job is checked of which nothing but the counts can have changed, in seconds."""
+"""Interval between checks of a job of which only the counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
-"""The store is left alone for so long after it has not executed a commit, in seconds."""
+"""Pause of all commits after the store has not executed one, in seconds."""
 LOW_BUDGET_FRACTION = 0.5
-"""The budget is low when less than this part of a second's changes is left."""
+"""The write budget is low when it holds less than this fraction of a second's changes."""
 COALESCE_INTERVAL_S = 1.2
-"""Completed tasks of a job are gathered for this long into one change; their room is free at once."""
+"""Completions of a job's tasks are coalesced for this long, in seconds; their resources are free at once."""
 
 
 class CommitQueue:
-    """Writes what is dirty, within the leader's part of the store's limits."""
+    """Commits the changes of dirty jobs, within the leader's share of the store's limits."""
 
     def __init__(
         self,
@@ -80,16 +80,16 @@
     # -- which jobs are written, and when -----------------------------------------
 
     def flush(self) -> None:
-        """Commits what is dirty, as far as the write budget and the limits allow."""
+        """Commits the changes of dirty jobs that the write budget and the limits allow now."""
         if not self._lease.is_held():
             return
         now = self._clock.seconds()
         if now < self._refused_until:
-            # Heartbeats ask for a flush many times a second: in an outage each would be a request in vain.
+            # Heartbeats request a flush many times a second: in an outage each would send a request that fails.
             self._flush_timer.flush_within(self._refused_until - now)
             return
         if self._in_flight >= MAX_IN_FLIGHT or not self._budget_allows():
-            return  # seen first: under a burst hundreds of jobs would be put in order with each heartbeat
+            return  # checked first: in a burst, each heartbeat would sort hundreds of jobs
         with self._cluster.lock:
             waiting = self._due_jobs(now)
             while waiting and self._in_flight < MAX_IN_FLIGHT and self._budget_allows():
@@ -99,31 +99,32 @@
                 self._begin(batch)
 
     def _due_jobs(self, now: float) -> list[Job]:
-        """The dirty jobs that can be written now, what something waits for first."""
+        """Returns the dirty jobs that can be written now, first those that must not wait."""
         due = []
         for job in self._cluster.dirty_jobs():
             if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
                 self._flush_timer.flush_within(
                     job.write.checked_at + COUNTS_CHECK_S - now
-                )  # only its counts can differ
+                )  # only its counts can have changed
             elif (
                 job.write.coalescing_since is not None
                 and not job.write.flush_now
                 and now < job.write.coalescing_since + COALESCE_INTERVAL_S
             ):
                 self._flush_timer.flush_within(job.write.coalescing_since + COALESCE_INTERVAL_S - now)
-            elif self._is_paced(job) and now < job.write.commit_began_at + COALESCE_INTERVAL_S:
+            elif self._must_coalesce(job) and now < job.write.commit_began_at + COALESCE_INTERVAL_S:
                 self._flush_timer.flush_within(job.write.commit_began_at + COALESCE_INTERVAL_S - now)
             elif not job.write.commit_in_flight:
                 due.append(job)
-        # Under a burst the budget does not suffice for all. First what something waits for: placements, and
-        # ends; completions and counts only until users would see them too late. Then each job in its turn: by their
-        # age, an array of tens of thousands of tasks would use up the budget, and small jobs wait until it is done.
-        due.sort(key=lambda job: (not _is_waited_for(job, now), -job.spec.rank, job.write.order))
+        # In a burst the budget does not cover all jobs. First come those with placements or ends to write, and those
+        # whose counts users would otherwise see too late. Jobs of the same priority take turns: if the oldest came
+        # first, an array of tens of thousands of tasks would use up the budget until it is done, and small jobs would
+        # wait.
+        due.sort(key=lambda job: (not _needs_prompt_write(job, now), -job.spec.rank, job.write.order))
         return due
 
-    def _is_paced(self, job: Job) -> bool:
-        """Whether a job of many chunks is to gather its changes, as the budget is low."""
+    def _must_coalesce(self, job: Job) -> bool:
+        """Whether a job of several chunks has to coalesce its changes because the write budget is low."""
         if job.chunk_count() <= 1 or job.end_phase:
             return False
         write_budget = self._store.write_budget
@@ -135,32 +136,34 @@
         return min(self._store.limits.max_changes, int(self._store.write_budget.rate_per_s))
 
     def _budget_allows(self) -> bool:
-        """Whether a transaction may begin; seen before parts are built, which would be in vain."""
+        """Whether a transaction may begin; checked before write sets are built that could not be committed."""
         write_budget = self._store.write_budget
-        least, level = self._max_changes() // MIN_BATCH_DIVISOR, write_budget.level()
-        if level < least:
-            self._flush_timer.flush_within((least - level) / write_budget.rate_per_s)
-        return level >= least
+        min_level, level = self._max_changes() // MIN_BATCH_DIVISOR, write_budget.level()
+        if level < min_level:
+            self._flush_timer.flush_within((min_level - level) / write_budget.rate_per_s)
+        return level >= min_level
 
     def _build_batch(self, waiting: list[Job], now: float) -> tuple[TransactionBatch, list[Job]]:
-        """As many of the jobs as fit into a transaction, and those that are left."""
-        most = self._max_changes()
-        batch = TransactionBatch(max(min(JOB_END_CHANGES, most), min(most, int(self._store.write_budget.level()))))
-        rest: list[Job] = []
+        """Returns a batch of as many jobs as fit into a transaction, and the remaining jobs."""
+        max_changes = self._max_changes()
+        batch = TransactionBatch(
+            max(min(JOB_END_CHANGES, max_changes), min(max_changes, int(self._store.write_budget.level())))
+        )
+        remaining: list[Job] = []
         for job in waiting:
             if batch.is_full():
-                rest.append(job)
+                remaining.append(job)
                 continue
             job.write.checked_at = now
             write_set = self._builder.build(job, batch.room)
             if write_set is None:
                 self._record_unchanged(job)
             elif not batch.add(write_set):
-                rest.append(job)
-        return batch, rest
+                remaining.append(job)
+        return batch, remaining
 
     def _record_unchanged(self, job: Job) -> None:
-        """Nothing of the job has to be written, unless its counts change."""
+        """Marks a job with nothing to write as clean, unless its counts differ from the stored ones."""
         job.write.dirty = any(chunk.dirty for chunk in job.chunks.values())
         if job.write.dirty:
             return
@@ -170,7 +173,7 @@
             self._flush_timer.flush_within(COUNTS_INTERVAL_S / 2)
 
     def _take_budget(self, batch: TransactionBatch) -> bool:
-        """Takes a transaction's changes from the budget; returns whether they were there."""
+        """Takes a transaction's changes from the write budget; returns whether it covered them."""
         write_budget = self._store.write_budget
         if batch.changes and not write_budget.try_take(min(batch.changes, write_budget.rate_per_s)):
             self._flush_timer.flush_within(min(1.0, batch.changes / write_budget.rate_per_s))
@@ -195,18 +198,20 @@
             guards.update(write_set.guards)
             puts.update(write_set.puts)
             deletes += write_set.deletes
-        revision = 0  # only forgotten chunks that were never stored
+        revision = 0  # stays 0 if only chunks that were never stored are removed
         try:
             if puts or deletes:
                 revision = await self._store.client.commit(guards, puts, deletes)
             else:
-                await sleep(self._clock, 0.0)  # whoever began this holds the lock, which is taken anew below
+                await sleep(self._clock, 0.0)  # the caller holds the cluster's lock, which `_record_executed` acquires
         except ConflictError as conflict:
             self._resolve_conflict(write_sets, conflict)
         except TooLargeError as error:
             self._reduce_limits(write_sets, error, puts, len(puts) + len(deletes))
         except UnavailableError as error:
-            log.info("commit not executed jobs=%d: %s", len(write_sets), error)
+            log.info(
+                "commit not executed jobs=%d changes=%d error=%s", len(write_sets), len(puts) + len(deletes), error
+            )
             self._retry_later(write_sets)
             self._store.write_budget.refund(len(puts) + len(deletes))
         except UnknownOutcomeError as error:
@@ -231,12 +236,15 @@
         self.flush()
 
     def _resolve_conflict(self, write_sets: list[JobWriteSet], conflict: ConflictError) -> None:
-        """A guard failed: the jobs whose records have changed are read again."""
+        """Reloads the jobs whose guards failed, and queues the others again.
+
+        If the guard on the leader key failed, the leadership itself is suspect, and no job is queued again.
+        """
         self._in_flight -= 1
         if records.LEADER in conflict.failed:
             self._lease.suspect("the leader key has another version")
             return
-        log.debug("commit conflict keys=%s", conflict)
+        log.debug("commit conflict jobs=%d keys=%s", len(write_sets), conflict)
         for write_set in write_sets:
             if any(key in conflict.failed for key in write_set.guards):
                 self._reload(write_set.job)
@@ -247,24 +255,29 @@
     def _reduce_limits(
         self, write_sets: list[JobWriteSet], error: TooLargeError, puts: dict[str, Any], changes: int
     ) -> None:
-        """The limits have become lower than was announced. Unchanged it would be refused for ever."""
+        """Lowers the limits, which have become lower than announced: the same transaction would always be refused."""
         limits = self._store.limits
         limits.reduce_after_refusal(puts.values(), changes)
         log.info(
-            "commit too large max_changes=%d max_value_bytes=%d: %s", limits.max_changes, limits.max_value_bytes, error
+            "commit too large jobs=%d changes=%d max_changes=%d max_value_bytes=%d error=%s",
+            len(write_sets),
+            changes,
+            limits.max_changes,
+            limits.max_value_bytes,
+            error,
         )
         self._retry_later(write_sets)
 
     def _reload_all(self, write_sets: list[JobWriteSet], error: UnknownOutcomeError) -> None:
-        """The commit may still be executed: the jobs are read once it can't be any more."""
+        """Reloads the jobs of a commit that may still be executed; the reload fences it."""
         self._in_flight -= 1
-        log.info("commit outcome unknown jobs=%d: %s", len(write_sets), error)
+        log.info("commit outcome unknown jobs=%d error=%s", len(write_sets), error)
         for write_set in write_sets:
             write_set.job.write.has_unresolved_commit = True
             self._reload(write_set.job)
 
     def _retry_later(self, write_sets: list[JobWriteSet]) -> None:
-        """Has everything tried again after a pause."""
+        """Queues the jobs again, and pauses all commits."""
         self._in_flight -= 1
         for write_set in write_sets:
             self._requeue(write_set)
@@ -272,13 +285,13 @@
         self._flush_timer.flush_within(REFUSED_BACKOFF_S)
 
     def _requeue(self, write_set: JobWriteSet) -> None:
-        """Nothing was written: what the part is about is dirty still."""
+        """Marks the job and the chunks of a write set that was not executed as dirty again."""
         write_set.job.write.commit_in_flight = False
         for number in write_set.chunks:
             write_set.job.chunks[number].dirty = True
         self._cluster.mark_dirty(write_set.job)
 
 
-def _is_waited_for(job: Job, now: float) -> bool:
-    """Whether something waits for the job's changes, or users would see them too late."""
+def _needs_prompt_write(job: Job, now: float) -> bool:
+    """Whether the job's changes must not wait, or users would see its counts too late."""
     return job.write.flush_now or now > job.write.counts_stored_at + MAX_COUNTS_DELAY_S
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -1,4 +1,4 @@
-"""Reads single jobs from the store again, after a conflict or a commit of unknown outcome."""
+"""Reloads single jobs from the store after a conflict or a commit of unknown outcome."""
 
 import logging
 from collections.abc import Callable
@@ -21,10 +21,10 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-"""Pause after a refusal by the store, in seconds; doubled each time up to the longest."""
+"""Pause before the first retry, in seconds; doubled with each failed one up to `MAX_RETRY_S`."""
 MAX_RETRY_S = 2.4
 CONFLICT_RETRY_S = RETRY_S / 3
-"""Pause after a conflict: the job was cancelled, or what got no answer is executed by now."""
+"""Pause after a conflict, in seconds: a cancellation, or the commit without an answer, has changed the job's record."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,14 +32,14 @@
     """What the store holds of a job."""
 
     record: records.VersionedValue | None
-    """Its record under `active/`; None if it has ended."""
+    """The job's record under `active/`; None if the job has ended."""
     end_phase: EndPhase | None
-    """How it ended."""
+    """How the job ended; None if it has not."""
     chunks: list[Item]
 
 
 class JobReloader:
-    """Brings jobs in line with the store; until then nothing about them is written."""
+    """Reloads jobs; nothing of a job is started or written until its reload is complete."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self._request_scheduling = request_scheduling
 
     def reload(self, job: Job) -> None:
-        """Has a job read from the store; nothing of it is started or written meanwhile."""
+        """Starts a reload of the job, unless one is pending."""
         job.write.commit_in_flight = True
         if not job.reload_pending:
             job.reload_pending = True
@@ -79,7 +79,7 @@
                     return
                 await sleep(self._clock, CONFLICT_RETRY_S)
             except (UnavailableError, UnknownOutcomeError) as error:
-                log.debug("job reload failed job=%s: %s", job.id, error)
+                log.debug("job reload failed job=%s error=%s", job.id, error)
                 await sleep(self._clock, pause_s)
                 pause_s = min(2 * pause_s, MAX_RETRY_S)
         if not lease.active:
@@ -104,10 +104,10 @@
         return StoredJob(record, end_phase, chunks)
 
     async def _fence_unresolved_commit(self, key: str, record: records.VersionedValue) -> records.VersionedValue:
-        """Writes a job's record once more, so that the commit without an answer fails if it is executed later.
+        """Rewrites the job's record unchanged, so that the commit without an answer fails if it is executed later.
 
-        It is guarded on this version of the job's record. Executed late, it would place tasks on room that others have
-        by then.
+        That commit is guarded on the record's present version. Executed late, it would place tasks on resources that
+        other tasks use by then.
         """
         while not self._store.write_budget.try_take(1.0):
             await sleep(self._clock, RETRY_S)
@@ -115,12 +115,12 @@
         return records.VersionedValue(record.value, version)
 
     def _apply(self, job: Job, stored: StoredJob) -> None:
-        """Brings a job in line with what the store holds of it."""
+        """Updates the job to what the store holds."""
         before = list(job.placements())
         if stored.record is not None:
             apply_job_record(job, *stored.record)
         else:
-            job.inline_chunk = None  # whoever removed the record gave its chunk one of its own
+            job.inline_chunk = None  # the transaction that deleted the record gave the chunk a record of its own
         apply_chunk_records(job, stored.chunks)
         job.write.commit_in_flight = job.reload_pending = job.write.has_unresolved_commit = False
         self._reconcile_placements(job, before)
@@ -134,7 +134,7 @@
             self._lifecycle.reconcile_gang(job)
 
     def _reconcile_placements(self, job: Job, before: list[Placement]) -> None:
-        """Clears placements that the store no longer holds, and attaches those that it does."""
+        """Untracks placements that the store no longer holds, and tracks those that it does."""
         kept = {id(placement) for placement in job.placements()}
         for placement in before:
             if id(placement) not in kept:
