--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -33,7 +33,7 @@
 MAX_IN_FLIGHT = 3
 """The most transactions in flight at once."""
 MIN_BATCH_DIVISOR = 3
-"""A transaction begins once the write budget covers the most changes of a transaction, divided by this."""
+"""A transaction begins only while the write budget covers the most changes of one, divided by this."""
 COUNTS_CHECK_S = 0.25
 """Interval between checks of a job of which only the counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
@@ -103,9 +103,8 @@
         due = []
         for job in self._cluster.dirty_jobs():
             if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
-                self._flush_timer.flush_within(
-                    job.write.checked_at + COUNTS_CHECK_S - now
-                )  # only its counts can have changed
+                # Only its counts can have changed.
+                self._flush_timer.flush_within(job.write.checked_at + COUNTS_CHECK_S - now)
             elif (
                 job.write.coalescing_since is not None
                 and not job.write.flush_now
@@ -163,7 +162,7 @@
         return batch, remaining
 
     def _record_unchanged(self, job: Job) -> None:
-        """Marks a job with nothing to write as clean, unless its counts differ from the stored ones."""
+        """Marks a job with nothing to write as clean; counts that differ from the stored ones are checked later."""
         job.write.dirty = any(chunk.dirty for chunk in job.chunks.values())
         if job.write.dirty:
             return
@@ -255,7 +254,7 @@
     def _reduce_limits(
         self, write_sets: list[JobWriteSet], error: TooLargeError, puts: dict[str, Any], changes: int
     ) -> None:
-        """Lowers the limits, which have become lower than announced: the same transaction would always be refused."""
+        """Lowers a limit that is lower than was announced: unchanged, the transaction would always be refused."""
         limits = self._store.limits
         limits.reduce_after_refusal(puts.values(), changes)
         log.info(
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -89,7 +89,7 @@
         self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
-        """Has chunks whose record exceeds the limit of a value rewritten as several records, before the job's end."""
+        """Has chunks split whose record exceeds the limit of a value, before the job's end has to rewrite them."""
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -1,4 +1,4 @@
-"""The interface to the check that the state service still holds its records, and the version that checks nothing.
+"""The check that the state service still holds its records: its interface, and an implementation without checks.
 
 The feature `rebuild` replaces it by `stileloft.rebuild.protection.StoreProtection`.
 """
