--- a/stileloft/jobs/__init__.py
+++ b/stileloft/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Admission of jobs, and the life of their tasks."""
+"""Admission, status and cancellation of jobs, and the lifecycle of their tasks."""
--- a/stileloft/jobs/admission.py
+++ b/stileloft/jobs/admission.py
@@ -1,6 +1,6 @@
-"""Admission: what users ask of jobs, answered from the store by every controller alike.
+"""Users' requests about jobs, which every controller answers from the store.
 
-Whatever is told to a user has been committed before.
+No status is reported to a user before it is committed.
 """
 
 import logging
@@ -26,7 +26,7 @@
 
 
 class Admission:
-    """Submissions, states and cancellations. Each is an idempotent request: it may be repeated at any controller."""
+    """Submits jobs, reads their status and cancels them. Requests are idempotent: any controller may get a retry."""
 
     def __init__(
         self,
@@ -47,35 +47,35 @@
         self._canceller = JobCanceller(store, self.outcomes, self._status, on_cancelled)
 
     async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]:
-        """Accepts a job; returns whether it is new, and its state, only after the commit.
+        """Accepts a job; returns whether it is new, and its committed status.
 
-        Raises `InfeasibleJobError` and `RetryLaterError`. A job that is known keeps its state, whatever has
-        changed since it was accepted.
+        Raises `InfeasibleJobError` and `RetryLaterError`. A job that was accepted before keeps its status, even if it
+        would be infeasible now.
         """
-        known = self.outcomes.get(spec.id)
-        if known is not None:
-            return False, known
+        existing = self.outcomes.get(spec.id)
+        if existing is not None:
+            return False, existing
         self._store.require_intact()
         reason = self._feasibility.infeasibility_reason(spec)
         if reason is not None:
-            known = await self.status(spec.id)
-            if known is not None:
-                return False, known
+            existing = await self.status(spec.id)
+            if existing is not None:
+                return False, existing
             raise InfeasibleJobError(reason)
         self._store.take_changes(SUBMISSION_CHANGES)
         try:
             await self._accept(spec)
         except ConflictError as conflict:
             self._store.check_identity(conflict)
-            known = await self.status(spec.id)
-            if known is None:
+            existing = await self.status(spec.id)
+            if existing is None:
                 raise RetryLaterError("the job's record is changing") from None
-            return False, known
+            return False, existing
         log.info("job accepted job=%s tasks=%d class=%s team=%s", spec.id, spec.tasks, spec.job_class, spec.team)
         return True, job_status_message(spec.id, JobPhase.QUEUED)
 
     async def _accept(self, spec: JobSpec) -> None:
-        """Stores a job's record; raises `ConflictError` if the job has one already."""
+        """Stores the record of a new job; raises `ConflictError` if the job was accepted before."""
         active, final = records.active_key(spec.id), records.final_key(spec.id)
         chunk_size = self._format.chunk_size if self._format.has_chunk_sizes else None
         value = active_record(spec, self._wall_clock(), chunk_size)
@@ -89,9 +89,9 @@
         integrity.record_commit({active: value}, [], revision)
 
     async def status(self, job: str) -> dict[str, Any] | None:
-        """The job's state, or None if it was never accepted; raises `RetryLaterError`."""
+        """Returns the job's status, or None if it was never accepted; raises `RetryLaterError`."""
         return await self._status.status(job)
 
     async def cancel(self, job: str) -> dict[str, Any] | None:
-        """The job's final state once it is cancelled, or None if it was never accepted; raises `RetryLaterError`."""
+        """Cancels a job; returns its final status, or None if it was never accepted; raises `RetryLaterError`."""
         return await self._canceller.cancel(job)
--- a/stileloft/jobs/cancellation.py
+++ b/stileloft/jobs/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations of jobs by their users."""
+"""Cancellation of jobs by users."""
 
 import logging
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 log = logging.getLogger(__name__)
 
 CANCELLATION_CHANGES = 2.0
-"""Changes of the store that a cancellation usually takes: the job's record goes, and its final one comes."""
+"""Changes of the store that a cancellation usually takes: the job's record is deleted, its final record written."""
 MAX_ATTEMPTS = 4
-"""The leader may rewrite the record between the read and the commit."""
+"""Attempts at a cancellation: the leader may rewrite the job's record between the read and the commit."""
 
 
 class JobCanceller:
-    """Cancels jobs, directly in the store: the leader hears of it from its watch."""
+    """Cancels jobs directly in the store; the leader learns of it from its watch."""
 
     def __init__(
         self,
@@ -38,13 +38,13 @@
         self._on_cancelled = on_cancelled
 
     async def cancel(self, job: str) -> dict[str, Any] | None:
-        """The final state after the cancellation, or None for a job that was never accepted.
+        """Cancels a job; returns its final status, or None if it was never accepted.
 
-        Raises `RetryLaterError`. Repeating the request is safe: a job that has ended keeps its final state.
+        Raises `RetryLaterError`. The request is idempotent: a job that has ended keeps its final status.
         """
-        known = self._outcomes.get(job)
-        if known is not None:
-            return known
+        final_status = self._outcomes.get(job)
+        if final_status is not None:
+            return final_status
         self._store.require_intact()
         self._store.take_changes(CANCELLATION_CHANGES)
         with self._store.refund_on_failure(self._store.write_budget, CANCELLATION_CHANGES):
@@ -59,13 +59,13 @@
         raise RetryLaterError("the job's record keeps changing")
 
     async def _replace_record(self, job: str, value: dict[str, Any], version: int) -> dict[str, Any]:
-        """Replaces a job's record, of this value and version, by its final one."""
+        """Replaces a job's record, which has this value and version, by its final record."""
         active, final = records.active_key(job), records.final_key(job)
-        ended = records.final_record(FinalPhase.CANCELLED, 0)
-        puts = {final: ended}
+        final_value = records.final_record(FinalPhase.CANCELLED, 0)
+        puts = {final: final_value}
         inline = value.get(records.INLINE_CHUNK)
         if inline is not None and inline["p"]:
-            # What may still run somewhere stays known until it is gone: it takes room, and has to be stopped.
+            # Tasks that may still run stay recorded until they end: they use resources, and have to be stopped.
             puts[records.chunk_key(job, 0)] = detached_chunk_record(job_from_wire(value["s"]), inline, value["n"])
             self._store.write_budget.overdraw(1.0)
         integrity = self._store.integrity
@@ -74,4 +74,4 @@
         integrity.record_commit(puts, [active], revision)
         log.info("job cancelled job=%s revision=%d", job, revision)
         self._on_cancelled(job, revision)
-        return self._outcomes.record(job, ended)
+        return self._outcomes.record(job, final_value)
--- a/stileloft/jobs/feasibility.py
+++ b/stileloft/jobs/feasibility.py
@@ -1,4 +1,4 @@
-"""The feasibility check: whether a job could run at all on an empty cluster."""
+"""The feasibility check: whether a job could run on an empty cluster."""
 
 from stileloft.jobs.errors import RetryLaterError
 from stileloft.machines.catalog import MachineCatalog
@@ -14,23 +14,26 @@
 class FeasibilityCheck:
     """Checks submissions against quotas, machine types and the limits of the store."""
 
-    def __init__(self, teams: dict[str, Team], catalog: MachineCatalog, value_bytes: int) -> None:
-        """`value_bytes` is the lowest limit on a record's size that the store is announced to have."""
+    def __init__(self, teams: dict[str, Team], catalog: MachineCatalog, max_value_bytes: int) -> None:
+        """`max_value_bytes`: the lowest announced limit of the store on the size of a value, in bytes."""
         self._teams = teams
         self._catalog = catalog
-        self._value_bytes = value_bytes
+        self._max_value_bytes = max_value_bytes
 
     def infeasibility_reason(self, spec: JobSpec) -> str | None:
-        """Why the job can never run, or None if it can; raises `RetryLaterError` until machine types are known."""
+        """Returns why the job can never run, or None if it can.
+
+        Raises `RetryLaterError` until the machine types are known.
+        """
         if not self._catalog.types:
             raise RetryLaterError("the machine types are not known yet")
-        return infeasibility_reason(spec, self._teams, self._catalog.types, self._value_bytes)
+        return infeasibility_reason(spec, self._teams, self._catalog.types, self._max_value_bytes)
 
 
 def infeasibility_reason(
-    spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType], value_bytes: int
+    spec: JobSpec, teams: dict[str, Team], types: dict[str, MachineType], max_value_bytes: int
 ) -> str | None:
-    """Why a job can never run, or None if it can. What is merely not there now is no reason."""
+    """Returns why a job can never run, or None if it can. A temporary shortage is no reason."""
     team = teams.get(spec.team)
     if team is None:
         return f"unknown team {spec.team!r}"
@@ -40,7 +43,7 @@
         return "what has to run at once needs more than the team's limit"
     if spec.is_gang and spec.spread and spec.tasks > 1 and not _can_spread(spec, types):
         return "half of its tasks would have to be in another zone, and all of them run at once"
-    if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.JOB_PROGRESS_BYTES > value_bytes:
+    if records.json_bytes(active_record(spec, 0.0, spec.tasks)) + records.JOB_PROGRESS_BYTES > max_value_bytes:
         return SPEC_TOO_LARGE
     return None
 
@@ -54,6 +57,6 @@
 
 
 def _can_spread(spec: JobSpec, types: dict[str, MachineType]) -> bool:
-    """Whether the job may use more than one zone, and there are machine types for it in more than one."""
+    """Whether the job may use several zones, and several zones have machine types that fit it."""
     zones = {zone for kind in types.values() if fits_type(spec, kind) for zone in kind.zones}
     return not spec.one_zone and spec.zone is None and len(zones) > 1
--- a/stileloft/jobs/job_status.py
+++ b/stileloft/jobs/job_status.py
@@ -1,4 +1,4 @@
-"""The states of jobs, as users are told them."""
+"""The status of jobs, as reported to users."""
 
 from collections import OrderedDict
 from typing import Any
@@ -12,27 +12,27 @@
 
 MAX_CACHED_OUTCOMES = 5000
 SPARE_READS_FRACTION = 0.5
-"""While more than this part of a second's reads is left, each question has a read of its own; then they share one."""
+"""While the read budget holds more than this fraction of a second's reads, each request has a read of its own."""
 
 
 class JobOutcomes:
-    """Final states of jobs, as told to users. Only these may come from memory: nothing can make them older."""
+    """Final statuses of jobs. Only these may be answered from memory: they never become stale."""
 
     def __init__(self, integrity: StoreIntegrity) -> None:
         self._integrity = integrity
         self._cache: OrderedDict[str, dict[str, Any]] = OrderedDict()
 
     def get(self, job: str) -> dict[str, Any] | None:
-        """A job's final state, if it is known without asking the store."""
+        """Returns a job's final status if it is known without a read of the store, else None."""
         cached = self._cache.get(job)
         if cached is not None:
             return cached
-        # It may have ended before the store was rebuilt, and then has no record of its own there.
+        # A job that ended before a rebuild of the store has no record of its own there.
         outcome = self._integrity.outcome_of(job)
         return None if outcome is None else self.record(job, records.final_record(outcome.phase, outcome.tasks))
 
     def record(self, job: str, value: dict[str, Any]) -> dict[str, Any]:
-        """Keeps the final state that the value of a job's final record tells, and returns it."""
+        """Caches the final status given by the value of a job's final record, and returns it."""
         answer = job_status_message(job, JobPhase(value["phase"]), value["n"], 0)
         self._cache[job] = answer
         if len(self._cache) > MAX_CACHED_OUTCOMES:
@@ -41,9 +41,9 @@
 
 
 class JobStatusReader:
-    """Reads states of jobs from the store.
+    """Reads the status of jobs from the store.
 
-    Records only move from `active/` to `final/`, so they are looked for in that order.
+    Records only move from `active/` to `final/`, so they are looked up in that order.
     """
 
     def __init__(self, store: UserStore, outcomes: JobOutcomes, clock: Clock) -> None:
@@ -52,10 +52,10 @@
         self._shared_scan = SharedJobScan(store, clock)
 
     async def status(self, job: str) -> dict[str, Any] | None:
-        """The job's state, or None if the store says that it was never accepted; raises `RetryLaterError`."""
-        known = self._outcomes.get(job)
-        if known is not None:
-            return known
+        """Returns the job's status, or None if it was never accepted; raises `RetryLaterError`."""
+        final_status = self._outcomes.get(job)
+        if final_status is not None:
+            return final_status
         self._store.require_intact()
         with self._store.refund_on_failure(self._store.read_budget, 1.0):
             value = await self._active_record(job)
@@ -65,7 +65,7 @@
         return job_status_message(job, JobPhase.RUNNING if running else JobPhase.QUEUED, done, running)
 
     async def final_status(self, job: str) -> dict[str, Any] | None:
-        """The state of a job that is not among the unfinished ones; None if it was never accepted.
+        """Returns the status of a job without a record under `active/`, or None if it was never accepted.
 
         Raises the errors of the store.
         """
@@ -73,14 +73,17 @@
         if found is not None:
             return self._outcomes.record(job, found[0])
         integrity = self._store.integrity
-        await integrity.verify_absence()  # what is missing may have been lost
-        known = self._outcomes.get(job)
-        if known is not None:
-            return known
+        await integrity.verify_absence()  # the missing record may have been lost
+        final_status = self._outcomes.get(job)
+        if final_status is not None:
+            return final_status
         return job_status_message(job, JobPhase.QUEUED, 0, 0) if integrity.has_lost_spec(job) else None
 
     async def _active_record(self, job: str) -> dict[str, Any] | None:
-        """The record of an unfinished job. Many users asking often must not take what the leader needs."""
+        """Returns the record of an unfinished job, or None.
+
+        Frequent requests share a scan, to leave the leader its share of reads.
+        """
         key = records.active_key(job)
         read_budget = self._store.read_budget
         if read_budget.level() > SPARE_READS_FRACTION * read_budget.rate_per_s:
--- a/stileloft/jobs/shared_scan.py
+++ b/stileloft/jobs/shared_scan.py
@@ -1,4 +1,4 @@
-"""One scan of the unfinished jobs that many users' questions share."""
+"""A scan of the unfinished jobs that is shared by users' requests."""
 
 from typing import Any
 
@@ -10,20 +10,23 @@
 from stileloft.transport.clock import Clock
 
 GATHER_S = 0.25
-"""Questions are gathered for so long before the scan that they share begins, in seconds."""
+"""How long requests are gathered before their shared scan begins, in seconds."""
 
 
 class SharedJobScan:
-    """Scans the records of unfinished jobs; a scan begins after the last question that it answers."""
+    """Scans the records of unfinished jobs; a scan begins after the last request that it answers."""
 
     def __init__(self, store: UserStore, clock: Clock) -> None:
         self._store = store
         self._clock = clock
         self._waiting: list[defer.Deferred[dict[str, Any]]] = []
-        """Questions that wait for the next scan."""
+        """Requests that wait for the next scan."""
 
     def read(self) -> defer.Deferred[dict[str, Any]]:
-        """The records of all unfinished jobs by their keys, as read after now; fails with the errors of a scan."""
+        """Returns the records of all unfinished jobs by key, read after this call.
+
+        Fails with the errors of a scan, or with `RetryLaterError` if the read budget is spent.
+        """
         waiting: defer.Deferred[dict[str, Any]] = defer.Deferred()
         self._waiting.append(waiting)
         if len(self._waiting) == 1:
@@ -31,16 +34,16 @@
         return waiting
 
     async def _scan(self) -> None:
-        # Later questions wait for the next scan: this one may begin before they are asked.
+        # Later requests wait for the next scan: this one may begin before they arrive.
         waiting, self._waiting = self._waiting, []
         try:
             self._store.take_reads()
             items, _ = await self._store.client.scan(records.ACTIVE)
             self._store.read_budget.overdraw(len(items) // PAGE)
         except Exception as error:
-            for each in waiting:
-                each.errback(error)
+            for request in waiting:
+                request.errback(error)
             return
         found = {key: value for key, value, _ in items}
-        for each in waiting:
-            each.callback(found)
+        for request in waiting:
+            request.callback(found)
--- a/stileloft/jobs/user_store.py
+++ b/stileloft/jobs/user_store.py
@@ -1,4 +1,4 @@
-"""The store as users' requests use it, on every controller alike: within budgets, and only while it is believed."""
+"""Access to the store for users' requests, on every controller: within budgets, and only while it is intact."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -17,14 +17,14 @@
 from stileloft.transport.rate_limit import TokenBucket
 
 REBUILD_RETRY_S = 2.0
-"""When users are to come back while lost records are rebuilt, in seconds."""
+"""Delay before users should retry while lost records are rebuilt, in seconds."""
 RETRY_S = 1.0
-"""When users are to come back otherwise, in seconds."""
+"""Delay before users should retry otherwise, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class UserStore:
-    """The client of the store, with this controller's share of its limits for users."""
+    """The store's client, with this controller's budgets for users' requests."""
 
     client: StateClient
     integrity: StoreIntegrity
@@ -32,32 +32,32 @@
     write_budget: TokenBucket
 
     def require_intact(self) -> None:
-        """Raises `RetryLaterError` while records of the store are known to be lost."""
+        """Raises `RetryLaterError` while records of the store, or outcomes of jobs, are known to be missing."""
         if not self.integrity.is_sound() or not self.integrity.has_all_outcomes():
             raise RetryLaterError("the state service has lost records, which are being rebuilt", REBUILD_RETRY_S)
 
     def check_identity(self, conflict: ConflictError) -> None:
-        """Raises `RetryLaterError` if a transaction failed as the store is not the one that is known."""
+        """Raises `RetryLaterError` if the transaction failed because the store has another identity."""
         if records.IDENTITY in conflict.failed:
             self.integrity.request_verification()
             raise RetryLaterError("the state service is being verified", RETRY_S)
 
     def take_reads(self, reads: float = 1.0) -> None:
-        """Takes reads from the budget; raises `RetryLaterError` if it has too few."""
+        """Takes reads from the read budget; raises `RetryLaterError` if it holds too few."""
         _take(self.read_budget, reads)
 
     def take_changes(self, changes: float) -> None:
-        """Takes changes from the budget; raises `RetryLaterError` if it has too few."""
+        """Takes changes from the write budget; raises `RetryLaterError` if it holds too few."""
         _take(self.write_budget, changes)
 
     @contextmanager
     def refund_on_failure(self, budget: TokenBucket, amount: float) -> Iterator[None]:
-        """Turns failures of the store into `RetryLaterError`, and refunds what was taken for a request not executed."""
+        """Converts errors of the store into `RetryLaterError`, and refunds the amount for a request not executed."""
         try:
             yield
         except (UnavailableError, UnknownOutcomeError) as error:
-            # Without the refund the repeats during an outage would leave nothing for those after it.
-            # A throttled request counts, as its repeats would starve the leader.
+            # Without the refund, retries during an outage would leave no budget for the requests after it.
+            # A throttled request is not refunded, as its retries would starve the leader.
             if isinstance(error, UnavailableError) and not isinstance(error, ThrottledError):
                 budget.refund(amount)
             raise RetryLaterError(f"state service: {error}") from None
