--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -1,4 +1,4 @@
-"""The watch over the jobs' records: submissions, and cancellations by whichever controller was asked."""
+"""The leader's watch of the job records: submissions and cancellations at any controller."""
 
 import logging
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 log = logging.getLogger(__name__)
 
 WATCH_LEASE_FRACTION = 0.5
-"""A watch waits for this part of the leader's lease: until it is answered, nothing shows that it still hears."""
+"""Duration of a watch, as a fraction of the leader's lease: only an answer shows that the watch still works."""
 MAX_STALE_WATCHES = 4.0
-"""Nothing is started when nothing was heard of cancellations for so many watches."""
+"""No task is started once all cancellations were last known longer ago than this, in durations of a watch."""
 WATCH_PAUSE_FRACTION = 0.1
-"""After an answer with news the next watch begins this part of a watch later."""
+"""Pause between an answer with changes and the next watch, as a fraction of a watch."""
 SETTLE_RETRY_S = 0.25
-"""How soon it is checked again whether an ended job has no transaction in flight any more, in seconds."""
+"""Interval between checks whether an ended job still has a transaction in flight, in seconds."""
 RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError), retry_s=0.2, defect_s=0.5)
 
 
 class JobWatch:
-    """Keeps the leader's jobs in step with the store, and knows how old that knowledge is."""
+    """Applies submissions and cancellations to the leader's jobs, and measures how old its view of them is."""
 
     def __init__(
         self,
@@ -59,20 +59,20 @@
         self.revision = 0
         self.watch_s = lease.duration_s * WATCH_LEASE_FRACTION
         self.up_to_date_at = float("-inf")
-        """Until then we know of all cancellations: when we sent the newest question that the store answered."""
+        """All cancellations before this time are known: it is when the newest answered request was sent."""
         self._compacted = False
-        """The store does not know any more what has changed since `revision`: all jobs have to be read again."""
+        """The store no longer holds the changes since `revision`: all jobs have to be read again."""
 
     def staleness_s(self) -> float:
-        """Seconds since we last knew of all cancellations; without end before the store was read."""
+        """Returns the seconds since all cancellations were last known; infinite before the store was read."""
         return self._clock.seconds() - self.up_to_date_at
 
     def is_fresh(self) -> bool:
-        """Whether we hear of cancellations, so that nothing is started of a job that ended long ago."""
+        """Whether cancellations are known recently enough to start tasks: no task of a long-ended job may start."""
         return self.staleness_s() <= MAX_STALE_WATCHES * self.watch_s
 
     async def run(self) -> None:
-        """Follows the jobs' records for as long as the leadership lasts."""
+        """Follows the job records while the leadership lasts."""
         await repeat("job watch", self._follow, RETRY, self._clock, lambda: self._lease.active)
 
     async def _follow(self) -> None:
@@ -85,24 +85,24 @@
             self._compacted = True
 
     async def _watch_once(self) -> None:
-        """Waits for changes, and takes them in."""
+        """Waits for changes, and applies them."""
         asked_at = self._clock.seconds()
         revision, events = await self._state.watch(records.ACTIVE, self.revision, self.watch_s)
         if not self._lease.active:
             return
         if any(value is None and self._is_unexplained(key) for key, value, _ in events):
-            # Its user cancelled it, or the store has lost it: then its tasks must not be stopped.
+            # The job was cancelled, or the store has lost its record; in that case its tasks must not be stopped.
             await self._integrity.verify()
         for key, value, version in events:
             self.on_change(key[len(records.ACTIVE) :], value, version)
         self.revision, self.up_to_date_at = revision, asked_at
         self._jobs.prune_removed(self.up_to_date_at)
         if events:
-            # Under a burst each change would else be an answer and a request of its own.
+            # In a burst, each change would otherwise take a request and an answer of its own.
             await sleep(self._clock, self.watch_s * WATCH_PAUSE_FRACTION)
 
     async def _resync(self) -> None:
-        """Reads all jobs, as changes since the last look are no longer known."""
+        """Reads all jobs after a compaction, which removed changes that this leader has not seen."""
         asked_at = self._clock.seconds()
         active, revision = await self._state.scan(records.ACTIVE)
         listed = {key for key, _, _ in active}
@@ -121,12 +121,12 @@
         self._compacted = False
 
     def _is_unexplained(self, key: str) -> bool:
-        """Whether a record that is gone belongs to a job that goes on as far as we know."""
+        """Whether a deleted record is that of an unfinished job without a transaction in flight."""
         job = self._cluster.jobs.get(key[len(records.ACTIVE) :])
         return job is not None and job.end_phase is None and not job.write.commit_in_flight
 
     def on_change(self, job_id: str, value: Any, version: int) -> None:
-        """A job's record was written (`value`) or deleted (None) by somebody, perhaps by us."""
+        """Adds a new job, or ends one whose record was deleted (`value` is None), whichever controller did so."""
         job = self._cluster.jobs.get(job_id)
         if value is None:
             if job is not None and not job.end_phase:
@@ -135,7 +135,7 @@
             self._add_job(value, version)
 
     def _add_job(self, value: Any, version: int) -> None:
-        """Takes in a job that is new to this leader."""
+        """Adds a job that is new to this leader."""
         with self._cluster.lock:
             job = job_from_record(value, version, self._legacy_chunk_size)
             self._jobs.add(job)
@@ -144,25 +144,25 @@
         self._request_scheduling()
 
     def _end(self, job: Job, version: int) -> None:
-        """A job's record is gone: it was cancelled, or finished by a commit of ours whose answer is on its way.
+        """Ends a job whose record was deleted by a cancellation, or by this leader's commit that is not answered yet.
 
-        In both cases nothing of it may run. What is being stored of it may take as long as an outage, so the stops
-        don't wait for that; which of the two it was, the store tells then.
+        In both cases none of its tasks may run. A transaction in flight may take as long as an outage, so the stops do
+        not wait for it; the store is read afterwards to find out how the job ended.
         """
         with self._cluster.lock:
-            # With no transaction in flight it was none of ours, and we know all that the store holds of it, unless
-            # its record held a chunk, which has one of its own now.
+            # Without a transaction in flight, the job was cancelled, and all that the store holds of it is known,
+            # unless its record held a chunk: that chunk has a record of its own now.
             unsettled = job.write.commit_in_flight or job.has_inline_chunk
             log.info("job record deleted job=%s revision=%d", job.id, version)
             self._lifecycle.end_job(job, EndPhase.UNSETTLED if unsettled else EndPhase.CANCELLED)
-        self._settle(job)
+        self._reload_when_idle(job)
 
-    def _settle(self, job: Job) -> None:
-        """Learns what the store holds of a job that has ended, once no transaction about it is in flight."""
-        known = self._cluster.jobs.get(job.id) is job
-        if not self._lease.active or not known or job.end_phase is not EndPhase.UNSETTLED:
+    def _reload_when_idle(self, job: Job) -> None:
+        """Reloads a job that has ended, once no transaction about it is in flight."""
+        is_current = self._cluster.jobs.get(job.id) is job
+        if not self._lease.active or not is_current or job.end_phase is not EndPhase.UNSETTLED:
             return
         if job.write.commit_in_flight:
-            self._clock.callLater(SETTLE_RETRY_S, self._settle, job)
+            self._clock.callLater(SETTLE_RETRY_S, self._reload_when_idle, job)
         else:
             self._reload(job)
--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -1,4 +1,4 @@
-"""The jobs that the leader knows: accepted ones come in, ended ones go."""
+"""The registry of the leader's jobs: accepted jobs are added, ended ones removed."""
 
 from stileloft.model import records
 from stileloft.model.cluster import ClusterState
@@ -10,7 +10,7 @@
 
 
 class JobRegistry:
-    """Takes jobs into the cluster's state and lets go of them. Called with the cluster's lock held."""
+    """Adds jobs to the cluster's state, and removes them. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -28,37 +28,37 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self.lost_spec_jobs: frozenset[str] = frozenset()
-        """Jobs of which only workers' heartbeats tell: what runs of them goes on until an operator decides."""
+        """Jobs known only from workers' heartbeats: their tasks run on until an operator decides."""
         self._removed: dict[str, float] = {}
-        """Jobs removed from the cluster's state, and when: the watch may not have come as far as that."""
+        """When jobs were removed: the watch may still deliver records of them that are older than that."""
 
     def add(self, job: Job) -> None:
-        """Takes in an accepted job."""
+        """Adds an accepted job."""
         self._cluster.jobs[job.id] = job
         job.accepted_at = self._clock.seconds() - max(0.0, self._wall_clock() - job.submitted)
         self._workload.observe(job.spec, job.submitted)
-        most = records.max_placements_in(self._limits.max_value_bytes)
+        max_placements = records.max_placements_in(self._limits.max_value_bytes)
         if self._format.has_chunk_sizes:
             if not job.stores_chunk_size:
                 self._cluster.dirty[job.id] = None
-        elif most < job.chunk_size:
-            # Its chunks must have one record each, within the limit to come.
-            job.max_placed_per_chunk = most
+        elif max_placements < job.chunk_size:
+            # Without chunk sizes a chunk has a single record, which has to fit the lowest announced limit.
+            job.max_placed_per_chunk = max_placements
 
     def remove(self, job: Job) -> None:
-        """Lets go of a job of which nothing is left; the watch may still bring a record from before its end."""
+        """Removes a job of which nothing is left."""
         self._cluster.remove_job(job.id)
         self._removed[job.id] = self._clock.seconds()
 
     def was_removed(self, job_id: str) -> bool:
-        """Whether a job ended so lately that the watch may still bring an older record of it."""
+        """Whether a job was removed so recently that the watch may still deliver an older record of it."""
         return job_id in self._removed
 
     def prune_removed(self, before: float) -> None:
-        """What was asked of the store after a job was let go of brings no record of it any more."""
+        """Forgets jobs removed before this time: requests to the store sent after that return no record of them."""
         while self._removed and next(iter(self._removed.values())) < before:
             del self._removed[next(iter(self._removed))]
 
     def awaits_operator(self, job_id: str) -> bool:
-        """Whether a job's tasks run on though the store places none of them: only heartbeats tell of it."""
+        """Whether a job is known only from heartbeats: its tasks run on without stored placements."""
         return job_id in self.lost_spec_jobs and job_id not in self._cluster.jobs
--- a/stileloft/jobs/task_exits.py
+++ b/stileloft/jobs/task_exits.py
@@ -1,4 +1,4 @@
-"""What follows from the exit of a task, by the reason that its worker gives."""
+"""Handling of exited tasks, by the reason that the worker gives."""
 
 import logging
 
@@ -17,13 +17,13 @@
 log = logging.getLogger(__name__)
 
 NO_ROOM_HEARTBEATS = 2.0
-"""A job avoids a machine without room for so long, in heartbeat intervals."""
+"""How long a job avoids a machine without room, in heartbeat intervals."""
 UNKNOWN_HEARTBEATS = 0.5
-"""Pause of a job whose task its worker doesn't know, in heartbeat intervals."""
+"""Pause of a job whose task is unknown to its worker, in heartbeat intervals."""
 
 
 class TaskExitHandler:
-    """Completes tasks, or has them run again. Called with the cluster's lock held."""
+    """Ends exited tasks, completed or to be run again. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         self._timings = timings
 
     def handle(self, machine: Machine, placement: Placement, reason: ExitReason | None, now: float) -> None:
-        """The task has exited. A gang that has lost a task runs again as a whole, at once."""
+        """Handles the exit of a task. A gang that has lost a task runs again as a whole, without a pause."""
         placement.reported_state = TaskState.EXITED
         if reason == ExitReason.DONE:
             self._complete(machine, placement, now)
@@ -56,8 +56,9 @@
             self._log_refusal("unknown to the worker", placement)
             self._backoff.pause(placement.job, UNKNOWN_HEARTBEATS * self._timings.heartbeat_s)
         elif reason == ExitReason.BUSY:
-            # The other attempt is listed too, and is stopped as an orphaned task; meanwhile go elsewhere.
-            self._log_refusal("another attempt is there", placement)
+            # The heartbeat lists the other attempt too, which is stopped as an orphaned task; until then the job avoids
+            # the machine.
+            self._log_refusal("another attempt present", placement)
             self._backoff.avoid_machine(placement, self._timings.lease_s)
         self._lifecycle.end(placement, reason or EndReason.EXITED)
 
@@ -66,26 +67,30 @@
         job = self._cluster.jobs.get(placement.job)
         if job is not None and placement.running_since is not None and job.spec.estimate_s > 0:
             self._attribution.record_success(job)
-            if _is_whole_run(job, placement):
+            if _is_complete_run(job, placement):
                 run_time_s = now - placement.running_since
-                if not job.durations:  # one sample a job, however many tasks it has
+                if not job.durations:  # one sample per job, however many tasks it has
                     self._workload.record_run_time(job.spec, run_time_s)
                 self._attribution.record_run_time(machine, job, run_time_s)
         self._lifecycle.end(placement, EndReason.DONE)
 
     @staticmethod
-    def _log_refusal(why: str, placement: Placement) -> None:
+    def _log_refusal(reason: str, placement: Placement) -> None:
         log.info(
-            "task refused, %s task=%s attempt=%d machine=%s", why, placement.task, placement.attempt, placement.machine
+            "task refused task=%s attempt=%d machine=%s reason=%r",
+            placement.task,
+            placement.attempt,
+            placement.machine,
+            reason,
         )
 
 
-def _is_whole_run(job: Job, placement: Placement) -> bool:
+def _is_complete_run(job: Job, placement: Placement) -> bool:
     """Whether this leader saw the task run from the beginning to the end of its work.
 
-    A task that a former leader placed had run for a while when it was first seen; taken for short, it would make the
-    machines of its job's later tasks look slow.
+    A task that a former leader placed had already run for a while when this one first saw it. Its run time would seem
+    too short, and the machines of the job's later tasks slow in comparison.
     """
-    # Attempts are counted per chunk: beyond its length, a task may have run before and saved.
+    # Attempts are numbered per chunk: above its length, the task may have run before and saved a checkpoint.
     first_attempt = placement.attempt <= job.chunk_length(placement.index // job.chunk_size)
     return placement.placed_by_this_leader and (job.spec.is_gang or first_attempt)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a placed task, from its placement over stops to its end, and the end of its job."""
+"""The lifecycle of placed tasks, from placement to stop and end, and the end of jobs."""
 
 import logging
 import math
@@ -22,13 +22,13 @@
 log = logging.getLogger(__name__)
 
 SAVE_TIME_FACTOR = 1.2
-"""A task gets this multiple of the time that its owner says it takes to save a checkpoint."""
+"""The default grace of a stop, as a multiple of the job's stated time to save a checkpoint."""
 STOP_MARGIN_S = 0.5
-"""Added to the grace of each stop, in seconds."""
+"""Added to the default grace of a stop, in seconds."""
 RECLAIM_RESERVE_S = 1.0
-"""A checkpoint is begun so long before a reclaim would come too late, in seconds."""
+"""A checkpoint is begun only if more than this would remain between it and the reclaim, in seconds."""
 MIN_REMAINING_FRACTION = 0.1
-"""A running task is expected to run for at least this part of its estimate."""
+"""A running task is expected to run on for at least this fraction of its estimate."""
 
 
 class TaskLifecycle:
@@ -57,14 +57,14 @@
         self._send_commands = send_commands
 
     def track(self, placement: Placement) -> None:
-        """Adds a placement that has not ended to those of its machine."""
+        """Adds a placement to those of its machine, unless it has ended."""
         if placement.state != PlacementState.ENDED:
             machine = self._machines.get_or_create(placement.machine)
             machine.placements[placement.key] = placement
             machine.idle_since = machine.scheduling_view = None
 
     def end(self, placement: Placement, reason: str) -> None:
-        """The task is certainly not on its machine any more, and has to run again unless it is done.
+        """Ends a placement whose task is certainly off its machine; the task runs again unless it is done.
 
         `reason`: an `EndReason`, or the exit reason that the worker gave.
         """
@@ -98,7 +98,7 @@
                 self.reconcile_gang(job)
 
     def reconcile_gang(self, job: Job) -> None:
-        """Ends what is left of a gang of which a task is done, or lost."""
+        """Ends the other tasks of a gang if one is done, or stops them if one is lost."""
         if job.end_phase or job.reload_pending:
             return
         if gangs.completed(job):
@@ -110,7 +110,7 @@
             self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def untrack(self, placement: Placement) -> None:
-        """Removes a placement that the store holds no longer from those of its machine."""
+        """Removes a placement that the store no longer holds from those of its machine."""
         machine = self._cluster.machines.get(placement.machine)
         if machine is None:
             return
@@ -123,11 +123,14 @@
             machine.idle_since = self._clock.seconds()
 
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
-        """Has a task stopped, with time to save if it can; one of a gang with all the others, side by side."""
+        """Stops a task, and at the same time all others of its gang.
+
+        `grace_s`: time to save a checkpoint, in seconds; None for the job's default, or that of a pending stop.
+        """
         job = self._cluster.jobs.get(placement.job)
-        together = list(job.placements()) if job is not None and job.spec.is_gang else [placement]
-        for each in together:
-            self._stop_placement(each, grace_s)
+        placements = list(job.placements()) if job is not None and job.spec.is_gang else [placement]
+        for member in placements:
+            self._stop_placement(member, grace_s)
 
     def _stop_placement(self, placement: Placement, grace_s: float | None) -> None:
         if placement.state == PlacementState.PLANNED:
@@ -144,17 +147,17 @@
             self._clock.callLater(0, self._send_commands, machine)
 
     def _default_grace_s(self, job_id: str) -> float:
-        """The time that a task gets to save a checkpoint, in seconds."""
+        """Returns the time that a task gets to save a checkpoint, in seconds."""
         job = self._cluster.jobs.get(job_id)
         if job is None or not job.spec.checkpoint_s:
             return STOP_MARGIN_S
         save_s = job.spec.save_s or 0.0
         if job.spec.is_gang and save_s:
-            save_s += self._timings.gang_peer_s  # one that has saved waits for the others
+            save_s += self._timings.gang_peer_s  # a task that has saved waits for the others of its gang
         return save_s * SAVE_TIME_FACTOR + STOP_MARGIN_S
 
     def evict_gracefully(self, machine: Machine, now: float) -> None:
-        """Empties a machine that the cloud takes away, so that as little as possible is lost."""
+        """Stops tasks on a machine that the cloud is about to reclaim, so that as little work as possible is lost."""
         left_s = (machine.reclaim_at or now) - now
         for placement in list(machine.placements.values()):
             job = self._cluster.jobs.get(placement.job)
@@ -162,14 +165,14 @@
                 continue
             spec = job.spec
             if (spec.checkpoint_s or 0.0) > 0:
-                # Later would save more, but a command that comes too late saves nothing.
+                # A later checkpoint would save more work, but a stop that arrives too late saves none.
                 if (spec.save_s or 0.0) + RECLAIM_RESERVE_S < left_s:
                     self.stop(placement)
             elif self.remaining_run_time_s(job, placement, now) > left_s:
                 self.stop(placement, 0.0)
 
     def remaining_run_time_s(self, job: Job, placement: Placement, now: float) -> float:
-        """How long the task is expected to run on, in seconds; without end for a service."""
+        """Returns how long the task is expected to run on, in seconds; infinite for a service."""
         if job.spec.is_service:
             return math.inf
         estimate_s = self._workload.estimate(job.spec)
@@ -178,7 +181,7 @@
         return max(MIN_REMAINING_FRACTION * estimate_s, estimate_s - (now - placement.running_since))
 
     def end_job(self, job: Job, phase: EndPhase) -> None:
-        """The job has ended: what still runs of it is stopped, and what is stored of it goes."""
+        """Ends a job: stops its tasks, and has its chunks removed from the store."""
         if job.end_phase in (None, EndPhase.UNSETTLED):
             job.end_phase = phase
             log.info("job ended job=%s phase=%s", job.id, phase)
@@ -187,7 +190,7 @@
             self.rewrite_all_chunks(job)
 
     def stop_all_tasks(self, job: Job) -> None:
-        """Stops what runs of a job that has ended, and has its chunks written again."""
+        """Stops all tasks of a job that has ended, and marks its chunks dirty."""
         for placement in list(job.placements()):
             if placement.state == PlacementState.PLANNED:
                 self.end(placement, EndReason.JOB_ENDED)
@@ -196,7 +199,7 @@
         self._mark_chunks_dirty(job)
 
     def rewrite_all_chunks(self, job: Job) -> None:
-        """Has all chunks of a job written again soon; those of a job that has ended go."""
+        """Has all chunks of a job written again soon, or removed from the store if the job has ended."""
         self._mark_chunks_dirty(job)
         self._flush_timer.flush_within(0.0)
 
