--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -35,7 +35,7 @@
 MIN_BATCH_DIVISOR = 3
 """A transaction begins only while the write budget covers the most changes of one, divided by this."""
 COUNTS_CHECK_S = 0.25
-"""Interval between checks of a job of which only the counts can have changed, in seconds."""
+"""Interval between checks of a job if only its counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
 """Pause of all commits after the store has not executed one, in seconds."""
 LOW_BUDGET_FRACTION = 0.5
@@ -154,7 +154,7 @@
                 remaining.append(job)
                 continue
             job.write.checked_at = now
-            write_set = self._builder.build(job, batch.room)
+            write_set = self._builder.build(job, batch.remaining_changes)
             if write_set is None:
                 self._record_unchanged(job)
             elif not batch.add(write_set):
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -8,7 +8,7 @@
 GUARDS_PER_CHANGE = 4
 """The most guards of a transaction, as a multiple of its most changes."""
 JOB_END_CHANGES = 4
-"""Changes that the end of a job may take; a transaction with less room gets no further job."""
+"""Changes that the end of a job may take; a transaction with fewer left gets no further job."""
 
 
 class TransactionBatch:
@@ -22,12 +22,12 @@
         self._guards = 1  # the leader key
 
     @property
-    def room(self) -> int:
+    def remaining_changes(self) -> int:
         """Number of changes that may still be added."""
         return self.max_changes - self.changes
 
     def is_full(self) -> bool:
-        """Whether the remaining room is too small for a further job."""
+        """Whether too few changes remain for a further job."""
         return self.changes >= max(1, self.max_changes - JOB_END_CHANGES + 1)
 
     def add(self, write_set: JobWriteSet) -> bool:
