--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -36,8 +36,8 @@
         """Adds an accepted job."""
         self._cluster.jobs[job.id] = job
         job.accepted_at = self._clock.seconds() - max(0.0, self._wall_clock() - job.submitted)
-        self._workload.observe(job.spec, job.submitted)
-        max_placements = records.max_placements_in(self._limits.max_value_bytes)
+        self._workload.record_submission(job.spec, job.submitted)
+        max_placements = records.max_placements_per_record(self._limits.max_value_bytes)
         if self._format.has_chunk_sizes:
             if not job.stores_chunk_size:
                 self._cluster.dirty[job.id] = None
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -101,12 +101,12 @@
         """Ends the other tasks of a gang if one is done, or stops them if one is lost."""
         if job.end_phase or job.reload_pending:
             return
-        if gangs.completed(job):
+        if gangs.is_completed(job):
             for placement in list(job.placements()):
                 placement.done = True
                 self.end(placement, EndReason.GANG_DONE)
             self._cluster.mark_dirty(job)
-        for placement in gangs.left_over(job):
+        for placement in gangs.remaining_placements(job):
             self._stop_placement(placement, 0.0 if placement.stop_grace_s is None else None)
 
     def untrack(self, placement: Placement) -> None:
@@ -175,7 +175,7 @@
         """Returns how long the task is expected to run on, in seconds; infinite for a service."""
         if job.spec.is_service:
             return math.inf
-        estimate_s = self._workload.estimate(job.spec)
+        estimate_s = self._workload.estimated_run_time_s(job.spec)
         if placement.running_since is None:
             return estimate_s
         return max(MIN_REMAINING_FRACTION * estimate_s, estimate_s - (now - placement.running_since))
--- a/stileloft/rebuild/operator_decisions.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -27,7 +27,7 @@
 """By job: its unresolved tasks, and the version of their record."""
 
 
-class UnresolvedTaskKeeper:
+class UnresolvedTaskManager:
     """Holds unresolved tasks back from being started, and carries out what operators decide of them."""
 
     def __init__(
@@ -52,9 +52,9 @@
         """All that is unresolved; nothing is asked without the feature."""
         if not self._integrity.detects_loss:
             return {}
-        items, _ = await self._store.client.scan(records.UNDECIDED)
+        items, _ = await self._store.client.scan(records.UNRESOLVED)
         return {
-            key[len(records.UNDECIDED) :]: (unresolved_tasks.from_record(value), version)
+            key[len(records.UNRESOLVED) :]: (unresolved_tasks.from_record(value), version)
             for key, value, version in items
         }
 
@@ -64,7 +64,7 @@
         for job_id, (found, _) in stored.items():
             job = self._cluster.jobs.get(job_id)
             if job is not None:
-                job.tasks_awaiting_operator = frozenset(found.open_tasks())
+                job.tasks_awaiting_operator = frozenset(found.blocked_tasks())
 
     async def run(self) -> None:
         """Does what operators decide, for as long as the leadership lasts."""
@@ -92,7 +92,7 @@
         elif found.spec_lost and Decision.FORGET not in found.decisions.values() and job is None:
             return
         # Nothing of it is unresolved any more, or the job has ended or was submitted once more.
-        key = records.UNDECIDED + job_id
+        key = records.UNRESOLVED + job_id
         await self._store.commit({}, [key], guards={key: version})
         log.info("unresolved tasks settled job=%s", job_id)
         with self._cluster.lock:
@@ -101,7 +101,7 @@
 
     def _apply_decisions(self, job: Job, found: UnresolvedTasks) -> bool:
         """Brings the job in line with the decisions; returns whether all are carried out and stored."""
-        open_tasks = found.open_tasks()
+        blocked_tasks = found.blocked_tasks()
         for text, decision in found.decisions.items():
             index = int(text)
             chunk = job.chunk_of(index)
@@ -111,7 +111,7 @@
                 job.done += 1
                 chunk.dirty = True
                 self._cluster.mark_dirty(job)
-        job.tasks_awaiting_operator = frozenset(open_tasks)
+        job.tasks_awaiting_operator = frozenset(blocked_tasks)
         job.refresh_counts()
         self._flush_timer.flush_within(0.0)
         decided = found.decisions.keys() >= found.evidence.keys()
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -227,7 +227,7 @@
             return
         self.commits += 1
         if revision:
-            self._tokens.committed(revision)
+            self._tokens.record_commit(revision)
         with self._cluster.lock:
             for write_set in write_sets:
                 self._applier.apply(write_set, revision)
--- a/stileloft/store/job_write_set_builder.py
+++ b/stileloft/store/job_write_set_builder.py
@@ -29,7 +29,7 @@
         It has at most `max_changes` puts and deletes, unless a single chunk takes more.
         """
         write_set = JobWriteSet(job, is_inline=self._policy.stores_chunk_inline(job))
-        gang_completed = job.spec.is_gang and not job.end_phase and gangs.completed(job)
+        gang_completed = job.spec.is_gang and not job.end_phase and gangs.is_completed(job)
         newly_done = self._add_chunks(write_set, max_changes)
         if job.end_phase:
             return write_set if write_set.changes or write_set.removed_chunks else None
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -25,7 +25,7 @@
         """The version of the format record; 0 if there is none."""
         self.legacy_chunk_size = records.chunk_size(limits.value_kb)
         """Tasks per chunk of jobs whose records do not state it."""
-        self.chunk_size = records.sized_chunk_size(limits.least().value_bytes)
+        self.chunk_size = records.recorded_chunk_size(limits.least().value_bytes)
         """Tasks per chunk of new jobs, once their records may state it."""
         self.on_advance: Callable[[], None] = lambda: None
         """Called after the format has advanced."""
@@ -33,7 +33,7 @@
     @property
     def has_chunk_sizes(self) -> bool:
         """Whether records state the number of tasks per chunk."""
-        return self.number >= records.SIZED_FORMAT
+        return self.number >= records.CHUNK_SIZE_FORMAT
 
     @property
     def has_inline_chunks(self) -> bool:
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -9,7 +9,7 @@
 from stileloft.transport.clock import Clock
 from stileloft.workers.fencing import MachineFencing
 
-STOP_REPEAT_HEARTBEATS = 1.0
+STOP_RETRY_HEARTBEATS = 1.0
 """A stop is repeated after so many heartbeat intervals."""
 
 
@@ -37,7 +37,7 @@
         ]
         if not unreported:
             return []
-        refusal = self._authority.check_starts(machine)
+        refusal = self._authority.check_starts_on(machine)
         if refusal is Refusal.NO_SPARE_TOKEN:
             self._fencing.request_spare_token(machine, unreported)
         if refusal is not None:
@@ -67,7 +67,7 @@
         return commands + self._stops_of_orphaned_tasks(machine)[: limit - len(commands)]
 
     def _is_stop_due(self, placement: Placement, now: float) -> bool:
-        return now >= placement.stop_sent_at + STOP_REPEAT_HEARTBEATS * self._heartbeat_s
+        return now >= placement.stop_sent_at + STOP_RETRY_HEARTBEATS * self._heartbeat_s
 
     def _stops_of_orphaned_tasks(self, machine: Machine) -> list[StopCommand]:
         return [
@@ -82,7 +82,7 @@
         An attempt is forgotten only once its start is fenced: a late one would run it again.
         """
         authority = self._authority
-        if not machine.pending_forgets or authority.check_forgets(machine) is not None:
+        if not machine.pending_forgets or authority.check_forgets_on(machine) is not None:
             return []
         now = self._clock.seconds()
         due = [(task, entry) for task, entry in machine.pending_forgets.items() if entry.due_at <= now][:limit]
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -55,34 +55,34 @@
         owners[machine] = number
         for event in events:
             if event == "raise":
-                issued = tokens.issue_above(machine)
+                issued = tokens.issue_spare_above(machine)
                 assert (issued is None) == (machine >= max(tokens._spares, default=0))
                 if issued is not None:
                     assert issued > machine
                     assert owners.setdefault(issued, number) == number
                     assert tokens.is_own(issued)
-                    assert not tokens.is_later(issued)
+                    assert not tokens.is_from_successor(issued)
                     machine = issued
             else:
                 revision += 1
                 if event == "commit":
-                    tokens.committed(revision)
-                    assert tokens.has_above(machine)
+                    tokens.record_commit(revision)
+                    assert tokens.has_spare_above(machine)
         given_out = max(given_out, tokens.highest_issued)
         assert given_out <= offset + revision
-        assert tokens.is_later(offset + revision + 1)
+        assert tokens.is_from_successor(offset + revision + 1)
 
 
 def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
     tokens = FencingTokens(5, 5)
     for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
-        tokens.committed(revision)
-    tokens.committed(7)  # its answer came late
+        tokens.record_commit(revision)
+    tokens.record_commit(7)  # its answer came late
     first = 6 + MAX_SPARE_TOKENS
-    assert tokens.issue_above(5) == first
-    assert tokens.issue_above(first) == first + 1
-    assert tokens.issue_above(5 + 2 * MAX_SPARE_TOKENS) is None
-    assert not tokens.has_above(5 + 2 * MAX_SPARE_TOKENS)
+    assert tokens.issue_spare_above(5) == first
+    assert tokens.issue_spare_above(first) == first + 1
+    assert tokens.issue_spare_above(5 + 2 * MAX_SPARE_TOKENS) is None
+    assert not tokens.has_spare_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
 def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
@@ -231,7 +231,7 @@
     assert leader.authority.check_transmission([placement], machine) is None
     leader.tokens._spares.clear()
     assert leader.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
-    leading_controller(world).election._confirmed_until = 0.0
+    leading_controller(world).election._held_until = 0.0
     assert leader.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
     assert leader.authority.check_transmission([], machine) is None
     leader.lease.active = False
@@ -247,10 +247,10 @@
     leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token == before
     assert no_violations == []
-    leader.tokens.committed(10**6)
+    leader.tokens.record_commit(10**6)
     leader.fencing.fence_for_forgets(machine, world.now)
     assert machine.token > before
-    leader.tokens.committed(10**6 + 1)
+    leader.tokens.record_commit(10**6 + 1)
     leader.fencing.fence_for_forgets(machine, world.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
@@ -266,14 +266,14 @@
 
     async def connecting(method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Any) -> Any:
         asked.append(path)
-        controller.election._confirmed_until = 0.0  # its lease ends while the connection is made
+        controller.election._held_until = 0.0  # its lease ends while the connection is made
         return await plain(method, address, path, body, timeout_s, is_wanted)
 
     machines = set(world.cloud.machines)
     wire.request = connecting
     leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
     world.run(0.1)
-    controller.election._confirm(world.now)
+    controller.election._record_renewal(world.now)
     leader.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
     assert asked == ["/hosts/release", "/hosts"]
@@ -312,7 +312,7 @@
     world.run(20)
     assert leader.commit_queue.commits > commits
     assert "j-000200/0" in world.rules.done
-    assert leader.fencing.waiting_machines == {}
+    assert leader.fencing.machines_awaiting_token == {}
 
 
 def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
@@ -351,7 +351,7 @@
     """Starts are held, their jobs cancelled, and tokens raised for that."""
     hold_and_cancel(world)
     world.run(4)
-    assert leading(world).tokens.issued > 0
+    assert leading(world).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
@@ -391,7 +391,7 @@
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
-    monkeypatch.setattr(MachineFencing, "fence_unwanted_starts", lambda *_: True)
+    monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
     run_watched(world, 80.0)
