--- a/stileloft/scheduling/__init__.py
+++ b/stileloft/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling decisions, which are functions of a snapshot, and the loop that makes and applies them."""
+"""Scheduling: decisions computed from a snapshot of the cluster, and the loop that makes and applies them."""
--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -1,4 +1,4 @@
-"""Machines and the tasks on them, as the scheduling decisions see them."""
+"""Views of machines and of the tasks on them, which scheduling decisions are computed from."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
@@ -9,36 +9,39 @@
 from stileloft.protocol.messages import PRIORITIES, JobSpec, MachineType
 
 PREEMPTION_EXEMPT_RANK = max(PRIORITIES.values()) + 1
-"""The rank of tasks that no other task may preempt."""
+"""Rank of tasks that no other task may preempt."""
 
 
 @dataclass(slots=True, eq=False)
 class RunningTask:
-    """A task that takes room on a machine. Never changed, as scheduling cycles share it."""
+    """A task that takes room on a machine. Immutable, as scheduling cycles share it."""
 
     key: TaskKey
     spec: JobSpec | None
+    """None for a task that the store does not place on the machine."""
     team: str
     rank: int
     cpus: float
     gpus: float
     memory_gb: float
     unsaved_s: float = 0.0
+    """Run time that is lost if the task is stopped: since its last checkpoint, or since its start."""
     remaining_s: float = 0.0
+    """Expected time until it ends."""
     stopping: bool = False
-    """It is already being stopped."""
+    """Whether the task is already being stopped."""
     within_preemption_budget: bool = True
-    """Stopping it does not yet break its job's budget."""
+    """Whether stopping the task keeps its job within its budget of preemptions."""
     group_size: int = 1
-    """How many tasks are stopped with it, itself included: all of its gang."""
+    """Number of tasks that are stopped together: all of its gang, or 1."""
     recently_started: bool = False
-    """Stopped now it would not count as started, and its class is to start soon."""
+    """Whether its class has a start objective and the task has run too briefly to count as started."""
 
     @classmethod
     def from_spec(
         cls, spec: JobSpec, key: TaskKey, preemption_exempt: bool = False, remaining_s: float = 0.0
     ) -> "RunningTask":
-        """A task of a job that is about to be placed."""
+        """Returns a task of a job that is about to be placed."""
         return cls(
             key,
             spec,
@@ -53,18 +56,18 @@
 
 
 class FutureRoom(NamedTuple):
-    """What is free on a machine from some moment on, if nothing more is placed there."""
+    """Resources free on a machine from a time on, if no more tasks are placed there."""
 
     available_in_s: float
+    """Seconds from now."""
     room: Resources
 
 
 @dataclass(slots=True, eq=False)
 class MachineView:
-    """A machine as the decisions see it.
+    """A machine as scheduling decisions see it.
 
-    Machines that did not change are the same object in many snapshots; a cycle that changes one takes a copy of it
-    first (`Snapshot.writable`).
+    Snapshots share the view of a machine that did not change; a cycle changes only its own copy (`Snapshot.writable`).
     """
 
     id: str
@@ -72,11 +75,13 @@
     zone: str
     spot: bool
     ready: bool
+    """Whether tasks may be placed there, once it is up."""
     up: bool
+    """Whether it has sent a heartbeat to this leader."""
     tasks: list[RunningTask] = field(default_factory=list)
     images: frozenset[str] = frozenset()
     fetching: frozenset[str] = frozenset()
-    """Images that tasks on it wait for."""
+    """Images that its tasks need and that it does not have yet."""
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory_gb: float = 0.0
@@ -86,28 +91,28 @@
 
     @property
     def schedulable(self) -> bool:
-        """Whether it is up and takes tasks now."""
+        """Whether tasks can be placed on the machine now."""
         return self.up and self.ready
 
     @property
     def free(self) -> Resources:
-        """What no task takes."""
+        """Resources that no task takes."""
         return Resources(self.free_cpus, self.free_gpus, self.free_memory_gb)
 
     def recompute_free(self) -> None:
-        """Computes what is free from the machine's size and its tasks."""
+        """Computes the free resources from the machine's type and its tasks."""
         self.free_cpus = self.type.cpus - sum(task.cpus for task in self.tasks)
         self.free_gpus = self.type.gpus - sum(task.gpus for task in self.tasks)
         self.free_memory_gb = self.type.memory_gb - sum(task.memory_gb for task in self.tasks)
         self._invalidate()
 
     def _invalidate(self) -> None:
-        """Drops what was computed from the tasks."""
+        """Drops the cached values that depend on the tasks."""
         self._reclaimable = {}
         self._room_by_time = None
 
     def copy(self) -> "MachineView":
-        """A copy whose tasks can be changed."""
+        """Returns a copy whose tasks can be changed."""
         return MachineView(
             self.id,
             self.type,
@@ -125,7 +130,7 @@
         )
 
     def add_task(self, task: RunningTask) -> None:
-        """Puts a task there."""
+        """Adds a task and takes its resources."""
         self.tasks.append(task)
         self.free_cpus -= task.cpus
         self.free_gpus -= task.gpus
@@ -133,7 +138,7 @@
         self._invalidate()
 
     def remove_task(self, task: RunningTask) -> None:
-        """Takes a task away."""
+        """Removes a task and frees its resources."""
         self.tasks.remove(task)
         self.free_cpus += task.cpus
         self.free_gpus += task.gpus
@@ -141,14 +146,14 @@
         self._invalidate()
 
     def mark_stopping(self, victims: Iterable[RunningTask]) -> None:
-        """Marks tasks as being stopped; their room is still taken."""
+        """Marks tasks as being stopped; their resources are not free yet."""
         stopped = {id(task) for task in victims}
         self.tasks = [replace(task, stopping=True) if id(task) in stopped else task for task in self.tasks]
         self._invalidate()
 
     def has_room(self, needed: Resources) -> bool:
-        """Whether so much is free."""
-        # Written out, as it is asked for each machine and job.
+        """Whether at least these resources are free."""
+        # Written out instead of using Resources.covers, because it is called for each machine and job.
         return (
             needed.cpus <= self.free_cpus + EPSILON
             and needed.gpus <= self.free_gpus + EPSILON
@@ -156,20 +161,20 @@
         )
 
     def reclaimable(self, rank: int) -> Resources:
-        """What is free once all that is being stopped, and all tasks of a lower rank, are gone."""
-        found = self._reclaimable.get(rank)
-        if found is None:
+        """Returns the resources free once all tasks that are being stopped or of a rank below `rank` are gone."""
+        reclaimable = self._reclaimable.get(rank)
+        if reclaimable is None:
             leaving = [task for task in self.tasks if task.stopping or task.rank < rank]
-            found = Resources(
+            reclaimable = Resources(
                 self.free_cpus + sum(task.cpus for task in leaving),
                 self.free_gpus + sum(task.gpus for task in leaving),
                 self.free_memory_gb + sum(task.memory_gb for task in leaving),
             )
-            self._reclaimable[rank] = found
-        return found
+            self._reclaimable[rank] = reclaimable
+        return reclaimable
 
     def room_by_time(self) -> list[FutureRoom]:
-        """What is free now, and then after the end of each task, the earliest end first."""
+        """Returns the resources free now and after the expected end of each task, in order of time."""
         if self._room_by_time is None:
             room = self.free
             self._room_by_time = [FutureRoom(0.0, room)]
--- a/stileloft/scheduling/machine_view_cache.py
+++ b/stileloft/scheduling/machine_view_cache.py
@@ -1,4 +1,4 @@
-"""Copies of machines for the decisions, kept until something changes."""
+"""Cache of the machine views that scheduling snapshots share."""
 
 from collections.abc import Callable
 
@@ -13,15 +13,15 @@
 from stileloft.transport.clock import Clock
 
 MAX_VIEW_AGE_S = 1.0
-"""A copy is kept for so long: its tasks' remaining times may be this old, in seconds."""
+"""A cached view is rebuilt after this many seconds, because its tasks' remaining times become outdated."""
 RECENT_START_S = 30.0
-"""A start counts for users if nothing stops the task within this time, in seconds."""
+"""A start counts for a start objective if the task is not stopped within this many seconds."""
 MAX_SEND_FAILURES = 2
-"""A machine that did not take so many messages in a row gets nothing new."""
+"""No tasks are placed on a machine after this many consecutive commands to it have failed."""
 
 
 class MachineViewCache:
-    """Makes the copies. Called with the cluster's lock held."""
+    """Builds and caches machine views. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._is_reachable = is_reachable
 
     def view(self, machine: Machine, machine_type: MachineType, now: float) -> MachineView:
-        """The machine's copy; made anew when it has changed, or its times have become old."""
+        """Returns the machine's view, rebuilt if the machine has changed or the view is older than `MAX_VIEW_AGE_S`."""
         view: MachineView | None = machine.scheduling_view
         if view is None or now - machine.scheduling_view_at > MAX_VIEW_AGE_S or view.type is not machine_type:
             view = self._build(machine, machine_type, now)
@@ -52,7 +52,10 @@
         return view
 
     def is_ready(self, machine: Machine, now: float) -> bool:
-        """Whether something may be placed there: it is heard, and it hears us."""
+        """Whether tasks may be placed on the machine once it is up.
+
+        A machine that is up must have the current fencing token, send heartbeats and accept commands.
+        """
         if machine.drain_reason is not None or machine.releasing:
             return False
         if machine.up_since is None:
@@ -78,7 +81,7 @@
         for placement in machine.placements.values():
             job = self._cluster.jobs.get(placement.job)
             if job is None or placement.state == PlacementState.ENDED:
-                continue  # what has ended takes no room, even if the store does not say so yet
+                continue  # an ended task takes no room, even if the store still places it there
             if job.spec.image not in machine.images:
                 fetching.add(job.spec.image)
             view.tasks.append(self._running_task(job, placement, now))
@@ -109,7 +112,7 @@
 
 
 def _orphan(task: str, orphan: OrphanedTask) -> RunningTask:
-    """A task that the store does not place there takes its room until it is gone, and nothing preempts it."""
+    """Returns an orphaned task, which takes room until it has exited and which no task may preempt."""
     return RunningTask(
         (task, -1),
         None,
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -1,4 +1,4 @@
-"""A copy of the cluster's state that the scheduling decisions are functions of."""
+"""The copy of the cluster's state that a scheduling cycle computes its decisions from."""
 
 from dataclasses import dataclass, field, replace
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class ExpectedTasks(NamedTuple):
-    """Tasks for which there should be room before they are submitted."""
+    """Tasks that room is kept for before they are submitted."""
 
     spec: JobSpec
     task_count: int
@@ -21,34 +21,36 @@
 
 @dataclass(slots=True)
 class PendingJob:
-    """A job with tasks that wait for a machine."""
+    """A job with tasks that wait for a machine, and the cycle's state of it."""
 
     spec: JobSpec
     submitted_at: float
+    """Unix time in seconds."""
     waiting_count: int
-    """How many tasks wait."""
+    """Number of waiting tasks."""
     task_indices: list[int]
-    """Some of the waiting tasks, lowest numbers first."""
+    """Indices of the waiting tasks that the cycle considers, in ascending order."""
     placed_by_zone: dict[str, int]
-    """How many tasks are placed in each zone."""
+    """Number of placed tasks in each zone."""
     estimate_s: float
+    """Expected run time of a task."""
     start_objective_s: float | None = None
-    """How soon its class is to start, by the objectives."""
+    """The time within which jobs of its class should start; None without such an objective."""
     excluded_machines: frozenset[str] = frozenset()
-    """Machines on which the job failed."""
+    """Ids of machines on which placing the job is in back-off."""
     aged: bool = False
-    """It has waited for long enough for priority aging."""
+    """Whether the job has waited long enough for priority aging."""
     promoted: bool = False
-    """It goes before more pressing work in this cycle, which does not preempt what it begins."""
+    """Whether the job goes before jobs of higher priority in this cycle. No job preempts tasks that start this way."""
     started: bool = True
-    """One of its tasks was placed already."""
+    """Whether one of its tasks has run."""
     starving: bool = False
-    """Nothing of it was placed for so long that it may use room kept for what is only expected."""
+    """Whether no task was placed for long, so that the job may use room kept for expected gangs or unpromoted jobs."""
 
     def split(self, count: int) -> "PendingJob":
-        """Keeps its first `count` tasks, and returns the others as a job that is not promoted.
+        """Keeps the first `count` tasks, and returns the others as a job that is not promoted.
 
-        What is placed of either counts for both, by zone.
+        Both share `placed_by_zone`, so that tasks placed for either count for both.
         """
         others = replace(
             self,
@@ -62,36 +64,36 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """Room kept for a task that waits, so that smaller ones don't starve it."""
+    """Room on a machine kept for waiting tasks of one job, so that smaller tasks do not starve it."""
 
     available_in_s: float
-    """When enough room is expected; what ends before may use the room meanwhile."""
+    """Seconds until enough room is expected to be free. Tasks that end before may use the room until then."""
     leftover: Resources
-    """What is left then beside the task."""
+    """Resources free at that time in addition to those reserved."""
     exclusive_job_id: str = ""
-    """The job that the room is kept for, if it is promoted: no preemption gives the room to others."""
+    """Id of the promoted job that the room is kept for; no other job preempts tasks there. Empty if not promoted."""
 
     @classmethod
     def for_job(cls, job: PendingJob, available_in_s: float, room: Resources, count: int = 1) -> "Reservation":
-        """Keeps room for `count` tasks out of what will be free."""
+        """Returns a reservation of room for `count` tasks out of the resources that will be free."""
         leftover = room.minus(requested(job.spec), count)
         return cls(available_in_s, leftover, job.spec.id if job.promoted else "")
 
     def admits(self, spec: JobSpec, estimate_s: float, starving: bool = False) -> bool:
-        """Whether a job may use the room meanwhile; `starving`: nothing of it was placed for long."""
+        """Whether a task of another job may use the reserved room; `starving` as in `PendingJob`."""
         if starving and not self.exclusive_job_id:
-            return True  # nothing is to wait beside room that stays empty for long
-        # Estimates are too rough for a promoted job, which has waited for long already.
+            return True  # a starving job does not wait while reserved room stays empty
+        # Run time estimates are too imprecise to delay a promoted job, which has already waited long.
         ends_before = not self.exclusive_job_id and estimate_s <= self.available_in_s
         return ends_before or self.leftover.covers(requested(spec))
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """What one scheduling cycle knows of the cluster; it is used up by the cycle."""
+    """The cluster's state as one scheduling cycle sees it; the cycle modifies it."""
 
     now: float
-    """Time of day, for deadlines."""
+    """Unix time in seconds, for deadlines."""
     machines: dict[str, MachineView]
     pending_jobs: list[PendingJob]
     teams: dict[str, Team]
@@ -99,11 +101,11 @@
     nominations: dict[TaskKey, Nomination]
     types: dict[str, MachineType]
     expected_gangs: list[ExpectedTasks] = field(default_factory=list)
-    """Tasks of gangs for which room is to be kept before they are submitted."""
+    """Tasks of gangs that room is kept for before they are submitted."""
     reservations: dict[str, Reservation] = field(default_factory=dict)
-    """Room reserved in this cycle, by machine."""
+    """Reservations made in this cycle, by machine id."""
     copied_machine_ids: set[str] = field(default_factory=set)
-    """Machines that this cycle has a copy of."""
+    """Ids of machines whose views this cycle has copied, so that it may change them."""
     _total_cpus: float | None = None
     _schedulable_ids: list[str] | None = None
 
@@ -113,19 +115,19 @@
         return TeamQuotas(self.teams, self.usage)
 
     def total_cpus(self) -> float:
-        """Processors of all machines."""
+        """Returns the processors of all machines, including those not up yet."""
         if self._total_cpus is None:
             self._total_cpus = sum(machine.type.cpus for machine in self.machines.values())
         return self._total_cpus
 
     def schedulable_machines(self) -> list[MachineView]:
-        """The machines that are up and take tasks, which stay the same ones during the cycle."""
+        """Returns the machines that are up and ready; the set is fixed at the first call in a cycle."""
         if self._schedulable_ids is None:
             self._schedulable_ids = [machine.id for machine in self.machines.values() if machine.schedulable]
         return [self.machines[machine_id] for machine_id in self._schedulable_ids]
 
     def writable(self, machine_id: str) -> MachineView:
-        """The machine's copy that may be changed."""
+        """Returns a copy of the machine's view that this cycle may change, made at its first call."""
         machine = self.machines[machine_id]
         if machine_id not in self.copied_machine_ids:
             machine = self.machines[machine_id] = machine.copy()
--- a/stileloft/scheduling/snapshot_builder.py
+++ b/stileloft/scheduling/snapshot_builder.py
@@ -1,4 +1,4 @@
-"""Builds the snapshot that a scheduling cycle decides on."""
+"""Builds the snapshot that a scheduling cycle computes its decisions from."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class SnapshotBuilder:
-    """Copies the cluster's state, under its lock, for the thread that decides."""
+    """Copies the cluster's state for the scheduling thread. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         wall_clock: WallClock,
         settled_after_s: float,
     ) -> None:
-        """`settled_after_s`: what has not been seen so long after a leadership's begin has not come."""
+        """`settled_after_s`: seconds from the start of a leadership until a class without jobs counts as unseen."""
         self._cluster = cluster
         self._lease = lease
         self._views = views
@@ -51,7 +51,7 @@
         self._settled_after_s = settled_after_s
 
     def build(self) -> Snapshot:
-        """A snapshot of all machines and of the jobs that wait."""
+        """Returns a snapshot of all machines and waiting jobs."""
         cluster = self._cluster
         now = self._clock.seconds()
         types = dict(self._catalog.types)
@@ -68,13 +68,13 @@
         )
 
     def headroom(self, gang: bool) -> list[ExpectedTasks]:
-        """Tasks that are to find room at once if they come now."""
-        # What has not been seen in the first moments of a leadership may only not have been read yet.
+        """Returns the tasks that room is kept for before they are submitted, of gangs or of other jobs."""
+        # Shortly after the start of a leadership, a class may have jobs that were not read from the store yet.
         settled = self._clock.seconds() - self._lease.began_at > self._settled_after_s
         return self._workload.headroom(gang, self._operator_settings(), include_unseen=gang and settled)
 
     def _machines(self, types: dict[str, MachineType], now: float) -> dict[str, MachineView]:
-        """Copies of all machines, those included that are being provisioned."""
+        """Returns views of all machines by id, including those of provisioning requests in flight."""
         views: dict[str, MachineView] = {}
         for machine in self._cluster.machines.values():
             machine_type = types.get(machine.type)
