--- a/stileloft/scheduling/queue_order.py
+++ b/stileloft/scheduling/queue_order.py
@@ -1,64 +1,65 @@
-"""The order in which waiting jobs are served: priority aging, priority, fair share, deadline, arrival."""
+"""The order in which waiting jobs are served: priority aging, priority, fair share, deadline and submission."""
 
 from stileloft.scheduling.machine_view import PREEMPTION_EXEMPT_RANK
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
-# Tasks that go first because of their job's age take no more than this share of the processors.
+# Largest share of all processors that tasks promoted by priority aging take.
 AGED_CPU_SHARE = 0.25
 
 
 def queue_position(job: PendingJob, snapshot: Snapshot) -> tuple[float, ...]:
-    """A sort key: age, priority, then the team's guarantee, then the latest start that meets the deadline."""
+    """Returns a sort key: promotion, priority, the team's guarantee, latest start, submission."""
     spec = job.spec
     if job.promoted:
-        # All of them are old, the more pressing ones too. First each is to begin.
+        # All promoted jobs are old, whatever their priority. Jobs with no task run yet go first.
         return (0, 1 if job.started else 0, job.submitted_at)
     guaranteed = snapshot.quotas.within_guarantee(spec)
     return (1, -spec.rank, 0 if guaranteed else 1, latest_start(job, snapshot), job.submitted_at)
 
 
 def latest_start(job: PendingJob, snapshot: Snapshot) -> float:
-    """When the job is to begin at the latest; without a deadline, when its share of the machines would be done.
+    """Returns the latest start that meets the job's deadline, in Unix time.
 
-    Otherwise one array of tens of thousands of tasks would go before all small jobs that come while it is served.
+    For a job without a deadline it is the time at which the job would complete alone. Otherwise one array of tens of
+    thousands of tasks would be served before all small jobs that are submitted after it.
     """
     if job.spec.deadline_s is None:
         return job.submitted_at + max(job.estimate_s, standalone_run_time_s(job, snapshot))
     latest = job.submitted_at + job.spec.deadline_s - job.estimate_s
     if latest < snapshot.now - job.estimate_s:
-        # Lost anyway: behind those that are pressed now and can still be met, but not behind
-        # those that have time, or the longest would be begun when all else is done.
+        # The deadline has passed. The job goes after jobs that are due to start and may still meet their deadlines,
+        # but before jobs with time to spare; otherwise the longest jobs would start after all others are done.
         return snapshot.now
     return latest
 
 
 def standalone_run_time_s(job: PendingJob, snapshot: Snapshot) -> float:
-    """How long the whole job would take if its team, or the machines, had nothing else to do."""
+    """Returns the seconds that the whole job would take if it had its team's limit, or all machines, to itself."""
     team = snapshot.teams.get(job.spec.team)
     cpus = team.cpus_max if team is not None and team.cpus_max else snapshot.total_cpus()
     return job.spec.tasks * job.spec.cpus * job.estimate_s / max(cpus, job.spec.cpus, 1.0)
 
 
 def promote_aged_jobs(snapshot: Snapshot) -> None:
-    """Priority aging: each old job begins with a task; then the oldest go on, within the share for such work.
+    """Promotes aged jobs: one task of each job that has not started, then tasks of the oldest, within `AGED_CPU_SHARE`.
 
-    What is beyond that share is served in the ordinary order, so that an old job of thousands of tasks is not
-    limited to it while machines stand empty.
+    The other tasks of a promoted job are split off and keep their ordinary place in the queue, so that an old job of
+    thousands of tasks is not limited to the share while machines are idle.
     """
-    room = _cpus_for_aged_jobs(snapshot)
+    available_cpus = _cpus_for_aged_jobs(snapshot)
     aged = [job for job in snapshot.pending_jobs if job.aged]
     for job in sorted(aged, key=lambda job: (job.started, job.submitted_at, job.spec.id)):
-        job.promoted = room > 0 or not job.started
-        wanted = (job.waiting_count if job.started else 1) * job.spec.cpus
+        job.promoted = available_cpus > 0 or not job.started
+        requested_cpus = (job.waiting_count if job.started else 1) * job.spec.cpus
         if job.promoted and not job.spec.is_gang:
-            most = max(1, int(room / job.spec.cpus)) if job.started and job.spec.cpus else 1
-            if most < job.waiting_count:
-                snapshot.pending_jobs.append(job.split(most))
-        room -= wanted
+            max_tasks = max(1, int(available_cpus / job.spec.cpus)) if job.started and job.spec.cpus else 1
+            if max_tasks < job.waiting_count:
+                snapshot.pending_jobs.append(job.split(max_tasks))
+        available_cpus -= requested_cpus
 
 
 def _cpus_for_aged_jobs(snapshot: Snapshot) -> float:
-    """Processors that promoted jobs may still take beside what runs of such jobs."""
+    """Returns the processors that promoted jobs may take in addition to their tasks already running."""
     machines = snapshot.schedulable_machines()
     allowed = AGED_CPU_SHARE * sum(machine.type.cpus for machine in machines)
     return allowed - sum(
--- a/stileloft/scheduling/reservations.py
+++ b/stileloft/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Reservations for single tasks: room kept on the machine that will have it first."""
+"""Reservations for single tasks: room kept on the machine that is expected to have it first."""
 
 from stileloft.model.resources import requested
 from stileloft.scheduling.constraints import machine_allowed, zone_allowed
@@ -6,16 +6,16 @@
 from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
 
 MAX_RESERVATIONS = 8
-"""Waiting tasks that room is kept for in one cycle."""
+"""No job reserves more room in a cycle once this many machines have reservations."""
 
 
 def can_reserve(job: PendingJob, machine: MachineView, snapshot: Snapshot) -> bool:
-    """Whether room may be kept for the job on a schedulable machine, whatever runs there now."""
+    """Whether the machine, which must be schedulable, has no reservation yet and is not excluded for the job."""
     return machine.id not in snapshot.reservations and machine.id not in job.excluded_machines
 
 
 def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
-    """Keeps room for a task on the machine that will have it first."""
+    """Reserves room for one task on the machine that is expected to have it first, within `MAX_RESERVATIONS`."""
     if len(snapshot.reservations) >= MAX_RESERVATIONS:
         return
     spec = job.spec
@@ -28,7 +28,7 @@
             or not zone_allowed(spec, job.placed_by_zone, machine.zone)
         ):
             continue
-        future = _first_room(job, machine)
+        future = _earliest_fit(job, machine)
         if future is not None and (best is None or (future.available_in_s, machine.id) < best):
             best = future.available_in_s, machine.id
             reservation = Reservation.for_job(job, future.available_in_s, future.room)
@@ -36,7 +36,7 @@
         snapshot.reservations[best[1]] = reservation
 
 
-def _first_room(job: PendingJob, machine: MachineView) -> FutureRoom | None:
-    """The first room on the machine that a task fits into."""
+def _earliest_fit(job: PendingJob, machine: MachineView) -> FutureRoom | None:
+    """Returns the earliest time at which a task fits on the machine, and the room then; None if it never fits."""
     needed = requested(job.spec)
     return next((future for future in machine.room_by_time() if future.room.covers(needed, tolerance=0.0)), None)
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -1,4 +1,4 @@
-"""What the classes of jobs are like, how often they come, and what room they will need."""
+"""Statistics of job classes: run times, arrivals, and the headroom that expected jobs need."""
 
 import enum
 import math
@@ -13,22 +13,23 @@
 from stileloft.scheduling.snapshot import ExpectedTasks
 from stileloft.settings import Objective
 
-# Weight of the newest observation in a moving mean.
+# Weight of the newest observation in an exponential moving average.
 MOVING_MEAN_WEIGHT = 0.2
-# Machines kept for a class that is to start soon and has not been seen: some gangs come while more are booting.
+# Tasks, one per machine, that headroom is kept for in a class with a start objective and no job yet: its first gangs
+# can then start while more machines boot.
 UNSEEN_CLASS_TASKS = 3
-# A class is taken to have ended when nothing came for this many of its usual gaps.
+# A class counts as ended after no submission for this many of its mean interarrival times.
 ENDED_AFTER_INTERARRIVALS = 4.0
-# The headroom that operators set is for classes of which so many jobs come in a boot time.
+# Arrivals per boot time up to which the operators' headroom factor applies unchanged.
 BASELINE_ARRIVALS_PER_BOOT = 2.0
-# Bounds of the ratio of a run time to its estimate, so that one odd job does not mislead.
+# Bounds of the ratio of run time to estimate, so that a single outlier does not distort later estimates.
 MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.1, 4.0
 MIN_ESTIMATE_S = 0.5
 MIN_INTERARRIVAL_S = 0.1
 
 
 class ObjectiveKind(enum.StrEnum):
-    """Which time a service-level objective bounds, by the settings' names."""
+    """The time that a service-level objective bounds; the values are those of the settings."""
 
     START = "wait"
     COMPLETION = "finished"
@@ -36,16 +37,17 @@
 
 @dataclass(slots=True)
 class ClassStatistics:
-    """What a class's jobs are like, and how often they come."""
+    """Size and arrival statistics of a job class."""
 
     spec: JobSpec
-    """The newest job."""
+    """Specification of the newest job."""
     mean_tasks: float
     last_submitted_at: float
     mean_interarrival_s: float = 0.0
+    """0 until a second job has been submitted."""
 
     def add(self, spec: JobSpec, submitted_at: float) -> None:
-        """Takes in one more job of the class."""
+        """Updates the statistics with one more job of the class."""
         interarrival_s = max(0.0, submitted_at - self.last_submitted_at)
         if self.mean_interarrival_s == 0.0:
             self.mean_interarrival_s = interarrival_s
@@ -56,7 +58,7 @@
         self.last_submitted_at = max(self.last_submitted_at, submitted_at)
 
     def has_ended(self, now: float) -> bool:
-        """Whether the class has sent nothing for so long that it is taken to have ended."""
+        """Whether no job of the class was submitted for so long that the class counts as ended."""
         return now - self.last_submitted_at > ENDED_AFTER_INTERARRIVALS * max(
             self.mean_interarrival_s, self.spec.estimate_s
         )
@@ -67,7 +69,7 @@
 
 
 class Workload:
-    """Statistics of the classes of jobs that one leader has seen."""
+    """Statistics of the job classes that one leader has seen, and the headroom that follows from them."""
 
     def __init__(
         self,
@@ -78,37 +80,37 @@
         self._wall_clock = wall_clock
         self._types = types
         self._ratios: dict[str, float] = {}
-        """Run time to estimate, by class."""
+        """Moving average of the ratio of run time to estimate, by class."""
         self.classes: dict[str, ClassStatistics] = {}
         self.start_objectives = self._tightest(objectives, ObjectiveKind.START)
         self.completion_objectives = self._tightest(objectives, ObjectiveKind.COMPLETION)
 
     @staticmethod
     def _tightest(objectives: Iterable[Objective], kind: ObjectiveKind) -> dict[str, float]:
-        """The tightest time of each class that has an objective of this kind."""
+        """Returns the shortest time in seconds of each class that has an objective of this kind."""
         tightest: dict[str, float] = {}
         for objective in objectives:
             if objective.kind == kind and objective.job_class and objective.within_s is not None:
-                known = tightest.get(objective.job_class, objective.within_s)
-                tightest[objective.job_class] = min(known, objective.within_s)
+                shortest_s = tightest.get(objective.job_class, objective.within_s)
+                tightest[objective.job_class] = min(shortest_s, objective.within_s)
         return tightest
 
     def has_active_classes(self) -> bool:
-        """Whether jobs of some class are still coming."""
+        """Whether any class still counts as submitting jobs."""
         now = self._wall_clock()
         return any(not statistics.has_ended(now) for statistics in self.classes.values())
 
     def record_run_time(self, spec: JobSpec, run_time_s: float) -> None:
-        """Corrects later estimates of the class by a completed task's run time."""
+        """Corrects later estimates of the class by the run time of a completed task."""
         ratio = min(MAX_RUN_TIME_RATIO, max(MIN_RUN_TIME_RATIO, run_time_s / spec.estimate_s))
         self._ratios[spec.job_class] = _moving_mean(self._ratios.get(spec.job_class, 1.0), ratio)
 
     def estimated_run_time_s(self, spec: JobSpec) -> float:
-        """Seconds a task is likely to run: the owner's estimate, corrected by what the class has shown."""
+        """Returns a task's expected run time in seconds: the job's estimate corrected by its class's run times."""
         return max(MIN_ESTIMATE_S, spec.estimate_s * self._ratios.get(spec.job_class, 1.0))
 
     def record_submission(self, spec: JobSpec, submitted_at: float) -> None:
-        """Keeps what a class's jobs are like and how often they come, for headroom."""
+        """Updates the statistics of the job's class."""
         statistics = self.classes.get(spec.job_class)
         if statistics is None:
             self.classes[spec.job_class] = ClassStatistics(spec, float(spec.tasks), submitted_at)
@@ -116,23 +118,24 @@
             statistics.add(spec, submitted_at)
 
     def headroom(self, gang: bool, settings: OperatorSettings, include_unseen: bool = False) -> list[ExpectedTasks]:
-        """Tasks that should find room at once: of classes for which a new machine would come too late.
+        """Returns expected tasks of the classes that cannot wait for a machine to boot, the highest rank first.
 
-        With `include_unseen`, room is kept for classes too of which nothing has come yet.
+        `gang` selects classes of gangs or of other jobs. `include_unseen` adds the classes with a start objective of
+        which no job was submitted yet.
         """
         now = self._wall_clock()
-        found = [
+        expected_tasks = [
             ExpectedTasks(statistics.spec, self._headroom_tasks(job_class, statistics, settings))
             for job_class, statistics in sorted(self.classes.items())
             if statistics.spec.is_gang is gang and not statistics.has_ended(now)
         ]
         if include_unseen:
-            found += [ExpectedTasks(spec, UNSEEN_CLASS_TASKS) for spec in self._unseen_classes()]
-        found.sort(key=lambda expected: -expected.spec.rank)
-        return found
+            expected_tasks += [ExpectedTasks(spec, UNSEEN_CLASS_TASKS) for spec in self._unseen_classes()]
+        expected_tasks.sort(key=lambda expected: -expected.spec.rank)
+        return expected_tasks
 
     def _headroom_tasks(self, job_class: str, statistics: ClassStatistics, settings: OperatorSettings) -> int:
-        """For how many tasks of a class room is to be kept."""
+        """Returns the number of tasks of a class to keep headroom for."""
         if job_class in self.start_objectives:
             factor = settings.headroom_wait
         else:
@@ -140,10 +143,11 @@
         return math.ceil(factor * self._burst_factor(statistics) * statistics.mean_tasks)
 
     def _unseen_classes(self) -> list[JobSpec]:
-        """Small on-demand machines for each class that is to start soon and of which nothing has come.
+        """Returns a stand-in job for each class with a start objective and no job yet.
 
-        It may turn out to be one of gangs, which preempt nothing, or one that may use no spot instance, and its
-        first jobs would wait for a boot.
+        The stand-in is a gang of one task that fills the cheapest machine type and allows no spot instance: the class
+        may turn out to consist of gangs, which preempt nothing, or to exclude spot instances, and its first jobs would
+        then wait for a boot.
         """
         machine_type = min(
             self._types().values(),
@@ -172,7 +176,10 @@
         ]
 
     def _burst_factor(self, statistics: ClassStatistics) -> float:
-        """What arrives in a boot time varies by its root: more room for classes of which many jobs come in one."""
+        """Returns the factor, at least 1, by which headroom grows for a class with many arrivals per boot time.
+
+        The number of arrivals in a boot time varies by its square root.
+        """
         boot_s = shortest_boot_s(statistics.spec, self._types().values())
         return max(
             1.0,
@@ -180,7 +187,11 @@
         )
 
     def _slack_s(self, spec: JobSpec) -> float:
-        """How long a new job like this may wait before a machine is provisioned for it, at the least."""
+        """Returns for how many seconds a new job like this can wait before a machine must be provisioned for it.
+
+        Negative if it would be late even on a machine provisioned at its submission. Without a deadline or objective
+        on completion, the time in which a new machine becomes ready; 0 if no machine type fits.
+        """
         machine_types = [machine_type for machine_type in self._types().values() if fits_type(spec, machine_type)]
         if not machine_types:
             return 0.0
