--- a/stileloft/scheduling/candidate_machines.py
+++ b/stileloft/scheduling/candidate_machines.py
@@ -1,4 +1,4 @@
-"""The machines that have room for a job's tasks, the best first."""
+"""Selection of the best machine with room for a job's tasks."""
 
 import heapq
 from collections.abc import Iterable
@@ -13,31 +13,31 @@
 from stileloft.scheduling.snapshot import PendingJob
 
 ScoredMachine = tuple[float, str, int]
-"""An entry of the heap: cost, machine, and which time the machine was scored.
+"""An entry of the heap: cost, machine id, and the machine's version when it was scored.
 
-A plain tuple, of which the interpreter reuses the memory: a cycle makes one for each machine and job.
+A plain tuple, because the interpreter reuses the memory of tuples: a cycle makes one for each machine and job.
 """
 
 
 class CandidateMachines:
-    """The machines that have room for a job's tasks, which are alike, the best first.
+    """Heap of the machines with room for a task of the job, the lowest cost first.
 
-    Each machine is scored once, and again only when it has changed.
+    The job's tasks are alike, so each machine is scored once, and again only when it has changed.
     """
 
-    def __init__(self, job: PendingJob, cycle: SchedulingCycle, among: list[MachineView] | None = None) -> None:
+    def __init__(self, job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView] | None = None) -> None:
         self._job = job
         self._cycle = cycle
         self._machines = cycle.snapshot.machines
         self._requested = requested(job.spec)
         self._heap: list[ScoredMachine] = []
         self._versions: dict[str, int] = {}
-        for machine in cycle.machines_with_room() if among is None else among:
+        for machine in cycle.machines_with_room() if machines is None else machines:
             self._score(machine, 0)
         heapq.heapify(self._heap)
 
     def _score(self, machine: MachineView, version: int) -> None:
-        """Appends the machine to the heap's list if a task fits there."""
+        """Appends the machine to the heap's list if a task may be placed there; the caller restores the heap order."""
         job, cycle = self._job, self._cycle
         spec = job.spec
         if (
@@ -59,11 +59,11 @@
         self._heap.append((cost, machine.id, version))
 
     def best(self) -> MachineView | None:
-        """The machine of least cost that has room, if there is one."""
+        """Returns the machine of lowest cost with room for a task; None if there is none."""
         while self._heap:
             _, machine_id, version = self._heap[0]
             machine = self._machines[machine_id]
-            # A zone that is full for the job stays so in this cycle.
+            # Machines in a zone that is full for the job are dropped: the zone stays full in this cycle.
             if version == self._versions.get(machine_id, 0) and zone_allowed(
                 self._job.spec, self._job.placed_by_zone, machine.zone
             ):
@@ -72,7 +72,7 @@
         return None
 
     def machine_changed(self, machine_id: str) -> None:
-        """Scores a machine anew, on which a task was placed or a nomination lost."""
+        """Rescores a machine on which a task was placed or a nomination ended."""
         version = self._versions[machine_id] = self._versions.get(machine_id, 0) + 1
         machine = self._machines[machine_id]
         if not machine.schedulable:
@@ -84,14 +84,14 @@
 
 
 def nominations_to_respect(job: PendingJob, nominated: Iterable[Nomination]) -> list[Nomination]:
-    """The nominations that a job has to leave room for: not all of those of gangs that are only expected.
+    """Returns the nominations that a job must leave room for.
 
-    Gangs like these may take their room, and so may jobs that are promoted or starving.
+    Room for expected gangs may be used by promoted and starving jobs, and by gangs of at least the same rank.
     """
-    respects_expected = not job.promoted and not job.starving
+    respects_expected_gangs = not job.promoted and not job.starving
     return [
         nomination
         for nomination in nominated
         if not nomination.is_expected
-        or (respects_expected and (not job.spec.is_gang or nomination.rank > job.spec.rank))
+        or (respects_expected_gangs and (not job.spec.is_gang or nomination.rank > job.spec.rank))
     ]
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -1,4 +1,4 @@
-"""Where a gang goes: machines for all of its tasks, side by side if it has to be in one zone."""
+"""Placement of gangs: machines for all of their tasks at once, in one zone if the job requires it."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -13,71 +13,72 @@
 from stileloft.scheduling.snapshot import PendingJob
 
 ANY_ZONE = ""
-"""In place of a zone's name, for jobs that may be in several."""
+"""Key that stands for all zones, for jobs that may use several."""
 
 
 class TaskAssignment(NamedTuple):
-    """A machine for a task of a gang."""
+    """The machine for one task of a gang."""
 
     task_index: int
     machine: MachineView
 
 
 class GangAssignment(NamedTuple):
-    """Machines for a gang's tasks in one zone."""
+    """Machines for a gang's tasks in one zone, or in several if the job allows it."""
 
     tasks: list[TaskAssignment]
     fetch_s: float
-    """When the last machine has the image."""
+    """Seconds until the last machine has the image."""
 
 
 class ZoneShortage(NamedTuple):
-    """How many tasks of a gang would find no room in a zone."""
+    """Number of a gang's tasks that have no room in a zone."""
 
     task_count: int
     zone: str
 
 
 def free_slots(spec: JobSpec, machine: MachineView) -> int:
-    """How many of a job's tasks fit on the machine now."""
+    """Returns how many of a job's tasks fit on the machine now."""
     if machine.free_cpus + EPSILON < spec.cpus:
-        return 0  # as on most machines: the others are counted in full
+        return 0  # the case of most machines, decided without computing all slots
     return machine.free.slots(spec)
 
 
 def machines_by_zone(spec: JobSpec, machines: Iterable[MachineView]) -> dict[str, list[MachineView]]:
-    """Machines that the job may use, by the zones of which one is to take all of it, or under one name."""
-    found: dict[str, list[MachineView]] = {}
+    """Returns the machines that the job may use, by zone; all under `ANY_ZONE` if it may use several zones."""
+    by_zone: dict[str, list[MachineView]] = {}
     for machine in machines:
         if machine_allowed(spec, machine):
-            found.setdefault(machine.zone if spec.one_zone else ANY_ZONE, []).append(machine)
-    return found
+            by_zone.setdefault(machine.zone if spec.one_zone else ANY_ZONE, []).append(machine)
+    return by_zone
 
 
 def find_gang_machines(job: PendingJob, cycle: SchedulingCycle) -> list[TaskAssignment] | None:
-    """A machine for each task of a gang, in the zone where its last image is there first; None if there is none.
+    """Returns a machine for each task of a gang, in the zone where all machines have the image earliest.
 
-    The snapshot is as before when it returns.
+    None if no zone has room for the whole gang, or its team's limit excludes it. Leaves the resources in the snapshot
+    unchanged.
     """
     if any(job.placed_by_zone.values()):
-        return None  # the rest of it is ending: it comes again as a whole
+        return None  # tasks of its former attempt are still ending; the gang is placed again as a whole
     if not cycle.quotas.within_limit(job.spec, job.waiting_count):
         return None
     best: tuple[tuple[float, str], list[TaskAssignment]] | None = None
     for zone, machines in sorted(machines_by_zone(job.spec, cycle.machines_with_room()).items()):
         if sum(free_slots(job.spec, machine) for machine in machines) < job.waiting_count:
             continue
-        found = _try_zone(job, cycle, machines)
-        if len(found.tasks) == job.waiting_count and (best is None or (found.fetch_s, zone) < best[0]):
-            best = (found.fetch_s, zone), found.tasks
+        assignment = _assign_machines(job, cycle, machines)
+        if len(assignment.tasks) == job.waiting_count and (best is None or (assignment.fetch_s, zone) < best[0]):
+            best = (assignment.fetch_s, zone), assignment.tasks
     return best[1] if best else None
 
 
-def _try_zone(job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView]) -> GangAssignment:
-    """Places as many of the gang's tasks as fit on the machines, and takes them back."""
+def _assign_machines(job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView]) -> GangAssignment:
+    """Returns machines for as many of the gang's tasks as fit; places them on the snapshot and removes them again."""
     spec = job.spec
     candidates = CandidateMachines(job, cycle, machines)
-    placed: list[tuple[TaskAssignment, RunningTask]] = []
+    placements: list[tuple[TaskAssignment, RunningTask]] = []
     fetch_s = 0.0
     for index in job.task_indices:
         target = candidates.best()
@@ -88,18 +89,18 @@
         task = RunningTask.from_spec(spec, (spec.id, index))
         machine.add_task(task)
         job.placed_by_zone[machine.zone] = job.placed_by_zone.get(machine.zone, 0) + 1
-        placed.append((TaskAssignment(index, machine), task))
+        placements.append((TaskAssignment(index, machine), task))
         candidates.machine_changed(machine.id)
-    for assignment, task in placed:
+    for assignment, task in placements:
         assignment.machine.remove_task(task)
         job.placed_by_zone[assignment.machine.zone] -= 1
-    return GangAssignment([assignment for assignment, _ in placed], fetch_s)
+    return GangAssignment([assignment for assignment, _ in placements], fetch_s)
 
 
 def shortage_by_zone(
     spec: JobSpec, count: int, machines: Iterable[MachineView], zones: Iterable[str]
 ) -> list[ZoneShortage]:
-    """How many tasks of a gang would find no room, by zone, the least first."""
+    """Returns how many tasks of a gang have no room in each zone it may use, the smallest shortage first."""
     by_zone = machines_by_zone(spec, machines)
 
     def shortage(zone: str) -> int:
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -1,4 +1,4 @@
-"""Scoring of machines that have room for a task: image fetch, bin packing, price."""
+"""Scoring of machines with room for a task by image fetch, bin packing and price."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,60 +7,60 @@
 from stileloft.scheduling.machine_view import MachineView
 
 URGENT_RANK = 2
-"""From this priority on a class is urgent."""
+"""Lowest rank of urgent jobs."""
 
-# Weight of a second of image fetch in the cost of a machine, which is in seconds.
+# Weight of a second of image fetch in the cost of a machine, which is in seconds, for urgent and for other tasks.
 FETCH_WEIGHT_URGENT = 1.0
 FETCH_WEIGHT = 0.3
-# Bin packing: cost of a small task on a large machine; less for a class with an objective on starting, and more while
-# tasks wait that only large machines can take.
+# Bin packing: cost of a small task on a large machine. It is lower for a class with a start objective, and higher while
+# tasks wait that fit only on large machines.
 FRAGMENTATION_PENALTY_S = 5.0
 FRAGMENTATION_PENALTY_START_OBJECTIVE_S = 1.0
 FRAGMENTATION_PENALTY_LARGE_SCARCE_S = 30.0
-# The share of that cost on a large machine that small tasks use already.
+# Factor of that cost for a large machine that is already partly filled.
 ALREADY_FRAGMENTED_FACTOR = 0.3
-# Cost of a fetch that takes more than this share of the class's objective on starting.
+# Cost of an image fetch that takes more than this share of the class's start objective.
 MISSED_OBJECTIVE_PENALTY_S = 6.0
 FETCH_SHARE_OF_OBJECTIVE = 0.6
-# Cost of on-demand machines: they are to run empty first, so that they can be released.
+# Cost of on-demand machines, so that they become idle before spot instances and can be released.
 ON_DEMAND_PENALTY_S = 2.0
-# For types that state no rate.
+# Lower bound of the fetch rate, for machine types that state none.
 MIN_FETCH_GB_PER_S = 1e-3
 
 
 @dataclass(frozen=True, slots=True)
 class MachineSizes:
-    """The range of machine types, and whether the large ones are sought after."""
+    """Sizes of the machine types, and whether waiting tasks need large machines."""
 
     smallest_cpus: float
     largest_cpus: float
     large_scarce: bool
-    """Tasks wait that only large machines can take."""
+    """Whether tasks wait that do not fit on the smallest machines."""
 
     @classmethod
     def of(cls, types: Iterable[MachineType], waiting: Iterable[JobSpec]) -> "MachineSizes":
-        """The sizes of all types, for the jobs that wait."""
+        """Returns the sizes of the given types, with `large_scarce` set according to the waiting jobs."""
         sizes = [machine_type.cpus for machine_type in types]
         smallest = min(sizes, default=0.0)
         return cls(smallest, max(sizes, default=0.0), any(spec.cpus > smallest for spec in waiting))
 
 
 def image_fetch_s(spec: JobSpec, machine: MachineView) -> float:
-    """Seconds until the machine is likely to have the task's image."""
+    """Returns the expected seconds until the machine has the task's image."""
     if spec.image in machine.images:
         return 0.0
-    alone_s = spec.image_gb / max(machine.type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+    exclusive_fetch_s = spec.image_gb / max(machine.type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     if spec.image in machine.fetching:
-        return alone_s  # it was begun some time ago, but may share the rate
-    return alone_s * (1 + len(machine.fetching))  # fetches share the rate
+        return exclusive_fetch_s  # the fetch is under way, but may share the rate with others
+    return exclusive_fetch_s * (1 + len(machine.fetching))  # concurrent fetches share the rate
 
 
 def placement_cost(
     spec: JobSpec, machine: MachineView, sizes: MachineSizes, start_objective_s: float | None = None
 ) -> float:
-    """How bad a machine is for a task that fits there; lower is better."""
+    """Returns the cost in seconds of placing a task on a machine where it fits; lower is better."""
     fetch_s = image_fetch_s(spec, machine)
-    # All tasks of a gang wait for the last image.
+    # All tasks of a gang wait for the last image fetch.
     urgent = spec.rank >= URGENT_RANK or (spec.is_gang and start_objective_s is not None)
     cost = (FETCH_WEIGHT_URGENT if urgent else FETCH_WEIGHT) * fetch_s
     if start_objective_s is not None and fetch_s > FETCH_SHARE_OF_OBJECTIVE * start_objective_s:
@@ -74,7 +74,10 @@
 
 
 def _fragmentation_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
-    """Small tasks leave large machines whole while others have room, and first fill those with small tasks on them."""
+    """Returns the cost in seconds of a small task on a large machine.
+
+    It steers small tasks to small machines first, and then to large machines that are already partly filled.
+    """
     if start_objective_s is not None:
         weight = FRAGMENTATION_PENALTY_START_OBJECTIVE_S
     elif sizes.large_scarce:
