--- a/stileloft/scheduling/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Decides one scheduling cycle: which waiting tasks are placed where, and for which room is made."""
+"""Decisions of one scheduling cycle: where waiting tasks are placed, and for which tasks others are preempted."""
 
 from stileloft.model.nominations import Nomination
 from stileloft.scheduling.candidate_machines import CandidateMachines
@@ -15,7 +15,7 @@
 
 
 def decide(snapshot: Snapshot, max_placed: int, max_preemptions: int) -> Decision:
-    """One scheduling cycle. Works on the snapshot, which is used up by it."""
+    """Runs one scheduling cycle, which modifies the snapshot, and returns its decision."""
     promote_aged_jobs(snapshot)
     nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
     cycle = SchedulingCycle(snapshot, CycleLimits(max_placed, max_preemptions), nominations)
@@ -29,10 +29,10 @@
 
 
 def place_gang(job: PendingJob, cycle: SchedulingCycle) -> None:
-    """Places all tasks of a gang, or leaves everything as it was and reserves room. Waiting gangs preempt nothing."""
-    found = find_gang_machines(job, cycle)
-    if found is not None:
-        for index, machine in found:
+    """Places all tasks of a gang, or else none and reserves room. Waiting gangs preempt nothing."""
+    assignments = find_gang_machines(job, cycle)
+    if assignments is not None:
+        for index, machine in assignments:
             cycle.place_task(job, index, machine)
         return
     if not any(job.placed_by_zone.values()) and cycle.quotas.within_limit(job.spec, job.waiting_count):
@@ -42,7 +42,7 @@
 
 
 class JobPlacer:
-    """Serves one job of a cycle: places its tasks, makes room for those that fit nowhere, or reserves room."""
+    """Serves one job in a cycle: places its tasks, preempts others for those that fit nowhere, or reserves room."""
 
     def __init__(self, job: PendingJob, cycle: SchedulingCycle) -> None:
         self._job = job
@@ -54,7 +54,7 @@
         self._nominated = 0
 
     def place_tasks(self) -> None:
-        """Serves the job's tasks in their order, as far as the cycle's limits and its team's limit allow."""
+        """Serves the job's tasks in order, within the limits of the cycle and of its team."""
         decision, quotas = self._cycle.decision, self._cycle.quotas
         for index in self._job.task_indices:
             if len(decision.placed) >= self._cycle.limits.max_placed:
@@ -64,12 +64,12 @@
                 break
             if not self._place_or_make_room(index):
                 break
-        left = self._job.waiting_count - self._nominated
-        if self._preemption_search is not None and left > 0 and quotas.within_limit(self._spec):
-            decision.unmet.append(UnmetDemand(self._job, left))
+        unmet_count = self._job.waiting_count - self._nominated
+        if self._preemption_search is not None and unmet_count > 0 and quotas.within_limit(self._spec):
+            decision.unmet.append(UnmetDemand(self._job, unmet_count))
 
     def _save_quota(self) -> None:
-        """Keeps what the team gives up for a promoted job: small tasks would take each bit as it becomes free."""
+        """Holds back quota for a promoted job, so that small tasks do not take each part of it that becomes free."""
         spec, cycle = self._spec, self._cycle
         if self._job.promoted and spec.team not in cycle.teams_saving_quota:
             cycle.teams_saving_quota.add(spec.team)
@@ -77,7 +77,7 @@
             reserve_room(self._job, self._snapshot)
 
     def _place_or_make_room(self, index: int) -> bool:
-        """Places a task, or makes room for it; returns whether the job's next task is worth looking at."""
+        """Places a task or makes room for it; returns whether the job's next task should be tried."""
         nomination = self._snapshot.nominations.get((self._spec.id, index))
         target = self._nominated_machine(nomination)
         if target is None and self._preemption_search is None:
@@ -94,17 +94,20 @@
         return self._make_room(index)
 
     def _best_machine(self) -> MachineView | None:
-        """The best machine that has room for one of the job's tasks."""
+        """Returns the best machine with room for one of the job's tasks; None if there is none."""
         if self._candidates is None:
             self._candidates = CandidateMachines(self._job, self._cycle)
         return self._candidates.best()
 
     def _nominated_machine(self, nomination: Nomination | None) -> MachineView | None:
-        """The machine that the task is nominated to, if it fits there by now."""
+        """Returns the machine that the task is nominated to, or None if it does not fit there yet.
+
+        Removes the nomination from the machine in either case.
+        """
         if nomination is None:
             return None
         others = self._cycle.nominations_by_machine[nomination.machine_id]
-        others.remove(nomination)  # its own nomination must not stand in its way
+        others.remove(nomination)  # the task must not be blocked by its own nomination
         machine = self._snapshot.machines.get(nomination.machine_id)
         if machine is None:
             return None
@@ -116,29 +119,29 @@
         return None
 
     def _make_room(self, index: int) -> bool:
-        """Nominates the task to the machine that the trials find best; returns whether there is one."""
+        """Nominates the task to the machine with the cheapest preemption; returns whether there is one."""
         if self._preemption_search is None:
             self._preemption_search = self._start_preemption_search()
         if len(self._cycle.decision.preemptions) >= self._cycle.limits.max_preemptions:
             return False
         preemption = self._preemption_search.best()
         if preemption is None:
-            return False  # the job's other tasks are alike: no trial helps them either
+            return False  # the job's other tasks are alike, so preemption helps none of them
         self._cycle.nominate_task(self._job, index, preemption)
         self._preemption_search.machine_changed(preemption.machine_id)
         if any(task.group_size > 1 for task in preemption.victims):
-            self._preemption_search.invalidate()  # a gang has gone from other machines too
+            self._preemption_search.invalidate()  # the gang's tasks on other machines are stopped too
         self._nominated += 1
         return True
 
     def _start_preemption_search(self) -> PreemptionSearch:
-        """Reserves room for one task, and prepares trials on the machines that are not kept for other jobs."""
+        """Reserves room for one task, and returns a search of the machines not reserved exclusively for other jobs."""
         job, cycle, snapshot = self._job, self._cycle, self._snapshot
         reserve_room(job, snapshot)
-        kept_for_others = {
+        reserved_for_others = {
             machine_id
             for machine_id, reservation in snapshot.reservations.items()
             if reservation.exclusive_job_id not in ("", self._spec.id)
         }
         context = PreemptionContext(snapshot.machines, cycle.nominations_by_machine, cycle.quotas, cycle.reclaimable)
-        return PreemptionSearch(self._spec, job.placed_by_zone, job.excluded_machines | kept_for_others, context)
+        return PreemptionSearch(self._spec, job.placed_by_zone, job.excluded_machines | reserved_for_others, context)
--- a/stileloft/scheduling/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -1,8 +1,8 @@
-"""The design's trial: which tasks have to go so that one that fits nowhere fits.
+"""Selection of the tasks to preempt on a machine for a task that fits on no machine.
 
-On a copy of each machine, candidates are removed in order until the task fits beside the tasks nominated there; then
-they are returned one by one, and those whose return breaks the fit are the victims. Nothing moves to other devices or
-machines during the trial, as the proposal requires.
+On a copy of the machine, candidates are removed in order until the task fits beside the tasks nominated there. They are
+then returned one by one, and those that cannot be returned without breaking the fit are the victims. As the design
+proposal requires, no task moves to another device or machine during this.
 """
 
 from collections.abc import Iterable
@@ -17,19 +17,19 @@
 from stileloft.scheduling.machine_view import MachineView, RunningTask
 
 PreemptionUnit = list[RunningTask]
-"""What is stopped together on one machine: a task, or a gang's tasks there."""
+"""Tasks of one machine that are stopped together: a single task, or all tasks of a gang there."""
 
 
 @dataclass(frozen=True, slots=True)
 class Preemption:
-    """A machine and the tasks that have to be stopped there."""
+    """A machine and the tasks to stop there."""
 
     machine_id: str
     victims: list[RunningTask]
 
 
 class VictimOrder(NamedTuple):
-    """Sort key of what may be stopped: what goes first has the least."""
+    """Sort key of candidates; the smallest is preempted first."""
 
     rank: int
     exceeds_budget: bool
@@ -39,39 +39,42 @@
 
 
 class PreemptionCost(NamedTuple):
-    """What a machine's victims cost; less is better."""
+    """Cost of preempting a machine's victims; lower is better."""
 
     highest_rank: int
+    """-1 without victims."""
     undone_starts: int
+    """Tasks of classes with a start objective that have not run for long enough to count as started."""
     unsaved_cpu_s: float
+    """Processor seconds of work since the last checkpoints."""
     task_count: int
 
 
 def preemption_units(tasks: Iterable[RunningTask]) -> list[PreemptionUnit]:
-    """Tasks of one machine in the groups that are stopped together: a gang is one victim."""
-    found: dict[str | TaskKey, PreemptionUnit] = {}
+    """Returns the tasks of one machine in the units that are stopped together."""
+    units: dict[str | TaskKey, PreemptionUnit] = {}
     for task in tasks:
-        found.setdefault(task.key[0] if task.group_size > 1 else task.key, []).append(task)
-    return list(found.values())
+        units.setdefault(task.key[0] if task.group_size > 1 else task.key, []).append(task)
+    return list(units.values())
 
 
 def victim_candidates(spec: JobSpec, machine: MachineView, quotas: TeamQuotas) -> list[PreemptionUnit]:
-    """What may be stopped for this task: lowest priority, budget-safe and least loss first.
+    """Returns the units that may be preempted for the task, in order of `VictimOrder`.
 
-    A gang is one victim: it counts with all its tasks, those on other machines included.
+    A gang is one unit, ordered by the unsaved work of all its tasks, including those on other machines.
     """
     guaranteed = quotas.within_guarantee(spec)
 
-    def may_stop(task: RunningTask) -> bool:
+    def is_preemptible(task: RunningTask) -> bool:
         if task.stopping or task.spec is None:
             return False
-        # A team is given its guarantee at the cost of others' borrowed work, but not of more
-        # pressing work: that would come back at once and stop this task in turn.
+        # A team gets its guarantee at the cost of teams that exceed theirs, but not of tasks of higher priority:
+        # those would preempt this task in turn at once.
         return task.rank < spec.rank or (
             guaranteed and task.rank <= spec.rank and task.team != spec.team and quotas.exceeds_guarantee(task.team)
         )
 
-    return sorted(preemption_units(filter(may_stop, machine.tasks)), key=_victim_order)
+    return sorted(preemption_units(filter(is_preemptible, machine.tasks)), key=_victim_order)
 
 
 def _victim_order(unit: PreemptionUnit) -> VictimOrder:
@@ -86,7 +89,7 @@
 
 
 def room_needed(spec: JobSpec, nominated: Iterable[Nomination]) -> Resources:
-    """What a task needs together with what is nominated to the machine at its rank or above."""
+    """Returns the resources of a task and of the tasks of its rank or above that are nominated to the machine."""
     needed = requested(spec)
     for nomination in nominated:
         if nomination.rank >= spec.rank:
@@ -95,16 +98,16 @@
 
 
 def fits_beside_nominations(spec: JobSpec, machine: MachineView, nominated: Iterable[Nomination]) -> bool:
-    """The verification function: whether the task fits now, with and without what is nominated to the machine."""
+    """Whether the task fits on the machine now, both alone and beside the nominated tasks of its rank or above."""
     return machine.has_room(room_needed(spec, nominated))
 
 
 def select_victims(
     spec: JobSpec, machine: MachineView, nominated: Iterable[Nomination], quotas: TeamQuotas
 ) -> list[RunningTask] | None:
-    """The victims on this machine, or None if no removal helps.
+    """Returns the tasks to preempt on the machine, or None if preemption cannot make enough room.
 
-    An empty list means that the tasks which are leaving already make enough room.
+    The list is empty if the room is free, or will be once tasks already being stopped are gone.
     """
     needed = room_needed(spec, nominated)
     if not machine.reclaimable(preemptible_below(spec, quotas)).covers(needed):
@@ -123,30 +126,33 @@
                 break
     if not fits:
         return None
-    # Return what can be returned, the most valuable first.
+    # Return units that turn out not to be needed, starting with the last removed, the costliest.
     return [task for unit in reversed(removed) if not room.try_to_return(unit) for task in unit]
 
 
 def preemptible_below(spec: JobSpec, quotas: TeamQuotas) -> int:
-    """All that the task may preempt is of a lower rank than this; borrowed work may be of its own rank."""
+    """Returns the rank below which the task may preempt others.
+
+    If its team is within its guarantee, it may preempt tasks of its own rank, of teams that exceed theirs.
+    """
     return spec.rank + 1 if quotas.within_guarantee(spec) else spec.rank
 
 
 class _SimulatedRoom:
-    """What is free on a machine's copy while tasks are removed from it and returned."""
+    """Free resources of a machine while tasks are removed and returned in simulation."""
 
     def __init__(self, machine: MachineView, needed: Resources) -> None:
         self._room = machine.free
         self._needed = needed
 
     def remove(self, unit: PreemptionUnit) -> bool:
-        """Takes tasks off the copy; returns whether there is enough room now."""
+        """Removes tasks; returns whether there is enough room now."""
         for task in unit:
             self._room = self._room.plus(task)
         return self._room.covers(self._needed)
 
     def try_to_return(self, unit: PreemptionUnit) -> bool:
-        """Puts tasks back, unless that breaks the fit."""
+        """Puts tasks back unless that leaves too little room; returns whether it did."""
         room = self._room
         for task in unit:
             room = room.minus(task)
@@ -157,8 +163,8 @@
 
 
 def preemption_cost(victims: list[RunningTask]) -> PreemptionCost:
-    """What a machine's victims cost: highest priority first, then starts undone, unsaved work, and their number."""
-    # Of a gang all tasks go, wherever they are.
+    """Returns the cost of preempting these victims, a gang's tasks on other machines included."""
+    # One task stands for each unit: `group_size` counts all tasks of its gang, on whatever machine.
     unit_representatives = [unit[0] for unit in preemption_units(victims)]
     return PreemptionCost(
         max((task.rank for task in victims), default=-1),
--- a/stileloft/scheduling/preemption_search.py
+++ b/stileloft/scheduling/preemption_search.py
@@ -1,4 +1,4 @@
-"""The trials of a job's tasks on all machines that may help them."""
+"""Search for the machine where preemption makes room for a job's tasks at the lowest cost."""
 
 import bisect
 import heapq
@@ -22,18 +22,18 @@
 
 
 class MachinesByRoom(NamedTuple):
-    """Machines, the one that can have the fewest processors first."""
+    """Machines in ascending order of the processors that preemption can make free."""
 
     cpus: list[float]
     machine_ids: list[str]
 
 
 class ReclaimableRoomIndex:
-    """Machines by what their trials can free at the most, shared by all jobs of a cycle.
+    """Machines by the most processors that preemption can make free there, shared by all jobs of a cycle.
 
-    With hundreds of machines and dozens of waiting jobs, nearly all trials would end at once for want of room. Tasks
-    that are placed during the cycle only take from it; what is stopped in it adds to it, so machines where something
-    was stopped are looked at by all later jobs.
+    With hundreds of machines and dozens of waiting jobs, nearly all searches on single machines would fail at once for
+    lack of room. Tasks placed during the cycle only reduce the room that the index states. Tasks stopped during the
+    cycle increase it, so the index returns the machines of stopped tasks to all later jobs.
     """
 
     def __init__(self, machines: Mapping[str, MachineView]) -> None:
@@ -42,11 +42,11 @@
         self._stopped: dict[str, None] = {}
 
     def task_stopped(self, machine_id: str) -> None:
-        """A task on the machine is being stopped since the index was made."""
+        """Records that a task on the machine was stopped in this cycle."""
         self._stopped[machine_id] = None
 
     def with_reclaimable_cpus(self, cpus: float, below_rank: int) -> list[MachineView]:
-        """Machines that may have so many processors once all tasks below a rank are gone; no other machine can."""
+        """Returns all machines that may have this many processors free once all tasks below a rank are gone."""
         index = self._by_rank.get(below_rank)
         if index is None:
             index = self._by_rank[below_rank] = self._build(below_rank)
@@ -54,17 +54,17 @@
         return [self._machines[machine_id] for machine_id in dict.fromkeys([*machine_ids, *self._stopped])]
 
     def _build(self, below_rank: int) -> MachinesByRoom:
-        most = sorted(
+        by_cpus = sorted(
             (machine.reclaimable(below_rank).cpus, machine.id)
             for machine in self._machines.values()
             if machine.schedulable
         )
-        return MachinesByRoom([cpus for cpus, _ in most], [machine_id for _, machine_id in most])
+        return MachinesByRoom([cpus for cpus, _ in by_cpus], [machine_id for _, machine_id in by_cpus])
 
 
 @dataclass(frozen=True, slots=True)
 class PreemptionContext:
-    """What the trials of all jobs of a cycle share; its parts change as the cycle goes on."""
+    """State that the searches for all jobs of a cycle share; it changes during the cycle."""
 
     machines: Mapping[str, MachineView]
     nominations_by_machine: Mapping[str, list[Nomination]]
@@ -73,7 +73,7 @@
 
 
 class VictimSelection(NamedTuple):
-    """A successful trial; the least is the best."""
+    """Victims on one machine whose preemption makes room; the smallest in sort order is the best."""
 
     cost: PreemptionCost
     image_missing: bool
@@ -82,14 +82,19 @@
 
 
 class GuaranteeUse(NamedTuple):
-    """What a trial depends on beside the machine: who is owed, and who uses more than it is owed."""
+    """Use of the teams' guarantees, which the victims of a job depend on in addition to the machine."""
 
     within_guarantee: bool
+    """Whether one more task keeps the job's team within its guarantee."""
     exceeding_guarantee: list[bool]
+    """Whether each team uses more than its guarantee."""
 
 
 class PreemptionSearch:
-    """The trials for a job's tasks, which are alike: a machine is tried again only when it has changed."""
+    """Search for preemptions that make room for a job's tasks.
+
+    The job's tasks are alike, so a machine is searched again only when it or the use of guarantees has changed.
+    """
 
     def __init__(
         self, spec: JobSpec, placed_by_zone: dict[str, int], excluded: frozenset[str], context: PreemptionContext
@@ -100,10 +105,10 @@
         self._context = context
         self._heap: list[VictimSelection] = []
         self._searched_with: GuaranteeUse | None = None
-        """The fair share at which the machines were tried."""
+        """Use of guarantees at the last search of all machines; None if all have to be searched."""
 
     def best(self) -> Preemption | None:
-        """The best machine and its victims, or None if no trial succeeds."""
+        """Returns the best machine and its victims; None if no preemption makes room or the team is at its limit."""
         spec = self._spec
         if not self._context.quotas.within_limit(spec):
             return None
@@ -115,17 +120,17 @@
             result = self._heap[0]
             if zone_allowed(spec, self._placed_by_zone, self._context.machines[result.machine_id].zone):
                 return Preemption(result.machine_id, result.victims)
-            heapq.heappop(self._heap)  # a zone that is full for the job stays so in this cycle
+            heapq.heappop(self._heap)  # the zone is full for the job, and stays full in this cycle
         return None
 
     def machine_changed(self, machine_id: str) -> None:
-        """The best machine has got the nomination, or has changed otherwise."""
+        """Searches a machine again whose tasks or nominations have changed."""
         self._heap = [result for result in self._heap if result.machine_id != machine_id]
         heapq.heapify(self._heap)
         self._search_machine(self._context.machines[machine_id])
 
     def invalidate(self) -> None:
-        """More than one machine has changed."""
+        """Has all machines searched again at the next call of `best`, because several have changed."""
         self._searched_with = None
 
     def _guarantee_use(self) -> GuaranteeUse:
@@ -136,7 +141,7 @@
         )
 
     def _search_all(self) -> None:
-        """Tries all machines on which a trial may succeed."""
+        """Searches all machines on which preemption may make room."""
         spec, context = self._spec, self._context
         self._heap = []
         for machine in context.reclaimable.with_reclaimable_cpus(spec.cpus, preemptible_below(spec, context.quotas)):
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -1,4 +1,4 @@
-"""One scheduling cycle: what is the same for all of its jobs, and how its decisions change the snapshot."""
+"""State of one scheduling cycle that its jobs share, and the changes that its decisions make to the snapshot."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -16,21 +16,21 @@
 
 
 class TaskPlacement(NamedTuple):
-    """A task that is to be placed on a machine."""
+    """A task to place, and its machine."""
 
     key: TaskKey
     machine_id: str
 
 
 class TaskPreemption(NamedTuple):
-    """A task for which room is to be made on a machine."""
+    """A task that needs room on a machine, and the preemption that makes it."""
 
     key: TaskKey
     preemption: Preemption
 
 
 class UnmetDemand(NamedTuple):
-    """How many tasks of a job got neither a place nor a nomination."""
+    """Number of tasks of a job that were neither placed nor nominated."""
 
     job: PendingJob
     task_count: int
@@ -38,32 +38,32 @@
 
 @dataclass(slots=True)
 class Decision:
-    """What a cycle decided."""
+    """The decisions of a scheduling cycle."""
 
     placed: list[TaskPlacement] = field(default_factory=list)
     preemptions: list[TaskPreemption] = field(default_factory=list)
     unmet: list[UnmetDemand] = field(default_factory=list)
     promoted: frozenset[str] = frozenset()
-    """Jobs that went before more pressing work because of their age."""
+    """Ids of jobs that went before jobs of higher priority because of their age."""
 
 
 @dataclass(frozen=True, slots=True)
 class CycleLimits:
-    """How much one cycle decides at the most."""
+    """Upper bounds of the decisions of one cycle."""
 
     max_placed: int
     max_preemptions: int
 
 
 class SmallestRequest(NamedTuple):
-    """The least that any waiting task takes, of each resource by itself."""
+    """The smallest request of any waiting task, for each resource separately."""
 
     cpus: float
     memory_gb: float
 
 
 class SchedulingCycle:
-    """What is the same for all jobs of a cycle, and the decisions made so far."""
+    """State that all jobs of a cycle share, and the decisions made so far."""
 
     def __init__(self, snapshot: Snapshot, limits: CycleLimits, nominations: Iterable[Nomination]) -> None:
         specs = [job.spec for job in snapshot.pending_jobs]
@@ -77,20 +77,20 @@
             self.nominations_by_machine.setdefault(nomination.machine_id, []).append(nomination)
         self.reclaimable = ReclaimableRoomIndex(snapshot.machines)
         self.teams_saving_quota: set[str] = set()
-        """Teams at their limit, of which a promoted job is to have what becomes free."""
+        """Teams at their limits whose quota is held back for a promoted job as it becomes free."""
         self._machine_ids_with_room = [machine.id for machine in snapshot.schedulable_machines()]
-        """Machines on which something may have room."""
+        """Ids of schedulable machines that may have room for a waiting task."""
         self._smallest_request = SmallestRequest(
             min((spec.cpus for spec in specs), default=0.0), min((spec.memory_gb for spec in specs), default=0.0)
         )
         self._placed_at_last_drop = -1
 
     def machines_with_room(self) -> list[MachineView]:
-        """Machines on which something may have room."""
+        """Returns the schedulable machines that may have room for a waiting task."""
         return [self.snapshot.machines[machine_id] for machine_id in self._machine_ids_with_room]
 
     def drop_full_machines(self) -> None:
-        """Leaves out the machines that have become full, if tasks were placed since the last time."""
+        """Drops machines without room for any waiting task, if tasks were placed since the last call."""
         placed = len(self.decision.placed)
         if placed == self._placed_at_last_drop:
             return
@@ -103,7 +103,7 @@
         ]
 
     def place_task(self, job: PendingJob, index: int, target: MachineView) -> None:
-        """Places a task on a machine."""
+        """Places a task on a machine, and updates the snapshot and the quota usage."""
         spec, snapshot = job.spec, self.snapshot
         key = (spec.id, index)
         machine = snapshot.writable(target.id)
@@ -120,14 +120,14 @@
         snapshot.nominations.pop(key, None)
 
     def nominate_task(self, job: PendingJob, index: int, preemption: Preemption) -> None:
-        """The task is to have the machine that the trials found best, once the victims are gone."""
+        """Nominates a task to the machine of a preemption, where it is placed once the victims are gone."""
         spec, snapshot = job.spec, self.snapshot
         key, machine_id = (spec.id, index), preemption.machine_id
         self.decision.preemptions.append(TaskPreemption(key, preemption))
         self._stop_victims(preemption)
         nominated = self.nominations_by_machine.setdefault(machine_id, [])
         for lower in [nomination for nomination in nominated if nomination.rank < spec.rank]:
-            # They lose the nomination and return to waiting.
+            # Tasks of lower rank lose their nominations and wait again.
             nominated.remove(lower)
             snapshot.nominations.pop(lower.key, None)
         nomination = Nomination(key, machine_id, spec.rank, spec, 0.0)
@@ -136,7 +136,7 @@
         self.quotas.usage_of(spec.team).add(spec.cpus, spec.gpus or 0.0)
 
     def _stop_victims(self, preemption: Preemption) -> None:
-        """Marks the victims as being stopped, and with them the rest of their gangs on other machines."""
+        """Marks the victims and the other tasks of their gangs, on all machines, as being stopped."""
         if preemption.victims:
             self.snapshot.writable(preemption.machine_id).mark_stopping(preemption.victims)
             self.reclaimable.task_stopped(preemption.machine_id)
@@ -144,7 +144,7 @@
         if not gangs:
             return
         for machine in list(self.snapshot.machines.values()):
-            members = [task for task in machine.tasks if task.key[0] in gangs]
-            if members:
-                self.snapshot.writable(machine.id).mark_stopping(members)
+            gang_tasks = [task for task in machine.tasks if task.key[0] in gangs]
+            if gang_tasks:
+                self.snapshot.writable(machine.id).mark_stopping(gang_tasks)
                 self.reclaimable.task_stopped(machine.id)
