--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -1,4 +1,4 @@
-"""Scale-out and scale-in: which machines to provision and which to release."""
+"""Scale-out and scale-in: selection of the machines to provision and to release."""
 
 from dataclasses import dataclass, field
 
@@ -13,33 +13,35 @@
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
 KEEP_IDLE_ON_DEMAND_BOOTS = 0.3
-"""Idle on-demand machines are kept for this multiple of their boot time."""
+"""How long idle on-demand machines are kept, as a multiple of their boot time."""
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingPlan:
-    """Machines to provision, by offer, and machines to release."""
+    """Machines to provision and to release."""
 
     provision: dict[InstanceOffer, int] = field(default_factory=dict)
+    """Number of machines by offer."""
     release: list[str] = field(default_factory=list)
+    """Machine ids."""
 
 
 class Autoscaler:
-    """One plan: machines for what will not be served in time, and idle machines to release."""
+    """Computes one plan: machines for tasks that the fleet will not serve in time, and idle machines to release."""
 
     def __init__(self, snapshot: Snapshot, demand: ScalingDemand, settings: OperatorSettings) -> None:
         self._snapshot = snapshot
         self._demand = demand
         self._settings = settings
         self._planner = ProvisioningPlanner(snapshot, demand, settings)
-        # Room that is there anyway comes first, and idle on-demand machines last.
+        # Machines that stay anyway are filled first, and idle on-demand machines last, so that they can be released.
         self._usable = sorted(
             (machine for machine in self._planner.machines if machine.ready),
             key=lambda machine: (not machine.spot, not machine.tasks, machine.id),
         )
 
     def plan(self) -> ScalingPlan:
-        """Gangs first, which need room side by side; then what waits, and then headroom."""
+        """Returns the plan. Gangs, which need room for all tasks at once, go first, then waiting tasks and headroom."""
         for job, count in self._demand.unmet:
             if job.spec.is_gang:
                 self._provide_for_gang(job.spec, count)
@@ -55,7 +57,7 @@
         return ScalingPlan(self._planner.provision, self._machines_to_release())
 
     def _provide_for_gang(self, spec: JobSpec, count: int) -> None:
-        """Provisions what a gang lacks, in the zone that lacks the least; what room there is is taken."""
+        """Assigns a gang to existing room and provisions for the rest, in the zone with the smallest shortage first."""
         present = [machine for machine in self._usable if machine.up] + self._planner.pending
         machine_types = self._snapshot.types.values()
         possible = sorted(
@@ -63,35 +65,35 @@
         )
         for _, zone in shortage_by_zone(spec, count, present, possible):
             zones = {zone: 1} if spec.one_zone else {}
-            # Machines in use come first, so that others run empty and are released.
+            # Machines in use come first, so that others become idle and are released.
             machines = sorted(present, key=lambda machine: (not machine.tasks, machine.id))
-            left = self._planner.fill(spec, count, zones, machines)
-            left = self._planner.provision_for(spec, left, zones, spot_only=False)
-            if not left or not spec.one_zone:
+            count_left = self._planner.fill(spec, count, zones, machines)
+            count_left = self._planner.provision_for(spec, count_left, zones, spot_only=False)
+            if not count_left or not spec.one_zone:
                 return
 
     def _provide_for_waiting(self, job: PendingJob, count: int) -> None:
-        """Provisions for tasks that neither machines on their way nor the present ones will serve soon."""
+        """Provisions machines for tasks that neither pending nor present machines will serve soon."""
         zones = dict(job.placed_by_zone)
-        left = self._planner.fill(job.spec, count, zones, self._planner.pending)
-        if left and not can_be_served_soon(job.spec, left, self._snapshot, self._planner.machines):
+        count_left = self._planner.fill(job.spec, count, zones, self._planner.pending)
+        if count_left and not can_be_served_soon(job.spec, count_left, self._snapshot, self._planner.machines):
             spot_only = not needs_on_demand(job, self._snapshot)
-            self._planner.provision_for(job.spec, left, zones, spot_only)
+            self._planner.provision_for(job.spec, count_left, zones, spot_only)
 
     def _provide_headroom(self, spec: JobSpec, count: int) -> None:
-        """Keeps room for a class whose next jobs could not wait for a boot."""
+        """Provisions headroom for a class whose next jobs cannot wait for a boot."""
         urgent = spec.rank >= URGENT_RANK
         machines = [machine for machine in self._usable if machine.spot or machine.tasks or urgent]
         machines += self._planner.planned
-        if spec.cpus <= self._planner.smallest_cpus and self._large_tasks_run():
-            # Others can only run on large machines: this class's usual tasks get small ones instead.
+        if spec.cpus <= self._planner.smallest_cpus and self._has_large_tasks():
+            # Some tasks run only on large machines, so this class gets small machines for all its usual tasks.
             count += self._tasks_on_large_machines(spec.job_class)
             machines = [machine for machine in machines if machine.type.cpus <= self._planner.smallest_cpus]
-        left = self._planner.fill(spec, count, {}, machines)
-        self._planner.provision_for(spec, left, None, spot_only=True)
+        count_left = self._planner.fill(spec, count, {}, machines)
+        self._planner.provision_for(spec, count_left, None, spot_only=True)
 
-    def _large_tasks_run(self) -> bool:
-        """Whether some task needs more than the smallest type of machine has."""
+    def _has_large_tasks(self) -> bool:
+        """Whether a task on the machines needs more processors than the smallest machine type has."""
         return any(
             task.cpus > self._planner.smallest_cpus
             for machine in self._snapshot.machines.values()
@@ -99,7 +101,7 @@
         )
 
     def _tasks_on_large_machines(self, job_class: str) -> int:
-        """How many tasks of a class are on machines larger than the smallest."""
+        """Returns the number of tasks of a class on machines larger than the smallest type."""
         return sum(
             task.spec is not None and task.spec.job_class == job_class
             for machine in self._snapshot.machines.values()
@@ -108,16 +110,16 @@
         )
 
     def _replace_on_demand(self, machine_type: MachineType) -> None:
-        """Provisions a spot instance in place of an on-demand machine, which then runs empty and is released."""
+        """Provisions a spot instance to replace an on-demand machine, which can then become idle and be released."""
         machines = self._snapshot.machines.values()
-        alike = [machine for machine in machines if machine.type.name == machine_type.name]
+        same_type = [machine for machine in machines if machine.type.name == machine_type.name]
         replaceable = sum(
-            not machine.spot and bool(machine.tasks) and all_tasks_allow_spot(machine) for machine in alike
+            not machine.spot and bool(machine.tasks) and all_tasks_allow_spot(machine) for machine in same_type
         )
         pending_count = sum(machine.type.name == machine_type.name for machine in self._planner.pending)
-        # What runs now stays where it is: a spot instance is of use to tasks that come later.
+        # Running tasks are not moved: a spot instance serves only tasks that are placed later.
         has_room = any(
-            machine.spot and machine.ready and machine.free_cpus >= machine_type.cpus / 2 for machine in alike
+            machine.spot and machine.ready and machine.free_cpus >= machine_type.cpus / 2 for machine in same_type
         )
         if (
             not self._demand.jobs_arriving
@@ -134,16 +136,16 @@
         self._planner.add_machine(min(offers, key=lambda offer: (spot_zones.count(offer.zone), offer.zone)))
 
     def _machines_to_release(self) -> list[str]:
-        """Machines idle for long enough, the dearest first, and overdue ones that nothing waits for."""
-        found: list[str] = []
+        """Returns overdue machines if no demand is unmet, and machines idle for long, the most expensive first."""
+        to_release: list[str] = []
         if not self._demand.unmet:
-            found += [machine.id for machine in self._planner.machines if not machine.up and not machine.ready]
+            to_release += [machine.id for machine in self._planner.machines if not machine.up and not machine.ready]
         by_price = sorted(
             self._usable,
             key=lambda machine: (machine.spot, -machine_price(machine.type, machine.spot), machine.id),
         )
         for machine in by_price:
-            boots = self._settings.keep_idle_boots if machine.spot else KEEP_IDLE_ON_DEMAND_BOOTS
-            if machine.up and not machine.tasks and machine.idle_s > boots * machine.type.boot_s:
-                found.append(machine.id)
-        return found
+            keep_boots = self._settings.keep_idle_boots if machine.spot else KEEP_IDLE_ON_DEMAND_BOOTS
+            if machine.up and not machine.tasks and machine.idle_s > keep_boots * machine.type.boot_s:
+                to_release.append(machine.id)
+        return to_release
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -1,4 +1,4 @@
-"""Plans new machines: fills the room there is with tasks, and adds the cheapest machines for the others."""
+"""Planning of new machines: assigns tasks to existing room, and adds the cheapest machines for the others."""
 
 import math
 from collections import Counter
@@ -15,37 +15,37 @@
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import ExpectedTasks, Snapshot
 
-# Machines provisioned by one plan: at least so many, or this share of the fleet or of what the waiting tasks would
-# fill, so that an empty fleet grows to some hundreds quickly.
+# Limit of the machines that one plan provisions: a share of the fleet or of the machines that the waiting tasks would
+# fill, whichever is more, so that an empty fleet grows to some hundreds quickly, and at least the minimum.
 MIN_PROVISION_LIMIT = 8
 PROVISION_SHARE = 0.25
 PLANNED_PREFIX = "new-"
-# The price of a large machine's share counts so much more for tasks that fit on a small one.
+# Factor on the price per task of a large machine for tasks that fit on a small one.
 LARGE_MACHINE_WEIGHT = 1.3
-# The same for an offer whose machines keep coming late: another zone is tried first, but not at any price.
+# Factor on the price of an offer whose machines often boot late: another zone is preferred, but not at any price.
 UNRELIABLE_WEIGHT = 2.0
-# Prices that differ by less than this many decimals are equal.
+# Prices are rounded to this many decimals, so that nearly equal ones compare as equal.
 PRICE_DECIMALS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingDemand:
-    """What a plan is made for, beside the snapshot."""
+    """Demand that a scaling plan serves, in addition to the snapshot."""
 
     unmet: list[UnmetDemand]
-    """Tasks that got neither a place nor a nomination."""
+    """Tasks that were neither placed nor nominated."""
     headroom: list[ExpectedTasks] = field(default_factory=list)
-    """Tasks that should find room at once if they came now; none of a class that can wait."""
+    """Expected tasks of classes other than gangs that cannot wait for a machine to boot."""
     jobs_arriving: bool = True
-    """Whether jobs are still coming."""
+    """Whether any class still submits jobs."""
     without_capacity: frozenset[InstanceOffer] = frozenset()
-    """Offers of which the cloud had none lately."""
+    """Offers for which the cloud recently had no capacity."""
     unreliable: frozenset[InstanceOffer] = frozenset()
-    """Offers whose machines keep coming late."""
+    """Offers whose machines often boot late."""
 
 
 class ProvisioningPlanner:
-    """The fleet as it would be with the machines planned so far, and with tasks in its room."""
+    """The fleet with the machines planned so far and with tasks assigned to its free room."""
 
     def __init__(self, snapshot: Snapshot, demand: ScalingDemand, settings: OperatorSettings) -> None:
         self._snapshot = snapshot
@@ -53,18 +53,21 @@
         self._settings = settings
         self.machines = [machine.copy() for machine in snapshot.machines.values()]
         self.pending = [machine for machine in self.machines if not machine.up and machine.ready]
-        """Machines that are not up yet, the planned ones last."""
+        """Machines that are not up yet and not overdue, the planned ones last."""
         self.planned: list[MachineView] = []
         self.provision: dict[InstanceOffer, int] = {}
-        """How many machines of each offer are planned."""
+        """Number of planned machines of each offer."""
         self.smallest_cpus = min((machine_type.cpus for machine_type in snapshot.types.values()), default=0.0)
         self._machines_by_type_and_zone = Counter((machine.type.name, machine.zone) for machine in self.machines)
-        present = len(snapshot.machines)
-        share = PROVISION_SHARE * max(present, machines_to_fill(demand.unmet, snapshot.types))
-        self._limit = min(max(MIN_PROVISION_LIMIT, int(share)), settings.max_machines - present)
+        machine_count = len(snapshot.machines)
+        share = PROVISION_SHARE * max(machine_count, machines_to_fill(demand.unmet, snapshot.types))
+        self._limit = min(max(MIN_PROVISION_LIMIT, int(share)), settings.max_machines - machine_count)
 
     def fill(self, spec: JobSpec, count: int, zones: dict[str, int], machines: Iterable[MachineView]) -> int:
-        """Puts up to `count` tasks into the machines' room, counting them in `zones`; returns how many are left."""
+        """Assigns up to `count` tasks to free room on the machines; returns the number of tasks left.
+
+        `zones` counts the job's tasks in each zone and is updated.
+        """
         needed = requested(spec)
         for machine in machines:
             while (
@@ -79,9 +82,10 @@
         return count
 
     def provision_for(self, spec: JobSpec, count: int, zones: dict[str, int] | None, spot_only: bool) -> int:
-        """Plans machines for so many tasks, which are independent of each other if `zones` is None.
+        """Plans machines for `count` tasks; returns the number of tasks left.
 
-        Returns how many are left.
+        `zones` counts the job's tasks in each zone and is updated. None: the tasks belong to different jobs, so that
+        constraints on the zones of a job do not apply across machines.
         """
         while count and self.may_provision():
             placed_by_zone = {} if zones is None else zones
@@ -92,11 +96,11 @@
         return count
 
     def may_provision(self) -> bool:
-        """Whether the plan may have one more machine."""
+        """Whether the plan is below its limit of machines."""
         return len(self.planned) < self._limit
 
     def add_machine(self, offer: InstanceOffer) -> MachineView:
-        """Plans one machine of an offer."""
+        """Adds one machine of an offer to the plan."""
         self.provision[offer] = self.provision.get(offer, 0) + 1
         self._machines_by_type_and_zone[offer.machine_type, offer.zone] += 1
         machine = view_of_offer(f"{PLANNED_PREFIX}{len(self.planned) + 1}", offer, self._snapshot.types)
@@ -105,7 +109,10 @@
         return machine
 
     def _cheapest(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> InstanceOffer | None:
-        """The cheapest offer; among near equals the zone and type we use least."""
+        """Returns the cheapest offer; None if none fits.
+
+        Among nearly equal prices, it is the offer with the fewest machines of its type in its zone.
+        """
         possible = [
             priced
             for priced in offers_for(spec, self._snapshot.types, self._demand.without_capacity)
@@ -120,8 +127,8 @@
         return best.offer if best else None
 
     def _price_weight(self, spec: JobSpec, offer: InstanceOffer) -> float:
-        """How much more an offer's price counts than it is."""
-        # Large machines are kept for the tasks that need them.
+        """Returns the factor by which an offer's price is weighted."""
+        # Large machines are kept for tasks that need them.
         large = spec.cpus <= self.smallest_cpus < self._snapshot.types[offer.machine_type].cpus
         weight = LARGE_MACHINE_WEIGHT if large else 1.0
         return weight * UNRELIABLE_WEIGHT if offer in self._demand.unreliable else weight
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -1,4 +1,4 @@
-"""When provisioning a machine is worth while: what waits, what will be free soon, what deadlines allow."""
+"""Criteria for provisioning machines: waiting tasks, room that will soon be free, and deadlines."""
 
 from collections.abc import Iterable
 
@@ -10,16 +10,16 @@
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import PendingJob, Snapshot
 
-# Waiting that the present machines will end within this part of a boot time does not pay a new machine.
+# No machine is provisioned for tasks that the present machines will serve within this fraction of a boot time.
 WORTHWHILE_WAIT_BOOTS = 0.4
-# On-demand machines are provisioned for a deadline when this many boot times are left to it, and
-# for one that is this many boot times out of reach, since estimates are often wrong.
+# An on-demand machine is provisioned for a deadline if the time to spare is between these bounds, in boot times: fewer
+# than EARLY_BOOTS left, and missed by fewer than LATE_BOOTS, since estimates are often wrong.
 EARLY_BOOTS = 0.5
 LATE_BOOTS = 1.0
 
 
 def machines_to_fill(unmet: Iterable[UnmetDemand], types: dict[str, MachineType]) -> float:
-    """Roughly how many machines the tasks would fill, each on the smallest type that they fit on."""
+    """Returns roughly how many machines the tasks would fill by processors, each on the smallest type that fits it."""
     total = 0.0
     for job, count in unmet:
         sizes = [machine_type.cpus for machine_type in types.values() if fits_type(job.spec, machine_type)]
@@ -29,7 +29,7 @@
 
 
 def time_to_ready_s(spec: JobSpec, types: Iterable[MachineType]) -> float:
-    """Boot and image fetch of a new machine for the job, at the best; 0 if no type suits it."""
+    """Returns the shortest time for boot and image fetch of a new machine for the job; 0 if no type fits."""
     return min(
         (
             machine_type.boot_s + spec.image_gb / max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
@@ -41,17 +41,20 @@
 
 
 def shortest_boot_s(spec: JobSpec, types: Iterable[MachineType]) -> float:
-    """Boot time of a new machine for the job, at the best; 0 if no type suits it."""
+    """Returns the shortest boot time of a new machine for the job; 0 if no type fits."""
     return min((machine_type.boot_s for machine_type in types if fits_type(spec, machine_type)), default=0.0)
 
 
 def all_tasks_allow_spot(machine: MachineView) -> bool:
-    """Whether none of a machine's tasks rules out spot instances."""
+    """Whether all of a machine's tasks may run on spot instances."""
     return not any(task.spec is not None and not task.spec.spot for task in machine.tasks)
 
 
 def needs_on_demand(job: PendingJob, snapshot: Snapshot) -> bool:
-    """Whether an on-demand machine is needed now for the job's deadline, and still helps it."""
+    """Whether the job needs an on-demand machine now to meet its deadline and may still meet it.
+
+    True for a job without a deadline.
+    """
     spec = job.spec
     if spec.deadline_s is None:
         return True
@@ -61,9 +64,9 @@
 
 
 def can_be_served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
-    """Whether the present machines will have room well before a new one could be up.
+    """Whether `machines` will have room for `count` tasks well before a new machine could be up.
 
-    What gangs are to have of it is taken already: a job that waited for that room would wait for ever.
+    Room for gangs must already be taken on them: a job that waited for that room would wait indefinitely.
     """
     horizon_s = WORTHWHILE_WAIT_BOOTS * shortest_boot_s(spec, snapshot.types.values())
     slots = 0
@@ -76,7 +79,10 @@
 
 
 def _slots_within(spec: JobSpec, machine: MachineView, horizon_s: float) -> int:
-    """How many tasks the machine will have room for by then; none of a job that takes no processors or no memory."""
+    """Returns how many tasks the machine will have room for in `horizon_s` seconds.
+
+    0 for a job that requests no processors or no memory.
+    """
     if not spec.cpus or not spec.memory_gb:
         return 0
     cpus, memory_gb = machine.free_cpus, machine.free_memory_gb
