--- a/stileloft/scheduling/decision_applier.py
+++ b/stileloft/scheduling/decision_applier.py
@@ -1,4 +1,4 @@
-"""Applies scheduling decisions to the leader's state of the cluster, as far as they still hold."""
+"""Applies scheduling decisions that are still valid to the leader's state of the cluster."""
 
 import logging
 
@@ -26,11 +26,11 @@
 log = logging.getLogger(__name__)
 
 NOMINATION_HEARTBEATS = 3.0
-"""A nomination is given up after so many heartbeat intervals beyond its victims' time to save."""
+"""A nomination expires this many heartbeat intervals after the longest grace period of its victims."""
 
 
 class DecisionApplier:
-    """Carries out what was decided of a snapshot. Called with the cluster's lock held."""
+    """Applies decisions made from a snapshot. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._heartbeat_s = heartbeat_s
 
     def apply(self, decision: Decision) -> None:
-        """Places tasks, and preempts others for those that fit nowhere."""
+        """Places tasks, and preempts others for tasks that fit nowhere."""
         usage = self._cluster.usage(self._teams)
         orphaned_task_names = self._cluster.orphaned_task_names()
         for key, machine_id in decision.placed:
@@ -71,8 +71,8 @@
             machine = self._cluster.machines.get(machine_id)
             if machine is not None and not machine.placements and not machine.orphaned_tasks:
                 self._releaser.release(machine, "it is idle")
-        for offer, wanted in plan.provision.items():
-            self._provisioner.provision(offer, wanted)
+        for offer, count in plan.provision.items():
+            self._provisioner.provision(offer, count)
 
     def _place(
         self,
@@ -82,20 +82,20 @@
         orphaned_task_names: set[str],
         preemption_exempt: bool,
     ) -> None:
-        """Plans a task on a machine, if nothing has changed meanwhile that forbids it."""
+        """Places a task on a machine, unless the cluster has changed so that it may not be placed there."""
         job = self._cluster.jobs.get(key[0])
         machine = self._cluster.machines.get(machine_id)
         if job is None or machine is None or not self._is_free(job, key[1], orphaned_task_names):
             return
         used = usage.setdefault(job.spec.team, QuotaUsage())
-        if not self._may_take(job, machine, used):
+        if not self._can_place(job, machine, used):
             return
         used.add(job.spec.cpus, job.spec.gpus or 0.0)
         self._bind(job, key[1], machine, preemption_exempt)
 
     @staticmethod
     def _is_free(job: Job, index: int, orphaned_task_names: set[str]) -> bool:
-        """Whether the task has still to run, and is nowhere now."""
+        """Whether the task is neither done nor on a machine, and its job has not ended and is not being reloaded."""
         if job.end_phase or job.reload_pending or f"{job.id}/{index}" in orphaned_task_names:
             return False
         if index // job.chunk_size in job.finished_chunks:
@@ -103,23 +103,23 @@
         chunk = job.chunks.get(index // job.chunk_size)
         return chunk is None or (index not in chunk.done and index not in chunk.placements)
 
-    def _may_take(self, job: Job, machine: Machine, used: QuotaUsage) -> bool:
-        """Whether the machine, the job's zones and the team's limit allow one more task."""
+    def _can_place(self, job: Job, machine: Machine, used: QuotaUsage) -> bool:
+        """Whether the machine, the job's zone constraints and the team's limit allow one more task."""
         spec = job.spec
-        kind = self._catalog.types.get(machine.type)
-        if kind is None or machine.drain_reason or machine.releasing or not machine.has_current_token:
+        machine_type = self._catalog.types.get(machine.type)
+        if machine_type is None or machine.drain_reason or machine.releasing or not machine.has_current_token:
             return False
         if not within_limit(spec, self._teams.get(spec.team), used):
             return False
         if not zone_allowed(spec, {zone: count for zone, count in job.zones.items() if count > 0}, machine.zone):
             return False
-        return self._has_room(machine, kind, spec)
+        return self._has_room(machine, machine_type, spec)
 
-    def _has_room(self, machine: Machine, kind: MachineType, spec: JobSpec) -> bool:
+    def _has_room(self, machine: Machine, machine_type: MachineType, spec: JobSpec) -> bool:
         cpus, gpus, memory_gb = spec.cpus, spec.gpus or 0.0, spec.memory_gb
-        for placed in machine.placements.values():
-            job = self._cluster.jobs.get(placed.job)
-            if job is not None and placed.state != PlacementState.ENDED:
+        for placement in machine.placements.values():
+            job = self._cluster.jobs.get(placement.job)
+            if job is not None and placement.state != PlacementState.ENDED:
                 cpus += job.spec.cpus
                 gpus += job.spec.gpus or 0.0
                 memory_gb += job.spec.memory_gb
@@ -127,14 +127,18 @@
             cpus += orphan.cpus
             gpus += orphan.gpus
             memory_gb += orphan.memory_gb
-        return cpus <= kind.cpus + EPSILON and gpus <= kind.gpus + EPSILON and memory_gb <= kind.memory_gb + EPSILON
+        return (
+            cpus <= machine_type.cpus + EPSILON
+            and gpus <= machine_type.gpus + EPSILON
+            and memory_gb <= machine_type.memory_gb + EPSILON
+        )
 
     def _bind(self, job: Job, index: int, machine: Machine, preemption_exempt: bool) -> None:
         spec = job.spec
         chunk = job.chunks.setdefault(index // job.chunk_size, Chunk())
         chunk.attempt = gangs.next_attempt(job) if spec.is_gang else chunk.attempt + 1
         chunk.dirty = True
-        planned = Placement(
+        placement = Placement(
             job.id,
             index,
             chunk.attempt,
@@ -144,29 +148,29 @@
             PlacementState.PLANNED,
             preemption_exempt=preemption_exempt,
         )
-        planned.placed_by_this_leader = True
-        job.add(planned)
+        placement.placed_by_this_leader = True
+        job.add(placement)
         job.last_placed_at = self._clock.seconds()
-        machine.placements[planned.key] = planned
+        machine.placements[placement.key] = placement
         machine.idle_since = machine.scheduling_view = None
-        self._cluster.nominations.pop(planned.key, None)
+        self._cluster.nominations.pop(placement.key, None)
         self._cluster.mark_dirty(job)
         log.info(
-            "task %s attempt %d goes to %s, %.1f s after acceptance, image %s",
-            planned.task,
-            planned.attempt,
+            "task placed task=%s attempt=%d machine=%s waited_s=%.1f image_present=%s",
+            placement.task,
+            placement.attempt,
             machine.id,
             self._wall_clock() - job.submitted,
-            "there" if spec.image in machine.images else "to fetch",
+            spec.image in machine.images,
         )
 
     def _check_gang(self, job_id: str) -> None:
-        """Takes a gang back if not all of it could be placed."""
+        """Ends the new placements of a gang if not all of its tasks could be placed."""
         job = self._cluster.jobs.get(job_id)
         if job is not None and job.spec.is_gang and gangs.stage(job) is gangs.Stage.BROKEN:
-            for placed in list(job.placements()):
-                if placed.state == PlacementState.PLANNED:
-                    self._lifecycle.end(placed, "its gang is not complete")
+            for placement in list(job.placements()):
+                if placement.state == PlacementState.PLANNED:
+                    self._lifecycle.end(placement, "gang could not be placed completely")
 
     def _preempt(self, key: TaskKey, preemption: Preemption) -> None:
         job = self._cluster.jobs.get(key[0])
@@ -174,20 +178,27 @@
         if job is None or machine is None or job.end_phase or machine.drain_reason:
             return
         now = self._clock.seconds()
-        longest = 0.0
+        longest_grace_s = 0.0
         for victim in preemption.victims:
-            placed = machine.placements.get(victim.key)
-            if placed is None or placed.stop_grace_s is not None:
+            placement = machine.placements.get(victim.key)
+            if placement is None or placement.stop_grace_s is not None:
                 continue  # a gang is stopped with the first of its tasks
-            log.info("task %s on %s is stopped to make room for %s/%d", placed.task, machine.id, key[0], key[1])
-            self._lifecycle.stop(placed)
-            stopped = self._cluster.jobs.get(placed.job)
-            if stopped is not None:
-                stopped.preemption_count += victim.group_size
-            longest = max(longest, placed.stop_grace_s or 0.0)
-        for other in [
+            log.info(
+                "task preempted task=%s attempt=%d machine=%s preemptor=%s/%d",
+                placement.task,
+                placement.attempt,
+                machine.id,
+                key[0],
+                key[1],
+            )
+            self._lifecycle.stop(placement)
+            victim_job = self._cluster.jobs.get(placement.job)
+            if victim_job is not None:
+                victim_job.preemption_count += victim.group_size
+            longest_grace_s = max(longest_grace_s, placement.stop_grace_s or 0.0)
+        for lower_key in [
             k for k, n in self._cluster.nominations.items() if n.machine_id == machine.id and n.rank < job.spec.rank
         ]:
-            del self._cluster.nominations[other]
-        until = now + longest + NOMINATION_HEARTBEATS * self._heartbeat_s
-        self._cluster.nominations[key] = Nomination(key, machine.id, job.spec.rank, job.spec, until)
+            del self._cluster.nominations[lower_key]
+        expires_at = now + longest_grace_s + NOMINATION_HEARTBEATS * self._heartbeat_s
+        self._cluster.nominations[key] = Nomination(key, machine.id, job.spec.rank, job.spec, expires_at)
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -1,7 +1,7 @@
-"""The scheduling loop: when decisions are made, and in which thread.
+"""The scheduling loop, which runs scheduling cycles and applies their decisions.
 
-The decisions themselves are functions of a snapshot and run in a thread of their own. What they decide is checked
-again, under the lock, when it is applied.
+Decisions are computed from a snapshot in a separate thread. The cluster may have changed in the meantime, so they are
+checked again under its lock when they are applied.
 """
 
 import logging
@@ -28,20 +28,22 @@
 log = logging.getLogger(__name__)
 
 MIN_CYCLE_INTERVAL_S = 0.15
-"""Shortest time from the start of one cycle to that of the next, in seconds."""
+"""Minimum seconds from the start of one cycle to the start of the next."""
 DEBOUNCE_S = 0.02
-"""Shortest time from a change to the cycle that it causes, in seconds."""
-PAUSE_CYCLES = 1.0
-"""Pause after a cycle, in its own durations, so that heartbeats and submissions get their share of the processor."""
+"""Minimum seconds from a request to the cycle that it causes, so that several requests share a cycle."""
+PAUSE_RATIO = 1.0
+"""Pause after a cycle as a multiple of its duration, which leaves processor time for heartbeats and submissions."""
 SCALING_INTERVAL_S = 2.0
-"""How often a cycle also plans scaling, in seconds."""
+"""Minimum seconds between cycles that also plan scaling."""
 MAX_PLACED_TRANSACTIONS = 2
-"""What one cycle places, as a multiple of the changes in a transaction; many of them share a change."""
+"""Limit of the tasks that a cycle places, as a multiple of the changes in a transaction: many tasks share a change."""
 MAX_PREEMPTIONS = 8
+"""Limit of the tasks that a cycle makes room for."""
 MAX_REPORTED_UNMET = 50
+"""Limit of the jobs in the unmet demand that the administration API shows."""
 
 RunInThread = Callable[..., defer.Deferred[Any]]
-"""Calls a function with its arguments in a thread of its own."""
+"""Calls a function with its arguments in a separate thread."""
 
 
 class SchedulingLoop:
@@ -77,24 +79,24 @@
         self._max_placed = MAX_PLACED_TRANSACTIONS * transaction_ops
         self._flush = flush
         self.last_decision: dict[str, Any] = {}
-        """What the last cycle decided, for the administration API."""
-        self._running = False
+        """The decision of the last cycle as the administration API shows it."""
+        self._cycle_running = False
         self._requested_again = False
         self._timer: Timer | None = None
-        self._began_at = 0.0
-        self._took_s = 0.0
-        self._scaled_at = 0.0
+        self._cycle_started_at = 0.0
+        self._cycle_duration_s = 0.0
+        self._last_scaling_at = 0.0
 
     def stop(self) -> None:
-        """Cancels a cycle that is due."""
+        """Cancels the next cycle if it has not started."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
     def request(self) -> None:
-        """Asks for a cycle; requests that come together share one."""
+        """Requests a cycle; requests close together share one."""
         if not self._lease.active or not self._cluster.loaded:
             return
-        if self._running:
+        if self._cycle_running:
             self._requested_again = True
             return
         if self._timer is not None and self._timer.active():
@@ -103,33 +105,35 @@
         self._timer = self._clock.callLater(wait_s, self._begin_cycle)
 
     def _next_cycle_at(self) -> float:
-        """When the next cycle may begin, after the last one and a pause."""
-        return self._began_at + max(MIN_CYCLE_INTERVAL_S, (1.0 + PAUSE_CYCLES) * self._took_s)
+        """Returns the earliest start of the next cycle: after the last one and a pause."""
+        return self._cycle_started_at + max(MIN_CYCLE_INTERVAL_S, (1.0 + PAUSE_RATIO) * self._cycle_duration_s)
 
     def _begin_cycle(self) -> None:
         if not self._lease.is_held() or not self._catalog.types:
             return
-        self._running = True
+        self._cycle_running = True
         self._requested_again = False
-        self._began_at = self._clock.seconds()
-        scale = self._began_at - self._scaled_at >= SCALING_INTERVAL_S
+        self._cycle_started_at = self._clock.seconds()
+        scale = self._cycle_started_at - self._last_scaling_at >= SCALING_INTERVAL_S
         if scale:
-            self._scaled_at = self._began_at
-        decided = self._run_in_thread(self._decide, scale)
-        decided.addCallbacks(
+            self._last_scaling_at = self._cycle_started_at
+        deferred = self._run_in_thread(self._decide, scale)
+        deferred.addCallbacks(
             self._apply, lambda failure: log.error("scheduling cycle failed: %s", failure.getTraceback())
         )
-        decided.addErrback(lambda failure: log.error("applying a decision failed: %s", failure.getTraceback()))
-        decided.addBoth(self._end_cycle)
+        deferred.addErrback(
+            lambda failure: log.error("applying scheduling decision failed: %s", failure.getTraceback())
+        )
+        deferred.addBoth(self._end_cycle)
 
     def _end_cycle(self, _: Any) -> None:
-        self._running = False
-        self._took_s = self._clock.seconds() - self._began_at
+        self._cycle_running = False
+        self._cycle_duration_s = self._clock.seconds() - self._cycle_started_at
         if self._requested_again:
             self.request()
 
     def _decide(self, scale: bool) -> tuple[Decision, ScalingPlan | None]:
-        """Runs in its own thread; works on a copy."""
+        """Computes a decision, and a scaling plan if `scale` is set. Runs in the scheduling thread, on a snapshot."""
         with self._cluster.lock:
             snapshot = self._snapshots.build()
             no_capacity = self._provisioner.offers_without_capacity()
@@ -144,7 +148,7 @@
         return decision, plan
 
     def _apply(self, outcome: tuple[Decision, ScalingPlan | None]) -> None:
-        """Carries out what was decided, as far as it still holds."""
+        """Applies the parts of a decision and plan that are still valid, if the lease is still held."""
         decision, plan = outcome
         if not self._lease.is_held():
             return
@@ -152,14 +156,14 @@
             self._applier.apply(decision)
             if plan is not None:
                 self._applier.apply_scaling(plan)
-        self._record(decision)
+        self._record_decision(decision)
         if plan is not None and log.isEnabledFor(logging.DEBUG):
             self._log_cluster()
         if self._cluster.dirty:
             self._flush()
 
-    def _record(self, decision: Decision) -> None:
-        """Keeps what was decided for the administration API."""
+    def _record_decision(self, decision: Decision) -> None:
+        """Keeps the decision for the administration API."""
         self.last_decision = {
             "placed": len(decision.placed),
             "preemptions": [
