--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -42,7 +42,7 @@
 from stileloft.transport.timers import sleep
 
 if TYPE_CHECKING:
-    from stileloft.rebuild.service import Rebuild
+    from stileloft.rebuild.service import RebuildService
 
 log = logging.getLogger(__name__)
 
@@ -91,7 +91,7 @@
         deployment = self.settings.deployment
         self.sockets = SocketUsage(self.reactor, lambda: len(self.reactor.getReaders()), deployment.quota.max_sockets)
         self.clients = make_clients(self.reactor, self.settings, connect, self.keep_worker_connection)
-        self.budgets = StateBudgets.of(deployment, self.reactor)
+        self.budgets = StateBudgets.from_deployment(deployment, self.reactor)
         self.catalog = MachineCatalog(self.clients.cloud, self.reactor)
         self.state_service_check = StateServiceCheck(self.reactor, self.clients.state, self.clients.peers)
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
@@ -114,14 +114,14 @@
             self._on_cancelled_here,
         )
 
-    def _rebuild_feature(self) -> "Rebuild | None":
+    def _rebuild_feature(self) -> "RebuildService | None":
         if not self.features.rebuild.enabled:
             return None
         # Imported here, as its library takes memory that controllers without the feature have no use for.
         from stileloft.rebuild.environment import RebuildEnvironment
-        from stileloft.rebuild.service import Rebuild
+        from stileloft.rebuild.service import RebuildService
 
-        return Rebuild(
+        return RebuildService(
             RebuildEnvironment(
                 clock=self.reactor,
                 sleep=self.sleep,
@@ -131,9 +131,9 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.first_chunk_size,
+                first_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
-                forget_record_versions=self.record_format.forget_record_version,
+                forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
             )
         )
@@ -182,7 +182,7 @@
         defer.ensureDeferred(self.state_service_check.run())
         defer.ensureDeferred(self.election.run())
         if self.rebuild is not None:
-            self.rebuild.run()
+            self.rebuild.start()
 
     def serve(self) -> None:
         """Listens on the public and on the peer address."""
@@ -217,7 +217,7 @@
 
     def healthy(self) -> bool:
         """Whether the load balancer should send users here."""
-        return bool(self.catalog.types) and not self.state_service_check.refused
+        return bool(self.catalog.types) and not self.state_service_check.is_refused
 
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
@@ -240,7 +240,7 @@
 
     def _on_elected(self, token: int) -> None:
         if self.rebuild is not None and self.integrity.is_rebuilding():
-            self.rebuild.begin(token)
+            self.rebuild.begin_rebuild(token)
         else:
             self.begin_leading(token)
 
@@ -272,14 +272,14 @@
 
     def _on_deposed(self, _reason: str) -> None:
         if self.rebuild is not None:
-            self.rebuild.stop()
+            self.rebuild.stop_rebuild()
         if self.leader is not None:
             self.leader.end()
             self.leader = None
 
     def _on_format_advance(self) -> None:
         if self.leader is not None:
-            self.leader.upgrade.format_changed()
+            self.leader.upgrade.on_format_advanced()
 
     def _on_cancelled_here(self, job: str, revision: int) -> None:
         """A user of this controller has cancelled a job: as the leader we know it at once, not with the next watch."""
@@ -293,12 +293,12 @@
         if answer is not None:
             return answer
         leader = self.leader
-        if leader is not None and leader.tokens.is_later(heartbeat.token):
+        if leader is not None and leader.tokens.is_from_successor(heartbeat.token):
             self.election.suspect(f"machine {heartbeat.machine} knows token {heartbeat.token}")
             leader = None
         if leader is None:
             return self._refer_to_leader(heartbeat)
-        if not leader.may_renew():
+        if not leader.may_renew_worker_leases():
             leader.on_unanswered_heartbeat(heartbeat)
             return retry_later(503, "leadership is not confirmed, or cancellations are not known", 1)
         return Response(200, leader.on_heartbeat(heartbeat))
--- a/stileloft/scheduling/decision_applier.py
+++ b/stileloft/scheduling/decision_applier.py
@@ -149,7 +149,7 @@
             preemption_exempt=preemption_exempt,
         )
         placement.placed_by_this_leader = True
-        job.add(placement)
+        job.add_placement(placement)
         job.last_placed_at = self._clock.seconds()
         machine.placements[placement.key] = placement
         machine.idle_since = machine.scheduling_view = None
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -47,7 +47,7 @@
                 chunk.done.add(placement.index)
                 job.done += 1
             if chunk.placements.get(placement.index) is placement:
-                job.remove(placement)
+                job.remove_placement(placement)
             self._lifecycle.untrack(placement)
 
     @staticmethod
@@ -65,7 +65,7 @@
             for overflow, value in enumerate(part.overflow.get(number, ()), 1):
                 stored = before.get(overflow, NO_RECORD)
                 chunk.overflow[overflow] = stored if stored.value == value else VersionedValue(value, revision)
-        for number in part.folded_chunks:
+        for number in part.newly_finished_chunks:
             del job.chunks[number]
             job.finished_chunks.add(number)
         for number in part.removed_chunks:
