--- a/stileloft/leadership/__init__.py
+++ b/stileloft/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election, fencing tokens, failover, and the leader, which composes the other packages."""
+"""Leader election, fencing tokens, failover, and the leader itself, built from components of the other packages."""
--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -36,7 +36,7 @@
 
 
 class Authority:
-    """Decides what the leader may do now. Each method returns the reason for a refusal, or None if allowed."""
+    """Decides what the leader may do now. Each method returns the reason for a refusal; None allows the action."""
 
     def __init__(
         self, lease: LeaderLease, tokens: FencingTokens, cluster: ClusterState, jobs: JobRegistry, watch: JobWatch
@@ -50,11 +50,11 @@
     # -- the whole cluster -------------------------------------------------------------
 
     def check_leadership(self) -> Refusal | None:
-        """Checks an action that another leader could take as well: it requires a lease that is certainly held."""
+        """Checks an action that another leader could take as well; allowed only while the lease is certainly held."""
         return None if self._lease.is_held() else Refusal.LEASE_NOT_CONFIRMED
 
     def check_commands(self) -> Refusal | None:
-        """Checks direct commands: before the store has been read, every task would look orphaned."""
+        """Checks direct commands; refused until the store has been read, because every task would look orphaned."""
         return self.check_leadership() or (None if self._cluster.loaded else Refusal.STORE_NOT_READ)
 
     def check_renewal(self) -> Refusal | None:
@@ -97,7 +97,7 @@
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
         """Checks the start of a task, or a retry of it, on a machine that passes `check_starts_on`.
 
-        An unanswered start may be executed at any later time. It is retried even if the task is to be stopped by now,
+        An unanswered start may be executed at any later time. It is retried even if the task has to be stopped by now,
         because only a task that its worker reports can be stopped and then released.
         """
         if placement.state != PlacementState.BOUND:
@@ -123,7 +123,10 @@
         return next((refusal for start in starts if (refusal := self.check_start(start, machine))), None)
 
     def check_stop_job(self, job_id: str) -> Refusal | None:
-        """Checks stops of a job, harmless under an old token; a job known only from heartbeats is left to operators."""
+        """Checks stops of a job's tasks; a job known only from heartbeats is left to operators.
+
+        The lease is not checked, because stops are harmless even under an old token.
+        """
         return Refusal.AWAITS_OPERATOR if self._jobs.awaits_operator(job_id) else None
 
     def check_stop_task(self, task: str) -> Refusal | None:
@@ -131,7 +134,7 @@
         return self.check_stop_job(records.split_task(task)[0])
 
     def check_forgets_on(self, machine: Machine) -> Refusal | None:
-        """Checks whether a machine may be sent forgets at all."""
+        """Checks whether a machine may be sent forget commands at all."""
         if machine.command_in_flight:
             return Refusal.MESSAGE_IN_FLIGHT
         if not machine.has_current_token:
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -35,7 +35,7 @@
 RENEWAL_TIMEOUT_DIVISOR = 3
 """The time-out of a renewal is the lease duration divided by this."""
 WATCH_TIMEOUT_LEASES = 4
-"""Time-out of one watch of another controller's leader key, in lease durations."""
+"""Time-out of one watch of the leader key while another controller holds it, in lease durations."""
 
 
 class Election:
@@ -52,7 +52,7 @@
         on_deposed: Callable[[str], None],
         integrity: StoreIntegrity,
     ) -> None:
-        """`nonce` tells this process from former ones of the same member; `lease_s` is the lease duration in seconds.
+        """`nonce` distinguishes this process from the member's former ones; `lease_s` is the lease duration in seconds.
 
         `on_elected` is called with the fencing token, `on_deposed` with the reason.
         """
@@ -65,7 +65,7 @@
         self._on_deposed = on_deposed
         self._integrity = integrity
         self._suspicion_reason: str | None = None
-        """Why the leadership is in doubt, until it is known whether it has ended or the store is lost; None if not."""
+        """Why the leadership is in doubt: it may have ended, or the store may be lost. None if it is not in doubt."""
         self.key_version = 0
         """The version of the leader key while this controller leads; it guards the leader's transactions."""
         self.token: int | None = None
@@ -82,7 +82,7 @@
         return self.token is not None
 
     def holds_lease(self) -> bool:
-        """Returns whether no other controller can have been elected yet."""
+        """Returns whether the lease is certainly still held, so that no other controller can have been elected."""
         return self.token is not None and self._clock.seconds() < self._held_until
 
     def seconds_since_renewal(self) -> float:
@@ -96,8 +96,8 @@
     def suspect(self, reason: str) -> None:
         """Suspends all decisions until it is known whether the leadership has ended.
 
-        If the store has lost its records, no other controller can lead either, and heartbeats are still answered for
-        the renewal grace. Steps down at once if losses are not detected.
+        If the store has lost its records, no other controller can lead either, and this one still answers heartbeats
+        for the renewal grace. If the store's losses are not detected, this controller steps down at once.
         """
         if not self._integrity.detects_loss:
             self.step_down(reason)
--- a/stileloft/leadership/fencing_tokens.py
+++ b/stileloft/leadership/fencing_tokens.py
@@ -1,14 +1,14 @@
 """Fencing tokens of one leadership.
 
-A worker rejects every command whose token is lower than the highest token it has seen. Once it has seen a higher token,
-an in-flight start is therefore fenced permanently, however late it arrives, and no running task is lost. Waiting does
-not fence a start: a command may be delayed for hours.
+A worker rejects every command whose token is lower than the highest token it has seen. An in-flight start is therefore
+fenced permanently, however late it arrives, once the worker has seen a token above the start's; no running task is
+lost. Waiting does not fence a start: a command may be delayed for hours.
 
 A token must be unique to one leader and higher than all tokens of its predecessors. The first token is derived from the
-version of the leader key. Spare tokens are derived from the revisions of the leader's own transactions. These are
-guarded on the leader key, so their revisions are higher than the one that wrote this leader's key and lower than the
-one that writes a successor's. This holds whatever program version the successor runs, and the tokens need no record of
-their own in the store.
+version of the leader key. Spare tokens are derived from the revisions of the leader's own transactions. These
+transactions are guarded on the leader key, so their revisions are higher than the one that wrote this leader's key and
+lower than the one that writes a successor's. This holds whatever program version the successor runs, and the tokens
+need no record of their own in the store.
 """
 
 import bisect
@@ -42,7 +42,7 @@
         return bool(self._spares) and self._spares[-1] > token
 
     def issue_spare_above(self, token: int) -> int | None:
-        """Returns the lowest spare token above `token`, which leaves the most for later, or None if there is none."""
+        """Returns the lowest spare token above `token`, to keep the higher ones for later; None if there is none."""
         index = bisect.bisect_right(self._spares, token)
         if index == len(self._spares):
             return None
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -15,11 +15,11 @@
 CHECK_INTERVAL_S = 0.5
 """Interval of the check of all machines, in seconds."""
 MAX_SHOWN_AGE_S = 1e9
-"""Highest age shown in the status, in seconds; stands for an infinite one."""
+"""Highest age shown in the status, in seconds; also shown for an infinite age."""
 
 
 class Leader(LeaderComponents):
-    """One leadership from its takeover to its end; its state is discarded with it."""
+    """One leadership from its takeover to its end, after which the leader's state is discarded."""
 
     def begin(self) -> None:
         """Starts the takeover, which goes on in the background."""
@@ -36,7 +36,7 @@
         if not await self.failover.run():
             return
         with self.cluster.lock:
-            # Machines with placements first: exits and stops of their tasks are processed only once they are claimed.
+            # Machines with placements come first, because exits and stops are processed only on claimed machines.
             for machine in sorted(self.cluster.machines.values(), key=lambda machine: not machine.placements):
                 self.dispatcher.send(machine)
         log.info(
--- a/stileloft/leadership/leader_components.py
+++ b/stileloft/leadership/leader_components.py
@@ -52,13 +52,13 @@
 from stileloft.workers.transmission import CommandTransmitter
 
 HEARTBEAT_FLUSH_DELAY_S = 0.02
-"""Changes from heartbeats are committed after this delay, so that many share one commit, in seconds."""
+"""Delay of the commit of changes from heartbeats, in seconds, so that many changes share one commit."""
 
 
 class LeaderComponents:
-    """Composes the components that act while this controller leads.
+    """Builds the components that act while this controller leads.
 
-    Each gets its dependencies as constructor arguments; a dependency that would be circular is a callback instead.
+    Each component gets its dependencies as constructor arguments, and a callback where a dependency would be circular.
     """
 
     def __init__(self, environment: LeaderEnvironment, lease: LeaderLease, tokens: FencingTokens) -> None:
@@ -163,7 +163,7 @@
         )
 
     def _build_scale_in(self) -> None:
-        """Builds scale-in: worker leases, and the release of machines."""
+        """Builds the components of scale-in: boot monitor, worker leases, and release of machines."""
         env, clock, lease_s = self._environment, self._clock, self._timings.lease_s
         lag_s, failure_s = self._deployment.cloud.list_lag_s, self.timeouts.failure_s
         self.boots = BootMonitor(self.lease, env.catalog, clock, failure_s, lease_s, lag_s)
@@ -182,7 +182,7 @@
         )
 
     def _build_scale_out(self) -> None:
-        """Builds scale-out: machines are provisioned, and recorded for a successor."""
+        """Builds the components of scale-out, which provision machines and record them for a successor."""
         env, clock, lag_s = self._environment, self._clock, self._deployment.cloud.list_lag_s
         self.provision_records = ProvisionRecords(self.store, self.machine_registry, clock, env.wall_clock, lag_s)
         self.provisioner = MachineProvisioner(
@@ -312,7 +312,7 @@
         )
 
     def _build_scheduling_loop(self) -> None:
-        """Builds the scheduling loop, and what applies its decisions."""
+        """Builds the scheduling loop, and the component that applies its decisions."""
         env, clock = self._environment, self._clock
         applier = DecisionApplier(
             self.cluster,
@@ -342,7 +342,7 @@
         )
 
     def _build_failover(self) -> None:
-        """Builds what takes over from the former leader."""
+        """Builds the components that recover the former leader's jobs, machines and records."""
         self.unresolved_tasks = UnresolvedTaskManager(
             self.store,
             self.cluster,
--- a/stileloft/leadership/lease.py
+++ b/stileloft/leadership/lease.py
@@ -23,7 +23,7 @@
         return self._election.lease_s
 
     def is_held(self) -> bool:
-        """Returns whether no other controller can have been elected yet."""
+        """Returns whether the lease is certainly still held, so that no other controller can have been elected."""
         return self.active and self._election.holds_lease()
 
     def seconds_since_renewal(self) -> float:
@@ -31,7 +31,7 @@
         return self._election.seconds_since_renewal()
 
     def guard(self) -> dict[str, int]:
-        """Returns the guard of the leader's transactions: no other leader has been elected since."""
+        """Returns the guard of the leader's transactions, which fails once another leader has been elected."""
         return {records.LEADER: self._key_version}
 
     def suspect(self, reason: str) -> None:
