--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -1,4 +1,4 @@
-"""Plans commands: the starts, stops and forgets that are due for a machine and allowed now."""
+"""Plans commands: the start, stop and forget commands that are due for a machine and allowed now."""
 
 from stileloft.leadership.authority import Authority, Refusal
 from stileloft.model.cluster import ClusterState
@@ -47,7 +47,7 @@
     def due_stops(self, machine: Machine, limit: int, for_renewal: bool = False) -> list[StopCommand]:
         """Returns at most `limit` stops that are due.
 
-        With `for_renewal`, for an answer that renews the lease, stops for all tasks of ended jobs come first.
+        `for_renewal` selects those for an answer that renews the lease: stops of all tasks of ended jobs come first.
         """
         now = self._clock.seconds()
         required: list[Placement] = []
@@ -61,7 +61,7 @@
                 others.append(placement)
         commands: list[StopCommand] = []
         for placement in (required + others)[:limit]:
-            # This time only paces retries: it is updated as long as the machine sends heartbeats.
+            # This time only paces retries: as long as the machine sends heartbeats, each new stop updates it.
             placement.stop_sent_at = now
             commands.append(StopCommand(placement.task, placement.attempt, placement.stop_grace_s or 0.0))
         return commands + self._stops_of_orphaned_tasks(machine)[: limit - len(commands)]
@@ -77,7 +77,7 @@
         ]
 
     def due_forgets(self, machine: Machine, limit: int) -> list[ForgetCommand]:
-        """Returns at most `limit` forgets of exited attempts that the store no longer places on the machine.
+        """Returns at most `limit` forget commands, for exited attempts that the store no longer places on the machine.
 
         An attempt is forgotten only once its start is fenced, because a late start would run it again.
         """
@@ -94,12 +94,12 @@
         if len(allowed) < len(due):
             self._fencing.fence_for_forgets(machine, now)
         for command in allowed:
-            del machine.pending_forgets[command.task]  # a forget is scheduled again if the attempt is reported again
+            del machine.pending_forgets[command.task]  # scheduled again if the attempt is reported again
             machine.inflight_starts.drop(command.task, command.attempt)
         return allowed
 
     def stops_required_for_renewal(self, machine: Machine) -> set[AttemptKey]:
-        """Returns the attempts that an answer must stop in order to renew the lease."""
+        """Returns the attempts whose job has ended: an answer may renew the worker's lease only if it stops them."""
         return {
             (placement.task, placement.attempt)
             for placement in machine.placements.values()
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -20,9 +20,10 @@
 from stileloft.workers.transmission import RETRY_PAUSE_HEARTBEATS, CommandBatch, CommandTransmitter
 
 MAX_COMMANDS_PER_MESSAGE = 200
-"""Limit of starts, and of stops and forgets together, in one message: a body may hold 64 KiB."""
+"""Limit of starts, and of stop and forget commands together, in one message: a body may hold 64 KiB."""
 MAX_CLAIMS_SOCKET_FRACTION = 0.125
-"""Fraction of the sockets for claims in flight: a new leader claims hundreds of machines, and some don't answer."""
+"""Limit of claims in flight, as a fraction of the sockets: a new leader claims hundreds of machines, and some don't
+answer."""
 MAX_IN_DOUBT_SHOWN = 50
 """Number of in-doubt starts that `GET /status` lists."""
 FIRST_EPOCH = 1
@@ -76,7 +77,7 @@
         return now - machine.last_reachable_at <= self._settings.reachability_timeout_s
 
     def send(self, machine: Machine) -> None:
-        """Sends the commands that are due, unless a message to the machine is in flight or its back-off lasts."""
+        """Sends the commands that are due, unless a message to the machine is in flight or it is in back-off."""
         now = self._clock.seconds()
         if machine.command_in_flight or not machine.address or now < machine.retry_at:
             return
@@ -87,13 +88,13 @@
         stops = self._planner.due_stops(machine, MAX_COMMANDS_PER_MESSAGE)
         is_claim = not starts and not stops
         if is_claim and not self._may_claim(machine, now):
-            return  # forgets alone are sent with the answer to the next heartbeat
+            return  # forget commands alone are sent with the answer to the next heartbeat
         self._send_batch(machine, starts, stops, is_claim, now)
 
     def _send_batch(
         self, machine: Machine, starts: list[Placement], stops: list[StopCommand], is_claim: bool, now: float
     ) -> None:
-        """Sends one message with these starts and stops, and with due forgets up to the limit."""
+        """Sends one message with these starts and stops, and with due forget commands up to the limit."""
         forgets = self._planner.due_forgets(machine, MAX_COMMANDS_PER_MESSAGE - len(stops))
         commands: list[Command] = [*stops, *forgets]
         commands += [StartCommand(placement.task, placement.attempt) for placement in starts]
@@ -116,7 +117,7 @@
         with self._cluster.lock:
             self._heartbeats.process(reply.heartbeat)
         if not reply.executed and (batch.epoch, batch.token) != (machine.epoch, machine.token):
-            self.send(machine)  # refused for its epoch or token, which the heartbeat has corrected
+            self.send(machine)  # refused for an old epoch or token, which the heartbeat has updated
         elif self._planner.due_starts(machine) or _has_unsent_stop(machine):
             self._clock.callLater(RETRY_PAUSE_HEARTBEATS * self._settings.heartbeat_s, self.send, machine)
         self._after_heartbeat()
@@ -150,7 +151,7 @@
 
 
 def _can_answer(machine: Machine) -> bool:
-    """Returns whether the machine may be up; a booting one sends a heartbeat on its own when its boot is complete."""
+    """Returns whether the machine may be up. A booting machine needs no claim: it sends a heartbeat once it is up."""
     return machine.heartbeat_received or bool(machine.placements) or machine.cloud_state == "running"
 
 
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -73,7 +73,10 @@
         ]
 
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
-        """Raises the token to forget attempts: for many at once, at most once per lease, as it takes a heartbeat."""
+        """Raises the token so that exited attempts can be forgotten, once a heartbeat has acknowledged the token.
+
+        It is raised at most once per worker lease, for many attempts at once, because each raise takes a heartbeat.
+        """
         recently_raised = now - machine.token_raised_at <= self._timings.lease_s
         if not recently_raised and self._tokens.has_spare_above(machine.token):
             self._raise_token(machine, now, "exited attempts are due to be forgotten")
@@ -131,7 +134,7 @@
             del machine.fenced_starts[next(iter(machine.fenced_starts))]
 
     def request_spare_token(self, machine: Machine, unreported: list[Placement]) -> None:
-        """Has the record of one of these placements' jobs rewritten: the revision of the commit is a spare token."""
+        """Has the record of one of these placements' jobs rewritten, because the commit's revision is a spare token."""
         self.machines_awaiting_token[machine.id] = None
         for placement in unreported:
             job = self._cluster.jobs.get(placement.job)
--- a/stileloft/workers/forget_scheduler.py
+++ b/stileloft/workers/forget_scheduler.py
@@ -4,18 +4,18 @@
 from stileloft.transport.clock import Clock
 
 FORGET_DELAY_LEASES = 4.0
-"""Delay before the forget of an attempt that is not done, in worker leases."""
+"""Delay of the forget command for an attempt that is not done, in worker leases."""
 
 
 class ForgetScheduler:
-    """Records the exited attempts that a machine's worker is to forget, and when."""
+    """Records which exited attempts a machine's worker has to forget, and when."""
 
     def __init__(self, clock: Clock, lease_s: float) -> None:
         self._clock = clock
         self._lease_s = lease_s
 
     def schedule(self, machine: Machine, task: str, attempt: int, done: bool) -> None:
-        """Schedules the forget of an exited attempt that the store no longer places on the machine.
+        """Schedules the forget command for an exited attempt that the store no longer places on the machine.
 
         A late copy of its start would run a forgotten attempt again, possibly in parallel with a newer one elsewhere.
         So the worker keeps an attempt that is not done until its start is fenced; the delay lets one fence serve many
--- a/stileloft/workers/heartbeat_responder.py
+++ b/stileloft/workers/heartbeat_responder.py
@@ -59,7 +59,8 @@
             # to a command; the worker must then ignore this answer, as a renewal would not be recorded here.
             return CommandMessage(NO_TOKEN, [])
         if machine.epoch != epoch:
-            machine.last_reachable_at = float("-inf")  # it lost its tasks despite the answers, so they may not reach it
+            # The worker has lost its tasks despite the answers to its heartbeats, so answers may not reach it.
+            machine.last_reachable_at = float("-inf")
         elif was_claimed and now - previous_heartbeat_at < UNANSWERED_RETRY_S:
             # Without an answer the worker would not have returned to this controller so soon. The previous heartbeat
             # may have been an old one, so this counts only once the worker is known to have the leader's token.
@@ -71,7 +72,10 @@
         return answer
 
     def _renew_lease(self, machine: Machine, now: float) -> CommandMessage:
-        """Returns an answer that renews the lease, or one that the worker ignores if that would break the bound.
+        """Returns the answer to a heartbeat.
+
+        It renews the worker's lease, unless a renewal could keep cancelled tasks alive beyond their bound; the worker
+        then ignores the answer.
 
         A worker that does not know the leader's token learns it from this answer. So the answer must cover all
         cancelled jobs: it stops their tasks that may run, and its token fences their starts that may still be executed.
--- a/stileloft/workers/heartbeats.py
+++ b/stileloft/workers/heartbeats.py
@@ -56,7 +56,7 @@
         if heartbeat.reclaim_in_s is not None and machine.reclaim_at is None:
             self._record_reclaim(machine, heartbeat.reclaim_in_s, now)
         if machine.has_current_token and self._cluster.loaded:
-            # Before the store has been read, all of its tasks would look orphaned, and be stopped.
+            # Before the store has been read, all tasks on the machine would look orphaned, and be stopped.
             self._reconciler.reconcile(machine, heartbeat.tasks, now)
         machine.idle_since = None if machine.placements or machine.orphaned_tasks else (machine.idle_since or now)
         return machine
@@ -94,7 +94,7 @@
 
     def _record_reclaim(self, machine: Machine, reclaim_in_s: float, now: float) -> None:
         """Records that the cloud has announced the reclaim of the spot instance."""
-        log.info("spot instance to be reclaimed machine=%s seconds_left=%.1f", machine.id, reclaim_in_s)
+        log.info("spot instance reclaim announced machine=%s seconds_left=%.1f", machine.id, reclaim_in_s)
         machine.reclaim_at = now + reclaim_in_s
         machine.drain_reason = DrainReason.RECLAIMED.value
         self._request_scheduling()
--- a/stileloft/workers/transmission.py
+++ b/stileloft/workers/transmission.py
@@ -36,7 +36,7 @@
     starts: list[Placement]
     """The placements whose tasks the message starts."""
     is_claim: bool
-    """Whether the message only conveys the leader's token and probes reachability; it may also carry forgets."""
+    """Whether the message only conveys the leader's token and probes reachability, possibly with forget commands."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,7 +78,9 @@
         machine = batch.machine
         if batch.starts and log.isEnabledFor(logging.DEBUG):
             tasks = [f"{placement.task}:{placement.attempt}" for placement in batch.starts]
-            log.debug("starts sent machine=%s token=%d epoch=%d tasks=%s", machine.id, batch.token, batch.epoch, tasks)
+            log.debug(
+                "sending starts machine=%s token=%d epoch=%d tasks=%s", machine.id, batch.token, batch.epoch, tasks
+            )
         try:
             executed, heartbeat = await self._client.command(
                 machine.address,
