--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -57,7 +57,7 @@
         return ScalingPlan(self._planner.provision, self._machines_to_release())
 
     def _provide_for_gang(self, spec: JobSpec, count: int) -> None:
-        """Assigns a gang to existing room and provisions for the rest, in the zone with the smallest shortage first."""
+        """Assigns a gang to existing room and provisions the missing room, first in the zone of smallest shortage."""
         present = [machine for machine in self._usable if machine.up] + self._planner.pending
         machine_types = self._snapshot.types.values()
         possible = sorted(
@@ -86,7 +86,8 @@
         machines = [machine for machine in self._usable if machine.spot or machine.tasks or urgent]
         machines += self._planner.planned
         if spec.cpus <= self._planner.smallest_cpus and self._has_large_tasks():
-            # Some tasks run only on large machines, so this class gets small machines for all its usual tasks.
+            # Other tasks need the large machines, so headroom is planned on small machines only, and also for the tasks
+            # of this class that now run on large ones.
             count += self._tasks_on_large_machines(spec.job_class)
             machines = [machine for machine in machines if machine.type.cpus <= self._planner.smallest_cpus]
         count_left = self._planner.fill(spec, count, {}, machines)
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -57,8 +57,8 @@
 def find_gang_machines(job: PendingJob, cycle: SchedulingCycle) -> list[TaskAssignment] | None:
     """Returns a machine for each task of a gang, in the zone where all machines have the image earliest.
 
-    None if no zone has room for the whole gang, or its team's limit excludes it. Leaves the resources in the snapshot
-    unchanged.
+    Returns None if no zone has room for the whole gang, its team's limit excludes it, or tasks of its former attempt
+    are still ending. Leaves the resources in the snapshot unchanged.
     """
     if any(job.placed_by_zone.values()):
         return None  # tasks of its former attempt are still ending; the gang is placed again as a whole
@@ -75,7 +75,7 @@
 
 
 def _assign_machines(job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView]) -> GangAssignment:
-    """Returns machines for as many of the gang's tasks as fit; places them on the snapshot and removes them again."""
+    """Returns machines for as many of the gang's tasks as fit; adds the tasks to the snapshot and removes them again."""
     spec = job.spec
     candidates = CandidateMachines(job, cycle, machines)
     placements: list[tuple[TaskAssignment, RunningTask]] = []
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -9,7 +9,7 @@
 URGENT_RANK = 2
 """Lowest rank of urgent jobs."""
 
-# Weight of a second of image fetch in the cost of a machine, which is in seconds, for urgent and for other tasks.
+# Weights of the image fetch time in the cost of a machine, which is in seconds, for urgent and for other tasks.
 FETCH_WEIGHT_URGENT = 1.0
 FETCH_WEIGHT = 0.3
 # Bin packing: cost of a small task on a large machine. It is lower for a class with a start objective, and higher while
@@ -17,9 +17,9 @@
 FRAGMENTATION_PENALTY_S = 5.0
 FRAGMENTATION_PENALTY_START_OBJECTIVE_S = 1.0
 FRAGMENTATION_PENALTY_LARGE_SCARCE_S = 30.0
-# Factor of that cost for a large machine that is already partly filled.
+# Factor on the fragmentation penalty for a large machine that is already partly filled.
 ALREADY_FRAGMENTED_FACTOR = 0.3
-# Cost of an image fetch that takes more than this share of the class's start objective.
+# Additional cost of an image fetch that takes more than FETCH_SHARE_OF_OBJECTIVE of the class's start objective.
 MISSED_OBJECTIVE_PENALTY_S = 6.0
 FETCH_SHARE_OF_OBJECTIVE = 0.6
 # Cost of on-demand machines, so that they become idle before spot instances and can be released.
@@ -60,7 +60,7 @@
 ) -> float:
     """Returns the cost in seconds of placing a task on a machine where it fits; lower is better."""
     fetch_s = image_fetch_s(spec, machine)
-    # All tasks of a gang wait for the last image fetch.
+    # A gang with a start objective counts as urgent, because all its tasks wait for the last image fetch.
     urgent = spec.rank >= URGENT_RANK or (spec.is_gang and start_objective_s is not None)
     cost = (FETCH_WEIGHT_URGENT if urgent else FETCH_WEIGHT) * fetch_s
     if start_objective_s is not None and fetch_s > FETCH_SHARE_OF_OBJECTIVE * start_objective_s:
--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -27,7 +27,7 @@
     unsaved_s: float = 0.0
     """Run time that is lost if the task is stopped: since its last checkpoint, or since its start."""
     remaining_s: float = 0.0
-    """Expected time until it ends."""
+    """Expected time until the task ends."""
     stopping: bool = False
     """Whether the task is already being stopped."""
     within_preemption_budget: bool = True
@@ -161,7 +161,7 @@
         )
 
     def reclaimable(self, rank: int) -> Resources:
-        """Returns the resources free once all tasks that are being stopped or of a rank below `rank` are gone."""
+        """Returns the resources free once all tasks that are being stopped or have a rank below `rank` are gone."""
         reclaimable = self._reclaimable.get(rank)
         if reclaimable is None:
             leaving = [task for task in self.tasks if task.stopping or task.rank < rank]
--- a/stileloft/scheduling/pending_jobs.py
+++ b/stileloft/scheduling/pending_jobs.py
@@ -16,7 +16,8 @@
 AGED_FRACTION = 0.6
 """A job is aged after this fraction of `START_LIMIT_S`: it goes before higher priorities, which could starve it."""
 MIN_AGED_FRACTION = 0.25
-"""Lower bound of that fraction, which decreases while many jobs have not started and the machines need the time."""
+"""Lower bound to which `AGED_FRACTION` is reduced while many jobs have not started and the machines need the time to
+start them."""
 FIRST_TASKS_FRACTION = 0.9
 """One task of each waiting job should start within this fraction of `START_LIMIT_S`."""
 STARVING_FRACTION = 0.25
--- a/stileloft/scheduling/placement.py
+++ b/stileloft/scheduling/placement.py
@@ -29,7 +29,7 @@
 
 
 def place_gang(job: PendingJob, cycle: SchedulingCycle) -> None:
-    """Places all tasks of a gang, or else none and reserves room. Waiting gangs preempt nothing."""
+    """Places all tasks of a gang; otherwise places none and reserves room. A waiting gang preempts nothing."""
     assignments = find_gang_machines(job, cycle)
     if assignments is not None:
         for index, machine in assignments:
@@ -119,7 +119,10 @@
         return None
 
     def _make_room(self, index: int) -> bool:
-        """Nominates the task to the machine with the cheapest preemption; returns whether there is one."""
+        """Nominates the task to the machine with the cheapest preemption.
+
+        Returns False if no preemption helps or the cycle's limit of preemptions is reached.
+        """
         if self._preemption_search is None:
             self._preemption_search = self._start_preemption_search()
         if len(self._cycle.decision.preemptions) >= self._cycle.limits.max_preemptions:
--- a/stileloft/scheduling/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -1,7 +1,7 @@
 """Selection of the tasks to preempt on a machine for a task that fits on no machine.
 
-On a copy of the machine, candidates are removed in order until the task fits beside the tasks nominated there. They are
-then returned one by one, and those that cannot be returned without breaking the fit are the victims. As the design
+In a simulation, candidates are removed in order until the task fits beside the tasks nominated to the machine. They are
+then put back one by one as long as the task still fits; those that cannot be put back are the victims. As the design
 proposal requires, no task moves to another device or machine during this.
 """
 
@@ -126,20 +126,20 @@
                 break
     if not fits:
         return None
-    # Return units that turn out not to be needed, starting with the last removed, the costliest.
+    # Units that need not be preempted are put back, starting with the last removed, the costliest.
     return [task for unit in reversed(removed) if not room.try_to_return(unit) for task in unit]
 
 
 def preemptible_below(spec: JobSpec, quotas: TeamQuotas) -> int:
     """Returns the rank below which the task may preempt others.
 
-    If its team is within its guarantee, it may preempt tasks of its own rank, of teams that exceed theirs.
+    A task whose team is within its guarantee may also preempt tasks of its own rank whose teams exceed theirs.
     """
     return spec.rank + 1 if quotas.within_guarantee(spec) else spec.rank
 
 
 class _SimulatedRoom:
-    """Free resources of a machine while tasks are removed and returned in simulation."""
+    """Free resources of a machine while tasks are removed and put back in a simulation."""
 
     def __init__(self, machine: MachineView, needed: Resources) -> None:
         self._room = machine.free
@@ -152,7 +152,7 @@
         return self._room.covers(self._needed)
 
     def try_to_return(self, unit: PreemptionUnit) -> bool:
-        """Puts tasks back unless that leaves too little room; returns whether it did."""
+        """Puts tasks back unless that leaves too little room; returns whether they were put back."""
         room = self._room
         for task in unit:
             room = room.minus(task)
@@ -163,7 +163,7 @@
 
 
 def preemption_cost(victims: list[RunningTask]) -> PreemptionCost:
-    """Returns the cost of preempting these victims, a gang's tasks on other machines included."""
+    """Returns the cost of preempting these victims, including their gangs' tasks on other machines."""
     # One task stands for each unit: `group_size` counts all tasks of its gang, on whatever machine.
     unit_representatives = [unit[0] for unit in preemption_units(victims)]
     return PreemptionCost(
--- a/stileloft/scheduling/preemption_search.py
+++ b/stileloft/scheduling/preemption_search.py
@@ -82,7 +82,7 @@
 
 
 class GuaranteeUse(NamedTuple):
-    """Use of the teams' guarantees, which the victims of a job depend on in addition to the machine."""
+    """Use of the teams' guarantees, on which the choice of victims depends in addition to the machine."""
 
     within_guarantee: bool
     """Whether one more task keeps the job's team within its guarantee."""
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -15,8 +15,8 @@
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import ExpectedTasks, Snapshot
 
-# Limit of the machines that one plan provisions: a share of the fleet or of the machines that the waiting tasks would
-# fill, whichever is more, so that an empty fleet grows to some hundreds quickly, and at least the minimum.
+# One plan provisions at most PROVISION_SHARE of the fleet or of the machines that the waiting tasks would fill,
+# whichever is more, so that an empty fleet grows to some hundreds quickly. The limit is at least MIN_PROVISION_LIMIT.
 MIN_PROVISION_LIMIT = 8
 PROVISION_SHARE = 0.25
 PLANNED_PREFIX = "new-"
@@ -84,8 +84,8 @@
     def provision_for(self, spec: JobSpec, count: int, zones: dict[str, int] | None, spot_only: bool) -> int:
         """Plans machines for `count` tasks; returns the number of tasks left.
 
-        `zones` counts the job's tasks in each zone and is updated. None: the tasks belong to different jobs, so that
-        constraints on the zones of a job do not apply across machines.
+        `zones` counts the job's tasks in each zone and is updated. It is None if the tasks belong to different jobs, so
+        that a job's constraints on zones do not apply across machines.
         """
         while count and self.may_provision():
             placed_by_zone = {} if zones is None else zones
@@ -109,9 +109,9 @@
         return machine
 
     def _cheapest(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> InstanceOffer | None:
-        """Returns the cheapest offer; None if none fits.
+        """Returns the cheapest offer that fits a task; None if none does.
 
-        Among nearly equal prices, it is the offer with the fewest machines of its type in its zone.
+        Among offers of nearly equal price, the one with the fewest machines of its type in its zone is chosen.
         """
         possible = [
             priced
--- a/stileloft/scheduling/queue_order.py
+++ b/stileloft/scheduling/queue_order.py
@@ -11,7 +11,8 @@
     """Returns a sort key: promotion, priority, the team's guarantee, latest start, submission."""
     spec = job.spec
     if job.promoted:
-        # All promoted jobs are old, whatever their priority. Jobs with no task run yet go first.
+        # Priority does not count among promoted jobs, because all of them have waited long. Jobs of which no task has
+        # run yet go first.
         return (0, 1 if job.started else 0, job.submitted_at)
     guaranteed = snapshot.quotas.within_guarantee(spec)
     return (1, -spec.rank, 0 if guaranteed else 1, latest_start(job, snapshot), job.submitted_at)
@@ -20,8 +21,8 @@
 def latest_start(job: PendingJob, snapshot: Snapshot) -> float:
     """Returns the latest start that meets the job's deadline, in Unix time.
 
-    For a job without a deadline it is the time at which the job would complete alone. Otherwise one array of tens of
-    thousands of tasks would be served before all small jobs that are submitted after it.
+    For a job without a deadline, returns the time at which it would complete if it ran alone. If its submission time
+    counted instead, an array of tens of thousands of tasks would be served before all small jobs submitted after it.
     """
     if job.spec.deadline_s is None:
         return job.submitted_at + max(job.estimate_s, standalone_run_time_s(job, snapshot))
@@ -41,7 +42,7 @@
 
 
 def promote_aged_jobs(snapshot: Snapshot) -> None:
-    """Promotes aged jobs: one task of each job that has not started, then tasks of the oldest, within `AGED_CPU_SHARE`.
+    """Promotes aged jobs: one task of each that has not started, then tasks of the oldest within `AGED_CPU_SHARE`.
 
     The other tasks of a promoted job are split off and keep their ordinary place in the queue, so that an old job of
     thousands of tasks is not limited to the share while machines are idle.
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -12,14 +12,17 @@
 
 # No machine is provisioned for tasks that the present machines will serve within this fraction of a boot time.
 WORTHWHILE_WAIT_BOOTS = 0.4
-# An on-demand machine is provisioned for a deadline if the time to spare is between these bounds, in boot times: fewer
-# than EARLY_BOOTS left, and missed by fewer than LATE_BOOTS, since estimates are often wrong.
+# An on-demand machine is provisioned for a deadline if the time to spare, in times that a new machine takes to become
+# ready, is between -LATE_BOOTS and EARLY_BOOTS. It may be negative, since estimates are often wrong.
 EARLY_BOOTS = 0.5
 LATE_BOOTS = 1.0
 
 
 def machines_to_fill(unmet: Iterable[UnmetDemand], types: dict[str, MachineType]) -> float:
-    """Returns roughly how many machines the tasks would fill by processors, each on the smallest type that fits it."""
+    """Returns roughly how many machines the tasks would fill.
+
+    Counts only processors, with each task on the smallest machine type that fits it.
+    """
     total = 0.0
     for job, count in unmet:
         sizes = [machine_type.cpus for machine_type in types.values() if fits_type(job.spec, machine_type)]
@@ -53,7 +56,7 @@
 def needs_on_demand(job: PendingJob, snapshot: Snapshot) -> bool:
     """Whether the job needs an on-demand machine now to meet its deadline and may still meet it.
 
-    True for a job without a deadline.
+    Returns True for a job without a deadline.
     """
     spec = job.spec
     if spec.deadline_s is None:
@@ -66,7 +69,7 @@
 def can_be_served_soon(spec: JobSpec, count: int, snapshot: Snapshot, machines: Iterable[MachineView]) -> bool:
     """Whether `machines` will have room for `count` tasks well before a new machine could be up.
 
-    Room for gangs must already be taken on them: a job that waited for that room would wait indefinitely.
+    Room for gangs must already be taken on `machines`: a job that waited for that room would wait indefinitely.
     """
     horizon_s = WORTHWHILE_WAIT_BOOTS * shortest_boot_s(spec, snapshot.types.values())
     slots = 0
@@ -81,7 +84,7 @@
 def _slots_within(spec: JobSpec, machine: MachineView, horizon_s: float) -> int:
     """Returns how many tasks the machine will have room for in `horizon_s` seconds.
 
-    0 for a job that requests no processors or no memory.
+    Returns 0 for a job that requests no processors or no memory.
     """
     if not spec.cpus or not spec.memory_gb:
         return 0
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -36,9 +36,9 @@
 SCALING_INTERVAL_S = 2.0
 """Minimum seconds between cycles that also plan scaling."""
 MAX_PLACED_TRANSACTIONS = 2
-"""Limit of the tasks that a cycle places, as a multiple of the changes in a transaction: many tasks share a change."""
+"""Limit of the tasks that a cycle places, as a multiple of a transaction's limit of changes: many tasks share one."""
 MAX_PREEMPTIONS = 8
-"""Limit of the tasks that a cycle makes room for."""
+"""Limit of the tasks that a cycle makes room for by preemption."""
 MAX_REPORTED_UNMET = 50
 """Limit of the jobs in the unmet demand that the administration API shows."""
 
@@ -119,10 +119,10 @@
             self._last_scaling_at = self._cycle_started_at
         deferred = self._run_in_thread(self._decide, scale)
         deferred.addCallbacks(
-            self._apply, lambda failure: log.error("scheduling cycle failed: %s", failure.getTraceback())
+            self._apply, lambda failure: log.error("scheduling cycle failed traceback=%s", failure.getTraceback())
         )
         deferred.addErrback(
-            lambda failure: log.error("applying scheduling decision failed: %s", failure.getTraceback())
+            lambda failure: log.error("applying scheduling decision failed traceback=%s", failure.getTraceback())
         )
         deferred.addBoth(self._end_cycle)
 
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -33,7 +33,7 @@
     placed_by_zone: dict[str, int]
     """Number of placed tasks in each zone."""
     estimate_s: float
-    """Expected run time of a task."""
+    """Expected run time of a task, in seconds."""
     start_objective_s: float | None = None
     """The time within which jobs of its class should start; None without such an objective."""
     excluded_machines: frozenset[str] = frozenset()
@@ -45,7 +45,8 @@
     started: bool = True
     """Whether one of its tasks has run."""
     starving: bool = False
-    """Whether no task was placed for long, so that the job may use room kept for expected gangs or unpromoted jobs."""
+    """Whether none of the job's tasks was placed for long; it may then use room kept for expected gangs or for jobs
+    that are not promoted."""
 
     def split(self, count: int) -> "PendingJob":
         """Keeps the first `count` tasks, and returns the others as a job that is not promoted.
@@ -127,7 +128,7 @@
         return [self.machines[machine_id] for machine_id in self._schedulable_ids]
 
     def writable(self, machine_id: str) -> MachineView:
-        """Returns a copy of the machine's view that this cycle may change, made at its first call."""
+        """Returns this cycle's own copy of the machine's view, made at the first call for the machine."""
         machine = self.machines[machine_id]
         if machine_id not in self.copied_machine_ids:
             machine = self.machines[machine_id] = machine.copy()
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -15,8 +15,8 @@
 
 # Weight of the newest observation in an exponential moving average.
 MOVING_MEAN_WEIGHT = 0.2
-# Tasks, one per machine, that headroom is kept for in a class with a start objective and no job yet: its first gangs
-# can then start while more machines boot.
+# Number of tasks, one per machine, that headroom is kept for in a class with a start objective and no job yet: its
+# first gangs can then start while more machines boot.
 UNSEEN_CLASS_TASKS = 3
 # A class counts as ended after no submission for this many of its mean interarrival times.
 ENDED_AFTER_INTERARRIVALS = 4.0
@@ -120,8 +120,8 @@
     def headroom(self, gang: bool, settings: OperatorSettings, include_unseen: bool = False) -> list[ExpectedTasks]:
         """Returns expected tasks of the classes that cannot wait for a machine to boot, the highest rank first.
 
-        `gang` selects classes of gangs or of other jobs. `include_unseen` adds the classes with a start objective of
-        which no job was submitted yet.
+        `gang` selects classes of gangs or of other jobs. `include_unseen` adds the classes with a start objective that
+        have had no job yet.
         """
         now = self._wall_clock()
         expected_tasks = [
@@ -178,7 +178,7 @@
     def _burst_factor(self, statistics: ClassStatistics) -> float:
         """Returns the factor, at least 1, by which headroom grows for a class with many arrivals per boot time.
 
-        The number of arrivals in a boot time varies by its square root.
+        The number of arrivals in a boot time varies by about its square root, and the factor grows with that root.
         """
         boot_s = shortest_boot_s(statistics.spec, self._types().values())
         return max(
@@ -187,10 +187,11 @@
         )
 
     def _slack_s(self, spec: JobSpec) -> float:
-        """Returns for how many seconds a new job like this can wait before a machine must be provisioned for it.
+        """Returns the seconds that a new job with this specification can wait before a machine must be provisioned.
 
-        Negative if it would be late even on a machine provisioned at its submission. Without a deadline or objective
-        on completion, the time in which a new machine becomes ready; 0 if no machine type fits.
+        The result is negative if the job would be late even on a machine provisioned at its submission. For a job
+        without a deadline or an objective on completion, it is the time in which a new machine becomes ready. It is 0
+        if no machine type fits.
         """
         machine_types = [machine_type for machine_type in self._types().values() if fits_type(spec, machine_type)]
         if not machine_types:
