--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -125,7 +125,7 @@
     def check_stop_job(self, job_id: str) -> Refusal | None:
         """Checks stops of a job's tasks; a job known only from heartbeats is left to operators.
 
-        The lease is not checked, because stops are harmless even under an old token.
+        The lease is not checked here, because stops are harmless even under an old token.
         """
         return Refusal.AWAITS_OPERATOR if self._jobs.awaits_operator(job_id) else None
 
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -75,7 +75,7 @@
 
 
 def _assign_machines(job: PendingJob, cycle: SchedulingCycle, machines: list[MachineView]) -> GangAssignment:
-    """Returns machines for as many of the gang's tasks as fit; adds the tasks to the snapshot and removes them again."""
+    """Returns machines for as many of the gang's tasks as fit. Adds the tasks to the snapshot and removes them."""
     spec = job.spec
     candidates = CandidateMachines(job, cycle, machines)
     placements: list[tuple[TaskAssignment, RunningTask]] = []
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -117,7 +117,7 @@
         with self._cluster.lock:
             self._heartbeats.process(reply.heartbeat)
         if not reply.executed and (batch.epoch, batch.token) != (machine.epoch, machine.token):
-            self.send(machine)  # refused for an old epoch or token, which the heartbeat has updated
+            self.send(machine)  # refused for a wrong epoch or token, which the heartbeat has corrected
         elif self._planner.due_starts(machine) or _has_unsent_stop(machine):
             self._clock.callLater(RETRY_PAUSE_HEARTBEATS * self._settings.heartbeat_s, self.send, machine)
         self._after_heartbeat()
