--- a/stileloft/controller/clients.py
+++ b/stileloft/controller/clients.py
@@ -54,8 +54,8 @@
         messages.encode,
         messages.decode,
         CBOR,
-        per_host=CONNECTIONS_TO_SERVICES,
-        connect_s=CONNECT_TIMEOUT_S,
+        max_idle_per_host=CONNECTIONS_TO_SERVICES,
+        connect_timeout_s=CONNECT_TIMEOUT_S,
         idle_s=IDLE_S,
     )
     workers = connect(
@@ -63,12 +63,14 @@
         messages.encode,
         messages.decode,
         CBOR,
-        per_host=1,
-        connect_s=WORKER_CONNECT_TIMEOUT_S,
+        max_idle_per_host=1,
+        connect_timeout_s=WORKER_CONNECT_TIMEOUT_S,
         idle_s=IDLE_S,
-        keep=keep_worker_connection,
+        keep_alive=keep_worker_connection,
+    )
+    peers = connect(
+        clock, orjson.dumps, orjson.loads, JSON, max_idle_per_host=1, connect_timeout_s=PEER_TIMEOUT_S, idle_s=IDLE_S
     )
-    peers = connect(clock, orjson.dumps, orjson.loads, JSON, per_host=1, connect_s=PEER_TIMEOUT_S, idle_s=IDLE_S)
     return Clients(
         state=StateClient(clock, services, external.state, STATE_TIMEOUT_S),
         cloud=CloudClient(
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -190,7 +190,11 @@
         self._listen(
             self.settings.listen,
             Router(
-                public.match, messages.encode, messages.decode, "application/cbor", keep=self.keep_request_connection
+                public.match,
+                messages.encode,
+                messages.decode,
+                "application/cbor",
+                keep_alive=self.keep_request_connection,
             ),
         )
         admin = AdminResources(self.administration)
--- a/stileloft/transport/client.py
+++ b/stileloft/transport/client.py
@@ -69,13 +69,13 @@
 class _NumericEndpoints:
     """Connects by IP address: all hosts are named so, and Twisted's name lookup costs half of a request."""
 
-    def __init__(self, reactor: Any, connect_s: float) -> None:
+    def __init__(self, reactor: Any, connect_timeout_s: float) -> None:
         self._reactor = reactor
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
         """The endpoint of a URL whose host is an IP address."""
-        return TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, timeout=self._connect_s)
+        return TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, timeout=self._connect_timeout_s)
 
 
 @dataclass(slots=True)
@@ -90,9 +90,9 @@
 class Client:
     """Requests with bodies in one encoding, over persistent connections.
 
-    `media` is the bodies' content type. At most `per_host` idle connections are kept for each host, for `idle_s`;
-    a connection attempt takes at most `connect_s`. Before each request `keep` tells whether its connection is to be
-    kept at all.
+    `content_type` is the type of all bodies. The pool holds at most `max_idle_per_host` idle connections per host, each for
+    at most `idle_s`. `keep_alive` is called before each request; if it returns False, the connection is closed after
+    the reply.
     """
 
     def __init__(
@@ -100,25 +100,25 @@
         reactor: Any,
         encode: Callable[[Any], bytes],
         decode: Callable[[bytes], Any],
-        media: bytes,
-        per_host: int,
-        connect_s: float,
+        content_type: bytes,
+        max_idle_per_host: int,
+        connect_timeout_s: float,
         idle_s: float,
-        keep: Callable[[], bool] = lambda: True,
+        keep_alive: Callable[[], bool] = lambda: True,
     ) -> None:
         self._clock: Clock = reactor
         self._encode = encode
         self._decode = decode
-        self._headers_with_body = Headers({b"Content-Type": [media]})
+        self._headers_with_body = Headers({b"Content-Type": [content_type]})
         self._headers = Headers({})
         pool = HTTPConnectionPool(reactor, persistent=True)
-        pool.maxPersistentPerHost = per_host
+        pool.maxPersistentPerHost = max_idle_per_host
         pool.cachedConnectionTimeout = round(idle_s)
         # Only the caller knows whether its request is idempotent.
         pool.retryAutomatically = False
         self._pool = pool
-        self._keep = keep
-        self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor, connect_s), pool=pool)
+        self._keep_alive = keep_alive
+        self._agent = Agent.usingEndpointFactory(reactor, _NumericEndpoints(reactor, connect_timeout_s), pool=pool)
 
     async def request(
         self,
@@ -155,7 +155,7 @@
         producer = _RequestBody(self._encode(body), is_wanted) if body is not None else None
         headers = self._headers_with_body if producer is not None else self._headers
         # A connection that is not kept is closed with its reply.
-        self._pool.persistent = self._keep()
+        self._pool.persistent = self._keep_alive()
         try:
             return await self._within(timeout_s, self._agent.request(method.encode(), url, headers, producer))
         except (error.ConnectError, error.ConnectingCancelledError) as failure:
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -71,8 +71,8 @@
 class Router(resource.Resource):
     """Finds the handler for a request; handlers see decoded bodies only.
 
-    `match` finds the route of a path, None if there is no such path. `media` is the content type of all bodies. `keep`
-    tells for a path whether the connection is kept after the response.
+    `match` returns the route of a path, or None for an unknown path. `content_type` is the type of all bodies.
+    `keep_alive` returns whether the connection is kept open after a response to the path.
     """
 
     isLeaf = True
@@ -82,15 +82,15 @@
         match: Callable[[str], Route | None],
         encode: Callable[[Any], bytes],
         decode: Callable[[bytes], Any],
-        media: str,
-        keep: Callable[[str], bool] = lambda _path: True,
+        content_type: str,
+        keep_alive: Callable[[str], bool] = lambda _path: True,
     ) -> None:
         super().__init__()
         self._match = match
         self._encode = encode
         self._decode = decode
-        self._media = media
-        self._keep = keep
+        self._content_type = content_type
+        self._keep_alive = keep_alive
 
     def render(self, request: server.Request) -> int:
         """Has a request answered, now or later."""
@@ -155,12 +155,12 @@
     def _send(self, request: server.Request, answer: Response) -> None:
         request.setResponseCode(int(answer.status))
         data = b"" if answer.body is None else self._encode(answer.body)
-        request.setHeader(b"content-type", self._media)
+        request.setHeader(b"content-type", self._content_type)
         request.setHeader(b"content-length", str(len(data)))
         for name, value in answer.headers.items():
             request.setHeader(name.encode(), value.encode())
         channel: Any = request.channel
-        if channel is not None and not self._keep(_path_of(request)):
+        if channel is not None and not self._keep_alive(_path_of(request)):
             request.setHeader(b"connection", b"close")
             channel.persistent = False
         if data and request.method != b"HEAD":
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -149,7 +149,13 @@
         self.public = {name: f"{LOCAL}:{ports[2 * n]}" for n, name in enumerate(self.names)}
         self.peers = {name: f"{LOCAL}:{ports[2 * n + 1]}" for n, name in enumerate(self.names)}
         self.client = Client(
-            reactor, messages.encode, messages.decode, b"application/cbor", per_host=20, connect_s=1.0, idle_s=30.0
+            reactor,
+            messages.encode,
+            messages.decode,
+            b"application/cbor",
+            max_idle_per_host=20,
+            connect_timeout_s=1.0,
+            idle_s=30.0,
         )
         self.value_kb = 4.0
         self.most_sockets, self.sessions_lost = 10_000, 0
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -36,10 +36,13 @@
         name: str,
         process: int,
         idle_s: float = 60.0,
-        keep: Callable[[], bool] = lambda: True,
+        keep_alive: Callable[[], bool] = lambda: True,
+        keep: Callable[[], bool] | None = None,
         **_: Any,
     ) -> None:
-        self.world, self.name, self.process, self.idle_s, self.keep = world, name, process, idle_s, keep
+        # Earlier versions name the argument `keep`.
+        self.keep_alive = keep_alive if keep is None else keep
+        self.world, self.name, self.process, self.idle_s = world, name, process, idle_s
 
     async def request(  # noqa: C901 - one case a target
         self,
@@ -77,7 +80,7 @@
 
         if not is_wanted():
             raise version.connection_failed("withdrawn before it was sent")
-        keep = self.keep()
+        keep_alive = self.keep_alive()
         connections = world.connections[self.name]
         connections[address] = math.inf
         held = world.held_for(target, sent) if target in world.every_machine else (0.0, 0.0)
@@ -94,7 +97,7 @@
         finally:
             if timer.active():
                 timer.cancel()
-            connections[address] = world.now + self.idle_s if keep else 0.0
+            connections[address] = world.now + self.idle_s if keep_alive else 0.0
         if world.processes[self.name] != self.process:
             await defer.Deferred()
         body_back = messages.decode(messages.encode(reply.body)) if reply.body is not None else None
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -116,7 +116,9 @@
         self.ended_by_us: set[str] = set()
         self.troubled_until = 0.0
         self.links = Links(reactor, lambda: self.now, random.Random(f"links {plan.seed}"))
-        self.raw = Client(reactor, bytes, bytes, b"application/json", per_host=8, connect_s=1.0, idle_s=30.0)
+        self.raw = Client(
+            reactor, bytes, bytes, b"application/json", max_idle_per_host=8, connect_timeout_s=1.0, idle_s=30.0
+        )
         self._ports: dict[tuple[str, str], int] = {}
         super().__init__(argparse.Namespace(seed=plan.seed, without=not plan.rebuild, logs=False))
         self.cloud = self._make_cloud()
