--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -226,9 +226,9 @@
     def keep_request_connection(self, path: str) -> bool:
         """Whether a connection on which something was asked here is kept once that is answered."""
         if path != HEARTBEAT_PATH:
-            return self.sockets.keeps_users()
+            return self.sockets.keeps_user_connections()
         # Workers leave a controller that does not lead by themselves.
-        return self.leader is None or self.sockets.keeps_heartbeats(len(self.leader.cluster.machines))
+        return self.leader is None or self.sockets.keeps_heartbeat_connections(len(self.leader.cluster.machines))
 
     def keep_worker_connection(self) -> bool:
         """Whether a connection to a worker is kept once its request is answered."""
@@ -238,7 +238,7 @@
             is_claiming = leading_s < CLAIMING_LEASES * deployment.workers.lease_s
             if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
                 return False  # the sockets will be wanted by the workers themselves
-        return self.sockets.keeps_commands()
+        return self.sockets.keeps_worker_connections()
 
     # -- leadership ---------------------------------------------------------------------
 
--- a/stileloft/transport/sockets.py
+++ b/stileloft/transport/sockets.py
@@ -55,15 +55,15 @@
             self._refreshed_at, self._share = now, self._count() / self._max_sockets
         return self._share
 
-    def keeps_commands(self) -> bool:
+    def keeps_worker_connections(self) -> bool:
         """Whether connections to workers are kept for the next commands."""
         return self.share() < KEEP_COMMANDS_SHARE
 
-    def keeps_users(self) -> bool:
+    def keeps_user_connections(self) -> bool:
         """Whether connections of users are kept for their next requests."""
         return self.share() < KEEP_USERS_SHARE
 
-    def keeps_heartbeats(self, workers: int) -> bool:
+    def keeps_heartbeat_connections(self, workers: int) -> bool:
         """Whether the connections on which so many workers send heartbeats are kept.
 
         All or none: where some were kept until the limit is near, they would hold it, and the other workers would be
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -38,7 +38,7 @@
 def test_no_lease_runs_out_with_far_fewer_sockets_than_machines(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """With `keeps`, workers' connections stay open as in small fleets; others are refused, and lose their leases."""
     if keeps:
-        monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
+        monkeypatch.setattr(SocketUsage, "keeps_heartbeat_connections", lambda *_: True)
     world = FleetWorld(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
         world.run(1.5 * world.LEASE_S)
--- a/tests/test_public_api.py
+++ b/tests/test_public_api.py
@@ -103,14 +103,14 @@
     sockets = SocketUsage(clock, lambda: open_now[0], 1000)
 
     def keep(path: str) -> bool:
-        return path == HEARTBEAT_PATH or sockets.keeps_users()
+        return path == HEARTBEAT_PATH or sockets.keeps_user_connections()
 
     poll = b"GET /v2/runs/j-1 HTTP/1.1\r\nHost: x\r\n\r\n"
     report = b"POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n\xa0"
     for count, commands, users in ((0, True, True), (750, False, True), (900, False, False)):
         open_now[0] = count
         clock.advance(1.0)
-        assert (sockets.keeps_commands(), sockets.keeps_users()) == (commands, users)
+        assert (sockets.keeps_worker_connections(), sockets.keeps_user_connections()) == (commands, users)
         status, headers, body = exchange(poll, keep)
         assert status == 200
         assert messages.decode(body)["phase"] == "running"
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -115,7 +115,7 @@
     """
     machines = 942
     if keeps:
-        monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
+        monkeypatch.setattr(SocketUsage, "keeps_worker_connections", lambda _: True)
     world = LargeWorld(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
         machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
