--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -27,7 +27,7 @@
 """After an answer with news the next watch begins this part of a watch later."""
 SETTLE_RETRY_S = 0.25
 """How soon it is checked again whether an ended job has no transaction in flight any more, in seconds."""
-RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError), retry_s=0.2, defect_s=0.5)
+RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError), retry_s=0.2, unexpected_retry_s=0.5)
 
 
 class JobWatch:
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -121,7 +121,7 @@
         policy = RetryPolicy(
             (UnavailableError, UnknownOutcomeError, CompactedError),
             retry_s=self.lease_s / CAMPAIGNS_PER_LEASE,
-            defect_s=self.lease_s / RENEWALS_PER_LEASE,
+            unexpected_retry_s=self.lease_s / RENEWALS_PER_LEASE,
         )
         await repeat("election", self._step, policy, self._clock)
 
--- a/stileloft/transport/retry.py
+++ b/stileloft/transport/retry.py
@@ -14,11 +14,11 @@
 class RetryPolicy:
     """How a loop goes on after a step that failed."""
 
-    expected: tuple[type[Exception], ...]
+    expected_errors: tuple[type[Exception], ...]
     """Errors of a dependency that is down or overloaded; they are logged in a line."""
     retry_s: float
     """Pause after an expected error, in seconds."""
-    defect_s: float
+    unexpected_retry_s: float
     """Pause after any other error, which is logged with its traceback, in seconds."""
     level: int = logging.DEBUG
     """Level at which expected errors are logged."""
@@ -38,9 +38,9 @@
     while is_active():
         try:
             await step()
-        except policy.expected as error:
+        except policy.expected_errors as error:
             log.log(policy.level, "%s failed, retrying in %.2f s: %s", name, policy.retry_s, error)
             await sleep(clock, policy.retry_s)
         except Exception:
             log.exception("%s failed", name)
-            await sleep(clock, policy.defect_s)
+            await sleep(clock, policy.unexpected_retry_s)
