--- a/stileloft/controller/budgets.py
+++ b/stileloft/controller/budgets.py
@@ -28,7 +28,7 @@
         """The budgets that follow from the deployment's limits."""
         # One controller may be down at any time, and the others then get its users.
         sharing = max(1, max(1, deployment.size) - 1)
-        least = deployment.state.least()
+        least = deployment.state.strictest()
         return cls(
             user_reads=TokenBucket(clock, least.rps * USER_READS_PART / sharing),
             user_writes=TokenBucket(
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -107,7 +107,7 @@
         teams = {team.name: team for team in deployment.teams}
         self.admission = Admission(
             UserStore(self.clients.state, self.integrity, self.budgets.user_reads, self.budgets.user_writes),
-            FeasibilityCheck(teams, self.catalog, deployment.state.least().value_bytes),
+            FeasibilityCheck(teams, self.catalog, deployment.state.strictest().value_bytes),
             self.record_format,
             self.reactor,
             self.wall_clock,
--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -88,7 +88,7 @@
     next: UpcomingLimits = UpcomingLimits()
     """They come into force at some moment without notice, so they are kept from the start."""
 
-    def least(self) -> "State":
+    def strictest(self) -> "State":
         """The smaller of the present limits and the upcoming ones."""
         upcoming = self.next
         return State(
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -16,7 +16,7 @@
     """Limits of a transaction and of a value: the lowest announced, or lower after a refusal."""
 
     def __init__(self, state: State) -> None:
-        least = state.least()
+        least = state.strictest()
         self.max_changes = least.txn_ops
         self.max_value_bytes = least.value_bytes
 
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -25,7 +25,7 @@
         """The version of the record that says so; 0 before there is one."""
         self.legacy_chunk_size = records.chunk_size(limits.value_kb)
         """Tasks per chunk of the jobs whose records don't say."""
-        self.chunk_size = records.recorded_chunk_size(limits.least().value_bytes)
+        self.chunk_size = records.recorded_chunk_size(limits.strictest().value_bytes)
         """Tasks per chunk of new jobs, once their records may say so."""
         self.on_advance: Callable[[], None] = lambda: None
         """Called after the format has advanced."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -284,7 +284,12 @@
 
 def test_limits_are_the_least_known_and_go_down_when_refused() -> None:
     state = parse(World(1, coming=LOWER_LIMITS).settings("node-0")).deployment.state
-    assert (state.least().txn_ops, state.least().value_bytes, state.least().write_rps, state.least().rps) == (
+    assert (
+        state.strictest().txn_ops,
+        state.strictest().value_bytes,
+        state.strictest().write_rps,
+        state.strictest().rps,
+    ) == (
         4,
         2048,
         45.0,
