--- a/stileloft/protocol/admin.py
+++ b/stileloft/protocol/admin.py
@@ -15,7 +15,7 @@
     TemporarilyUnavailableError,
 )
 from stileloft.protocol.peers import VIEW_PATH, PeerView
-from stileloft.protocol.rebuild_admin import RebuildAdministered, RebuildResources
+from stileloft.protocol.rebuild_admin import RebuildBackend, RebuildResources
 from stileloft.transport.server import Arguments, Response, Route, retry_later
 
 STATUS_PATH = "/status"
@@ -72,7 +72,7 @@
     return SettingsChange(settings, body["version"])
 
 
-class Administered(RebuildAdministered, Protocol):
+class AdminBackend(RebuildBackend, Protocol):
     """What a controller tells its operators, and takes from them."""
 
     def status(self) -> dict[str, Any]:
@@ -94,7 +94,7 @@
 class AdminResources:
     """Routes of the peer address: those of the administration API, and what other controllers ask."""
 
-    def __init__(self, controller: Administered) -> None:
+    def __init__(self, controller: AdminBackend) -> None:
         self._controller = controller
         self._rebuild = RebuildResources(controller)
 
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -21,7 +21,7 @@
 NO_UNRESOLVED_TASKS = Response(404, {"error": "the job has no undecided tasks"})
 
 
-class RebuildAdministered(Protocol):
+class RebuildBackend(Protocol):
     """The part of a controller that these routes need."""
 
     def snapshot_piece(self, number: int) -> bytes | None:
@@ -66,7 +66,7 @@
 class RebuildResources:
     """Routes of the feature."""
 
-    def __init__(self, controller: RebuildAdministered) -> None:
+    def __init__(self, controller: RebuildBackend) -> None:
         self._controller = controller
 
     def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
