--- a/stileloft/jobs/shared_scan.py
+++ b/stileloft/jobs/shared_scan.py
@@ -6,7 +6,7 @@
 
 from stileloft.jobs.user_store import UserStore
 from stileloft.model import records
-from stileloft.protocol.state import PAGE
+from stileloft.protocol.state import PAGE_SIZE
 from stileloft.transport.clock import Clock
 
 GATHER_S = 0.25
@@ -36,7 +36,7 @@
         try:
             self._store.take_reads()
             items, _ = await self._store.client.scan(records.ACTIVE)
-            self._store.read_budget.overdraw(len(items) // PAGE)
+            self._store.read_budget.overdraw(len(items) // PAGE_SIZE)
         except Exception as error:
             for each in waiting:
                 each.errback(error)
--- a/stileloft/protocol/state.py
+++ b/stileloft/protocol/state.py
@@ -8,7 +8,7 @@
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 from stileloft.transport.clock import Clock
 
-PAGE = 1000
+PAGE_SIZE = 1000
 """Items that the service gives in one reply."""
 
 
@@ -104,10 +104,10 @@
         """The highest that was seen, while a store that goes back is watched for."""
         self._resets = 0
         """How often revisions were forgotten."""
-        self.on_regress: Callable[[int, int], None] | None = None
+        self.on_revision_regression: Callable[[int, int], None] | None = None
         """Called when the store answers with a lower revision than it had when it was asked: both are given."""
 
-    def forget_revisions(self) -> None:
+    def reset_revisions(self) -> None:
         """The store begins again where it is now: requests still under way were made to another one."""
         self.highest_revision = 0
         self._resets += 1
@@ -117,7 +117,7 @@
 
         The reply about a single key does not tell the revision, that about a range of keys does.
         """
-        if self.on_regress is not None:
+        if self.on_revision_regression is not None:
             return (await self.lookup_at(key))[0]
         found = await self.get(key)
         return None if found is None else VersionedValue(found.value, found.version)
@@ -142,7 +142,7 @@
             return None
         return LeasedValue(reply.body["v"], reply.body["stamp"], reply.body.get("hold"))
 
-    async def scan(self, prefix: str, limit: int = PAGE) -> tuple[list[Item], int]:
+    async def scan(self, prefix: str, limit: int = PAGE_SIZE) -> tuple[list[Item], int]:
         """All items under a prefix, and the revision of the first page."""
         items: list[Item] = []
         revision: int | None = None
@@ -234,7 +234,7 @@
         if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
             raise UnavailableError("status 503", **self._context(method, path, reply.status))
         self.served_at = self._clock.seconds()
-        if self.on_regress is not None and isinstance(reply.body, dict) and "epoch" in reply.body:
+        if self.on_revision_regression is not None and isinstance(reply.body, dict) and "epoch" in reply.body:
             if resets != self._resets:
                 raise StoreLostError("it was asked before the store was found to be lost")
             self._check_revision(known, reply.body["epoch"])
@@ -252,8 +252,8 @@
         A consistent store never answers so.
         """
         if revision < known:
-            if self.on_regress is not None:
-                self.on_regress(known, revision)
+            if self.on_revision_regression is not None:
+                self.on_revision_regression(known, revision)
             raise StoreLostError(f"the store has gone back from revision {known} to {revision}")
         self.highest_revision = max(self.highest_revision, revision)
 
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -49,7 +49,7 @@
         self.reason = ""
         """Why the store counts as lost."""
         self._revision_at_loss = 0
-        state.on_regress = self._on_revision_regress
+        state.on_revision_regression = self._on_revision_regress
 
     @property
     def deployment(self) -> str:
@@ -92,7 +92,7 @@
             self.lost_at = self._clock.seconds()
         # Its revisions are compared with those of before no longer.
         self._revision_at_loss = self._state.highest_revision
-        self._state.forget_revisions()
+        self._state.reset_revisions()
 
     def mark_unprotected(self) -> None:
         """The store has no identity, and may be trusted all the same."""
@@ -132,7 +132,7 @@
         if known is not None and known.generation != present.generation:
             self._forget_record_versions()
             # What is still under way was asked of the store that was lost.
-            self._state.forget_revisions()
+            self._state.reset_revisions()
         self.identity, self.identity_version = present, version
         self.phase = StorePhase.REBUILDING if present.rebuilding else StorePhase.SOUND
         if known is None and before is StorePhase.UNPROTECTED:
--- a/tests/test_rebuild_identity.py
+++ b/tests/test_rebuild_identity.py
@@ -72,8 +72,8 @@
 def test_an_older_state_of_the_same_store_stays_lost_until_it_is_rebuilt() -> None:
     store = sound_store()
     store.state.highest_revision = 50
-    assert store.state.on_regress is not None
-    store.state.on_regress(50, 30)
+    assert store.state.on_revision_regression is not None
+    store.state.on_revision_regression(50, 30)
     assert store.status.phase is StorePhase.LOST
     assert store.status.guards() == {}
     assert store.find(KNOWN, revision=30) is StorePhase.LOST
