--- a/stileloft/transport/client.py
+++ b/stileloft/transport/client.py
@@ -90,9 +90,9 @@
 class Client:
     """Requests with bodies in one encoding, over persistent connections.
 
-    `content_type` is the type of all bodies. The pool holds at most `max_idle_per_host` idle connections per host, each for
-    at most `idle_s`. `keep_alive` is called before each request; if it returns False, the connection is closed after
-    the reply.
+    `content_type` is the type of all bodies. The pool holds at most `max_idle_per_host` idle connections per host, each
+    for at most `idle_s`. `keep_alive` is called before each request; if it returns False, the connection is closed
+    after the reply.
     """
 
     def __init__(
