--- a/stileloft/controller/budgets.py
+++ b/stileloft/controller/budgets.py
@@ -28,7 +28,7 @@
         """Returns the budgets for a deployment's limits."""
         # One controller may be down at any time; the others then serve its users.
         sharing_controllers = max(1, max(1, deployment.size) - 1)
-        limits = deployment.state.least()
+        limits = deployment.state.strictest()
         return cls(
             user_reads=TokenBucket(clock, limits.rps * USER_READS_FRACTION / sharing_controllers),
             user_writes=TokenBucket(
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -107,7 +107,7 @@
         teams = {team.name: team for team in deployment.teams}
         self.admission = Admission(
             UserStore(self.clients.state, self.integrity, self.budgets.user_reads, self.budgets.user_writes),
-            FeasibilityCheck(teams, self.catalog, deployment.state.least().value_bytes),
+            FeasibilityCheck(teams, self.catalog, deployment.state.strictest().value_bytes),
             self.record_format,
             self.reactor,
             self.wall_clock,
@@ -190,7 +190,11 @@
         self._listen(
             self.settings.listen,
             Router(
-                public.match, messages.encode, messages.decode, "application/cbor", keep=self.keep_request_connection
+                public.match,
+                messages.encode,
+                messages.decode,
+                "application/cbor",
+                keep_alive=self.keep_request_connection,
             ),
         )
         admin = AdminResources(self.administration)
@@ -223,9 +227,9 @@
     def keep_request_connection(self, path: str) -> bool:
         """Whether an incoming connection is kept open after a request to `path` is answered."""
         if path != HEARTBEAT_PATH:
-            return self.sockets.keeps_users()
+            return self.sockets.keeps_user_connections()
         # Workers themselves disconnect from a controller that does not lead.
-        return self.leader is None or self.sockets.keeps_heartbeats(len(self.leader.cluster.machines))
+        return self.leader is None or self.sockets.keeps_heartbeat_connections(len(self.leader.cluster.machines))
 
     def keep_worker_connection(self) -> bool:
         """Whether a connection to a worker is kept open after its request is answered."""
@@ -235,7 +239,7 @@
             is_claiming = leading_s < CLAIMING_LEASES * deployment.workers.lease_s
             if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
                 return False  # the workers' own connections will need the sockets
-        return self.sockets.keeps_commands()
+        return self.sockets.keeps_worker_connections()
 
     # -- leadership ---------------------------------------------------------------------
 
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -27,7 +27,7 @@
 """Pause between an answer with changes and the next watch, as a fraction of a watch."""
 SETTLE_RETRY_S = 0.25
 """Interval between checks whether an ended job still has a transaction in flight, in seconds."""
-RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError), retry_s=0.2, defect_s=0.5)
+RETRY = RetryPolicy((UnavailableError, UnknownOutcomeError), retry_s=0.2, unexpected_retry_s=0.5)
 
 
 class JobWatch:
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -49,7 +49,7 @@
         self.reason = ""
         """Why the store was marked as lost; empty once it is sound again."""
         self._revision_at_loss = 0
-        state.on_regress = self._on_revision_regress
+        state.on_revision_regression = self._on_revision_regress
 
     @property
     def deployment(self) -> str:
@@ -92,7 +92,7 @@
             self.lost_at = self._clock.seconds()
         # Revisions from before the loss no longer count as a lower bound.
         self._revision_at_loss = self._state.highest_revision
-        self._state.forget_revisions()
+        self._state.reset_revisions()
 
     def mark_unprotected(self) -> None:
         """Marks the store as trusted although it has no identity."""
@@ -139,7 +139,7 @@
         if previous is not None and previous.generation != current.generation:
             self._forget_record_versions()
             # Pending requests were made to the previous generation of the store; their replies must not be used.
-            self._state.forget_revisions()
+            self._state.reset_revisions()
         self.identity, self.identity_version = current, version
         self.phase = StorePhase.REBUILDING if current.rebuilding else StorePhase.SOUND
         if previous is None and previous_phase is StorePhase.UNPROTECTED:
--- a/stileloft/store/limits.py
+++ b/stileloft/store/limits.py
@@ -16,7 +16,7 @@
     """Limits of a transaction and of a value: the lowest that are announced, lowered further after a refusal."""
 
     def __init__(self, state: State) -> None:
-        announced = state.least()
+        announced = state.strictest()
         self.max_changes = announced.txn_ops
         self.max_value_bytes = announced.value_bytes
 
