--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from stileloft.leadership.invariants import InvariantMonitor
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import Hold
-from tests.simulation.world import World
 
-Fault = Callable[[World], None]
+Fault = Callable[[SimulatedCluster], None]
 LONG_JOBS, SMALL_JOBS = 9, 4
 FIRST_SMALL = 100
 """Number of the first small job."""
@@ -23,7 +23,7 @@
 """The small jobs are cancelled so long after their submission, in seconds."""
 WATCHED_S = 115.0
 """The day ends so long after their submission, in seconds."""
-OUTAGE_S = World.CANCEL_S + 15.0
+OUTAGE_S = SimulatedCluster.CANCEL_S + 15.0
 
 
 @dataclass(frozen=True)
@@ -32,7 +32,7 @@
 
     faults: tuple[tuple[float, Fault], ...] = ()
     """Seconds after the small jobs are submitted, and what happens then."""
-    hold: Callable[[World], Hold] = lambda world: Hold(world.now + 6.0, 45.0, 80.0, verb="launch")
+    hold: Callable[[SimulatedCluster], Hold] = lambda cluster: Hold(cluster.now + 6.0, 45.0, 80.0, verb="launch")
     small: dict[str, Any] = field(default_factory=dict)
     """What the small jobs have instead of the usual."""
     loses_tasks: bool = False
@@ -52,118 +52,118 @@
     long_tasks_lost: int
 
 
-def busy_world(seed: int, **options: Any) -> World:
+def busy_cluster(seed: int, **options: Any) -> SimulatedCluster:
     """Machines with long tasks, which must not be lost with what happens to others."""
-    world = World(seed=seed, loss=0.0, **options)
+    cluster = SimulatedCluster(seed=seed, loss=0.0, **options)
     for number in range(LONG_JOBS):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 0.5 * number,
-            world.submit,
-            world.job(number, pieces=3, vcpus=3.0, guessS=600.0, crew=("core", "edge")[number % 2]),
+            cluster.submit,
+            cluster.job(number, pieces=3, vcpus=3.0, guessS=600.0, crew=("core", "edge")[number % 2]),
         )
-    world.run(40)
-    assert len(world.rules.where) > 15
-    return world
+    cluster.run(40)
+    assert len(cluster.rules.where) > 15
+    return cluster
 
 
-def submit_small_jobs(world: World, changes: dict[str, Any] | None = None) -> list[str]:
+def submit_small_jobs(cluster: SimulatedCluster, changes: dict[str, Any] | None = None) -> list[str]:
     """Jobs of two small tasks that find room beside the long ones."""
     usual: dict[str, Any] = {"pieces": 2, "vcpus": 0.5, "memGb": 0.5, "guessS": 200.0} | (changes or {})
-    jobs = [world.job(FIRST_SMALL + number, **usual) for number in range(SMALL_JOBS)]
+    jobs = [cluster.job(FIRST_SMALL + number, **usual) for number in range(SMALL_JOBS)]
     for job in jobs:
-        world.submit(job)
+        cluster.submit(job)
     return [job["nameId"] for job in jobs]
 
 
-def hold_and_cancel(world: World, least_s: float = 45.0, most_s: float = 60.0) -> list[str]:
+def hold_and_cancel(cluster: SimulatedCluster, least_s: float = 45.0, most_s: float = 60.0) -> list[str]:
     """Small jobs whose starts are held, and which are then cancelled."""
-    world.holds.append(Hold(world.now + 6.0, least_s, most_s, verb="launch"))
-    jobs = submit_small_jobs(world)
-    world.run(CANCEL_AT_S)
+    cluster.holds.append(Hold(cluster.now + 6.0, least_s, most_s, verb="launch"))
+    jobs = submit_small_jobs(cluster)
+    cluster.run(CANCEL_AT_S)
     for job in jobs:
-        world.cancel(job)
+        cluster.cancel(job)
     return jobs
 
 
-def run_watched(world: World, seconds: float) -> None:
+def run_watched(cluster: SimulatedCluster, seconds: float) -> None:
     """Lets time pass, with an eye on what runs of cancelled jobs."""
-    end = world.now + seconds
-    while world.now < end:
-        world.run(0.25)
-        world.rules.check_cancelled()
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(0.25)
+        cluster.rules.check_cancelled()
 
 
-def play(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
+def play(scenario: Scenario, seed: int) -> tuple[SimulatedCluster, Outcome]:
     """A day with a scenario."""
-    world = busy_world(seed)
-    world.holds.append(scenario.hold(world))
+    cluster = busy_cluster(seed)
+    cluster.holds.append(scenario.hold(cluster))
     for after_s, fault in scenario.faults:
-        world.clock.callLater(after_s, fault, world)
-    jobs = submit_small_jobs(world, scenario.small)
+        cluster.clock.callLater(after_s, fault, cluster)
+    jobs = submit_small_jobs(cluster, scenario.small)
     for job in jobs:
-        world.clock.callLater(CANCEL_AT_S, world.cancel, job)
-    run_watched(world, WATCHED_S)
-    rules = world.rules
+        cluster.clock.callLater(CANCEL_AT_S, cluster.cancel, job)
+    run_watched(cluster, WATCHED_S)
+    rules = cluster.rules
     long_tasks = [f"j-{number:06d}/{index}" for number in range(LONG_JOBS) for index in range(3)]
     outcome = Outcome(
         tuple(rules.broken),
         len(rules.cancelled_at),
-        rules.longest_after_cancel_s / world.CANCEL_S,
+        rules.longest_after_cancel_s / cluster.CANCEL_S,
         rules.refused_starts["token"],
         rules.refused_starts["session"],
         sum(max(0, rules.starts_by_task.get(task, 0) - 1) for task in long_tasks),
     )
-    return world, outcome
+    return cluster, outcome
 
 
 # -- faults ------------------------------------------------------------------------------------------------------
 
 
-def end_leader(world: World) -> None:
+def end_leader(cluster: SimulatedCluster) -> None:
     """The leader's process ends."""
-    name = world.leader()
+    name = cluster.leader()
     if name is not None:
-        world.kill(name)
+        cluster.kill(name)
 
 
-def refuse_leader(world: World) -> None:
+def refuse_leader(cluster: SimulatedCluster) -> None:
     """The state service refuses the leader's requests for 14 s."""
-    name = world.leader()
+    name = cluster.leader()
     if name is not None:
-        world.state.refuses[name] = world.now + 14.0
+        cluster.state.refuses[name] = cluster.now + 14.0
 
 
-def store_out(world: World) -> None:
+def store_out(cluster: SimulatedCluster) -> None:
     """The state service is down for longer than a cancellation may take."""
-    world.state.outage(OUTAGE_S)
+    cluster.state.outage(OUTAGE_S)
 
 
-def cloud_out(world: World) -> None:
+def cloud_out(cluster: SimulatedCluster) -> None:
     """The cloud is down for 90 s."""
-    world.cloud.down_until = world.now + 90.0
+    cluster.cloud.down_until = cluster.now + 90.0
 
 
-def writes_lost(world: World) -> None:
+def writes_lost(cluster: SimulatedCluster) -> None:
     """Transactions get no answer, and are carried out later: records are read again."""
-    world.state.late_writes = world.now + 10.0, 0.4, False
+    cluster.state.late_writes = cluster.now + 10.0, 0.4, False
 
 
-def copies(world: World) -> None:
+def copies(cluster: SimulatedCluster) -> None:
     """Messages are delivered again, late."""
-    world.copies = 0.3
+    cluster.copies = 0.3
 
 
-def up(world: World) -> list[Any]:
+def up(cluster: SimulatedCluster) -> list[Any]:
     """Machines that are up."""
-    return [machine for machine in world.cloud.machines.values() if machine.up]
+    return [machine for machine in cluster.cloud.machines.values() if machine.up]
 
 
 def silent(which: str, seconds: float) -> Fault:
     """Half of the machines hear nothing (`deaf`), or reach no controller (`mute`)."""
 
-    def start(world: World) -> None:
-        for machine in up(world)[::2]:
-            getattr(world, which)[machine.name] = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in up(cluster)[::2]:
+            getattr(cluster, which)[machine.name] = cluster.now + seconds
 
     return start
 
@@ -171,15 +171,15 @@
 def hang(seconds: float) -> Fault:
     """Half of the machines stand still for so long."""
 
-    def start(world: World) -> None:
-        for machine in up(world)[::2]:
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in up(cluster)[::2]:
             machine.hung = True
 
             def go_on(machine=machine) -> None:
                 machine.hung = False
                 machine.lapse()
 
-            world.clock.callLater(seconds, go_on)
+            cluster.clock.callLater(seconds, go_on)
 
     return start
 
@@ -187,26 +187,26 @@
 def cut_off(seconds: float) -> Fault:
     """Half of the machines are cut off; what was sent meanwhile arrives at the end."""
 
-    def start(world: World) -> None:
-        for machine in up(world)[::2]:
-            for name in world.names:
-                world.cut(name, machine.name, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in up(cluster)[::2]:
+            for name in cluster.names:
+                cluster.cut(name, machine.name, seconds, hold=True)
 
     return start
 
 
-def release_machines(world: World) -> None:
+def release_machines(cluster: SimulatedCluster) -> None:
     """The leader releases a third of the machines, which the cloud does not confirm."""
-    name = world.leader()
-    leader = None if name is None else world.nodes[name].leader
+    name = cluster.leader()
+    leader = None if name is None else cluster.nodes[name].leader
     if leader is not None:
         for machine in list(leader.cluster.machines.values())[::3]:
             leader.releaser.release(machine, "an operator's wish")
 
 
-def freeze_leader(world: World) -> None:
+def freeze_leader(cluster: SimulatedCluster) -> None:
     """The leader's process stands still for 20 s."""
-    world.freeze(world.leader() or world.names[0], 20.0)
+    cluster.freeze(cluster.leader() or cluster.names[0], 20.0)
 
 
 def in_series(times: int, apart_s: float) -> Fault:
@@ -217,20 +217,20 @@
         if name is not None:
             ended.kill(name, 0.2)
 
-    ended: World
+    ended: SimulatedCluster
 
-    def start(world: World) -> None:
+    def start(cluster: SimulatedCluster) -> None:
         nonlocal ended
-        ended = world
+        ended = cluster
         for number in range(times):
-            world.clock.callLater(number * apart_s, end)
+            cluster.clock.callLater(number * apart_s, end)
 
     return start
 
 
-def hold_all(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[World], Hold]:
+def hold_all(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[SimulatedCluster], Hold]:
     """Messages sent during a spell are held for between so many seconds; `more` picks which."""
-    return lambda world: Hold(world.now + spell_s, least_s, most_s, **more)
+    return lambda cluster: Hold(cluster.now + spell_s, least_s, most_s, **more)
 
 
 SCENARIOS: dict[str, Scenario] = {
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -101,21 +101,21 @@
 class LoopbackMachine(Machine):
     """A worker with an address of its own."""
 
-    def __init__(self, world: "LoopbackCluster", *arguments: Any) -> None:
-        super().__init__(world, *arguments)
-        self.address = f"{LOCAL}:{world.listen(lambda _method, _path, body: self.command(body))}"
+    def __init__(self, cluster: "LoopbackCluster", *arguments: Any) -> None:
+        super().__init__(cluster, *arguments)
+        self.address = f"{LOCAL}:{cluster.listen(lambda _method, _path, body: self.command(body))}"
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
         return defer.ensureDeferred(self._deliver(target, body))
 
     async def _deliver(self, target: str, body: Any) -> Reply:
-        reply = await self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
+        reply = await self.cluster.client.request("POST", self.cluster.public[target], HEARTBEAT_PATH, body, 4.0)
         return Reply(reply.status, reply.body)
 
 
 class LoopbackCloud(Cloud):
     def machine(self, name: str, kind: dict, zone: str, spot: bool) -> Machine:
-        return LoopbackMachine(self.world, name, kind, zone, spot)
+        return LoopbackMachine(self.cluster, name, kind, zone, spot)
 
 
 @dataclass
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -20,7 +20,7 @@
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.server import Response, Router, make_site
 from stileloft.workers.heartbeat_responder import HeartbeatResponder
-from tests.simulation.fleet import FleetWorld
+from tests.simulation.fleet import FleetCluster
 
 REPEATS = 2000
 
@@ -73,35 +73,37 @@
 def measure_size(machines: int, costs: Costs) -> None:
     """A batch, then a change of leader, with so many machines."""
     costs.reset()
-    world = FleetWorld(1, machines)
-    world.submit_batch(12.0)
-    world.run(12)
+    cluster = FleetCluster(1, machines)
+    cluster.submit_batch(12.0)
+    cluster.run(12)
     costs.reset()
-    world.run(20)
-    print(f"{machines} machines, {sum(len(m.tasks) for m in world.every_machine.values())} tasks on them")
+    cluster.run(20)
+    print(f"{machines} machines, {sum(len(m.tasks) for m in cluster.every_machine.values())} tasks on them")
     costs.table("20 s with a batch")
     costs.reset()
-    world.kill(world.leader())
-    killed_at = world.now
+    cluster.kill(cluster.leader())
+    killed_at = cluster.now
     while True:
-        world.run(0.5)
-        name = world.leader()
-        if name is not None and world.nodes[name].leader.cluster.loaded:
+        cluster.run(0.5)
+        name = cluster.leader()
+        if name is not None and cluster.nodes[name].leader.cluster.loaded:
             known = sum(
-                1 for machine in world.nodes[name].leader.cluster.machines.values() if machine.has_current_token
+                1 for machine in cluster.nodes[name].leader.cluster.machines.values() if machine.has_current_token
             )
             if known >= machines:
                 break
-    print(f"  all machines known to the new leader {world.now - killed_at:.1f} s (simulated) after the loss of the old")
+    print(
+        f"  all machines known to the new leader {cluster.now - killed_at:.1f} s (simulated) after the loss of the old"
+    )
     costs.table("take-over")
 
 
 def measure_memory(machines: int) -> None:
     """What the leader's picture takes: all that was allocated by the program's own modules."""
     tracemalloc.start()
-    world = FleetWorld(1, machines)
-    world.submit_batch(8.0)
-    world.run(20)
+    cluster = FleetCluster(1, machines)
+    cluster.submit_batch(8.0)
+    cluster.run(20)
     own = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, "*/stileloft/*")])
     tracemalloc.stop()
     held = sum(trace.size for trace in own.traces)
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -14,7 +14,7 @@
 from stileloft.rebuild.job_outcomes import JobOutcomes
 from stileloft.rebuild.replica import Replica
 from stileloft.rebuild.snapshot import to_pieces
-from tests.simulation.fleet import FleetWorld
+from tests.simulation.fleet import FleetCluster
 
 ON = Features(rebuild=RebuildFeature(enabled=True))
 ENDED_JOBS = 20_000
@@ -51,28 +51,28 @@
 
 
 def measure_fleet(machines: int, applied: Applied, lines: RebuiltLines) -> None:
-    world = FleetWorld(1, machines, features=ON)
-    world.submit_batch(12.0)
-    world.run(12)
+    cluster = FleetCluster(1, machines, features=ON)
+    cluster.submit_batch(12.0)
+    cluster.run(12)
     applied.calls, applied.total_s = 0, 0.0
-    world.run(14)
-    tasks = sum(len(machine.tasks) for machine in world.every_machine.values())
-    rebuild = world.nodes[world.leader()].rebuild
+    cluster.run(14)
+    tasks = sum(len(machine.tasks) for machine in cluster.every_machine.values())
+    rebuild = cluster.nodes[cluster.leader()].rebuild
     pieces = to_pieces(rebuild.snapshots.snapshot())
     held = sum(len(record.data) for record in rebuild.replicas.current.records.values())
-    print(f"{machines} machines, {tasks} tasks on them, {len(world.jobs)} jobs")
+    print(f"{machines} machines, {tasks} tasks on them, {len(cluster.jobs)} jobs")
     print(f"  a snapshot: {len(pieces)} pieces, {sum(map(len, pieces))} bytes; its records {held} bytes")
     print(f"  replicas: {applied.calls} changes in 14 s on three nodes, {1000 * applied.total_s:.1f} ms in all")
-    wiped_at = world.now
+    wiped_at = cluster.now
     lines.lines.clear()
-    world.state.wipe()
-    while not lines.lines and world.now < wiped_at + LONGEST_S:
-        world.run(0.05)
-    rebuilt_s, starts = world.now - wiped_at, world.rules.starts
-    while world.rules.starts == starts and world.now < wiped_at + LONGEST_S:
-        world.run(0.05)
+    cluster.state.wipe()
+    while not lines.lines and cluster.now < wiped_at + LONGEST_S:
+        cluster.run(0.05)
+    rebuilt_s, starts = cluster.now - wiped_at, cluster.rules.starts
+    while cluster.rules.starts == starts and cluster.now < wiped_at + LONGEST_S:
+        cluster.run(0.05)
     print(f"  {lines.lines[0] if lines.lines else 'not rebuilt'}")
-    print(f"  simulated: all records after {rebuilt_s:.1f} s, the next start after {world.now - wiped_at:.1f} s")
+    print(f"  simulated: all records after {rebuilt_s:.1f} s, the next start after {cluster.now - wiped_at:.1f} s")
 
 
 def measure_outcomes() -> None:
--- a/tests/rules.py
+++ b/tests/rules.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
+    from tests.simulation.cluster import SimulatedCluster
     from tests.simulation.workers import Machine
-    from tests.simulation.world import World
 
 LIMITS = {"core": 48.0, "edge": 40.0, "guest": 64.0}
 KNOWN_S = 75.0
@@ -17,8 +17,8 @@
 
 
 class Rules:
-    def __init__(self, world: "World") -> None:
-        self.world = world
+    def __init__(self, cluster: "SimulatedCluster") -> None:
+        self.cluster = cluster
         self.where: dict[str, Machine] = {}
         self.broken: list[str] = []
         self.done: set[str] = set()
@@ -51,10 +51,10 @@
         return sum(self.starts_by_task.get(task, 0) for task in tasks)
 
     def job_of(self, task: str) -> dict[str, Any]:
-        return self.world.jobs[task.rpartition("/")[0]]
+        return self.cluster.jobs[task.rpartition("/")[0]]
 
     def break_(self, rule: str, what: str) -> None:
-        self.broken.append(f"{self.world.now:.2f} {rule}: {what}")
+        self.broken.append(f"{self.cluster.now:.2f} {rule}: {what}")
 
     def started(self, task: str, machine: "Machine", now: float) -> None:
         self.starts += 1
@@ -68,7 +68,7 @@
             self.break_("ran_twice", f"{task} is on {other.name} and starts on {machine.name}")
         job = self.job_of(task)
         at = self.cancelled_at.get(job["nameId"])
-        if at is not None and now > at + self.world.CANCEL_S:
+        if at is not None and now > at + self.cluster.CANCEL_S:
             self.break_("ran_cancelled", f"{task} starts")
         if at is not None and now > at + IN_FLIGHT_S:
             self.started_after.append(f"{now:.2f} {task}, {now - at:.1f} s after its cancellation was confirmed")
@@ -91,8 +91,8 @@
     def ended(self, task: str, machine: "Machine") -> None:
         if self.where.get(task) is machine:
             del self.where[task]
-            cancelled_at = self.cancelled_at.get(task.rpartition("/")[0], self.world.now)
-            self.longest_after_cancel_s = max(self.longest_after_cancel_s, self.world.now - cancelled_at)
+            cancelled_at = self.cancelled_at.get(task.rpartition("/")[0], self.cluster.now)
+            self.longest_after_cancel_s = max(self.longest_after_cancel_s, self.cluster.now - cancelled_at)
 
     def completed(self, task: str) -> None:
         self.done.add(task)
@@ -113,12 +113,12 @@
                 self.break_("forgotten", job)
             return
         phase, before = answer["phase"], self.last.get(job)
-        if job not in self.world.jobs:
+        if job not in self.cluster.jobs:
             self.break_("invented", job)
             return
         if job in self.impossible:
             self.break_("accepted", f"{job}, which can't run")
-        self.accepted_at.setdefault(job, self.world.now)
+        self.accepted_at.setdefault(job, self.cluster.now)
         if before in ("done", "aborted") and phase != before:
             if phase in ("done", "aborted") or self.final_at[job] < asked_at:
                 self.break_("went_back", f"{job} from {before} to {phase}")
@@ -126,17 +126,17 @@
         if phase == "aborted":
             if job not in self.cancels:
                 self.break_("went_back", f"{job} is called cancelled")
-            self.cancelled_at.setdefault(job, self.world.now)
+            self.cancelled_at.setdefault(job, self.cluster.now)
         if phase == "done":
-            missing = [i for i in range(self.world.jobs[job]["pieces"]) if f"{job}/{i}" not in self.done]
+            missing = [i for i in range(self.cluster.jobs[job]["pieces"]) if f"{job}/{i}" not in self.done]
             if missing:
                 self.break_("not_done", f"{job} lacks {missing}")
         if phase in ("done", "aborted"):
-            self.final_at.setdefault(job, self.world.now)
+            self.final_at.setdefault(job, self.cluster.now)
         self.last[job] = phase
 
     def asked(self, job: str) -> None:
-        self.unanswered.setdefault(job, self.world.now)
+        self.unanswered.setdefault(job, self.cluster.now)
 
     def answered(self, job: str) -> None:
         self.unanswered.pop(job, None)
@@ -144,21 +144,23 @@
     def check_known(self) -> None:
         """To be called now and then: once all troubles are over, each accepted job's questions are answered."""
         for job, since in self.unanswered.items():
-            if job in self.last and self.world.now - max(since, self.troubled_until) > KNOWN_S:
+            if job in self.last and self.cluster.now - max(since, self.troubled_until) > KNOWN_S:
                 self.break_("forgotten", f"no question about {job} was answered since {since:.1f}")
 
     def check_served(self) -> None:
         """To be called at the end: what was served of each class, each team, and each class's largest jobs."""
         groups: dict[str, list[str]] = {}
-        for job, body in self.world.jobs.items():
+        for job, body in self.cluster.jobs.items():
             if job not in self.cancels and job in self.last:
                 groups.setdefault(f"class {body['lane']}", []).append(job)
                 groups.setdefault(f"team {body['crew']}", []).append(job)
         for name in [name for name in groups if name.startswith("class ")]:
-            jobs = sorted(groups[name], key=lambda job: -self.world.jobs[job]["pieces"] * self.world.jobs[job]["vcpus"])
+            jobs = sorted(
+                groups[name], key=lambda job: -self.cluster.jobs[job]["pieces"] * self.cluster.jobs[job]["vcpus"]
+            )
             largest = groups[f"largest of {name}"] = jobs[: max(1, len(jobs) // 4)]
             for job in largest:
-                waited = self.begun_at.get(job, self.world.now) - self.submitted_at[job]
+                waited = self.begun_at.get(job, self.cluster.now) - self.submitted_at[job]
                 if waited > BEGUN_S:
                     self.break_("not_served", f"{job}, a large one of {name}, waited {waited:.0f} s")
         for name, jobs in groups.items():
@@ -170,7 +172,7 @@
         """To be called every few seconds: nothing waits for long beside a machine with room, once troubles are over."""
         placed = {
             task: machine
-            for machine in self.world.cloud.machines.values()
+            for machine in self.cluster.cloud.machines.values()
             for task, state in machine.tasks.items()
             if state["phase"] != "exited"
         }
@@ -181,10 +183,10 @@
         free = {
             name: machine.kind["vcpus"]
             - sum(self.job_of(task)["vcpus"] for task, on in placed.items() if on is machine)
-            for name, machine in self.world.cloud.machines.items()
+            for name, machine in self.cluster.cloud.machines.items()
             if machine.up and not machine.hung and machine.notice is None
         }
-        for name, job in self.world.jobs.items():
+        for name, job in self.cluster.jobs.items():
             tasks = [f"{name}/{i}" for i in range(job["pieces"])]
             waits = (
                 name in self.last
@@ -192,8 +194,8 @@
                 and any(task not in placed and task not in self.done for task in tasks)
             )
             if waits and job["shape"] == "array" and self._has_room(job, used, free, placed):
-                since = max(self.beside_room.setdefault(name, self.world.now), self.troubled_until)
-                if self.world.now - since > WAITING_S:
+                since = max(self.beside_room.setdefault(name, self.cluster.now), self.troubled_until)
+                if self.cluster.now - since > WAITING_S:
                     self.break_("left_waiting", f"{name} waits beside room since {since:.0f}")
             else:
                 self.beside_room.pop(name, None)
@@ -205,7 +207,7 @@
             return False
         zones = [machine.zone for task, machine in placed.items() if task.startswith(job["nameId"] + "/")]
         for name, left in free.items():
-            machine = self.world.cloud.machines[name]
+            machine = self.cluster.cloud.machines[name]
             fits = (
                 left >= job["vcpus"]
                 and (not job["builds"] or machine.kind["label"] in job["builds"])
@@ -222,5 +224,5 @@
         """To be called now and then: nothing of a cancelled job may still be on a machine."""
         for task, machine in self.where.items():
             at = self.cancelled_at.get(task.rpartition("/")[0])
-            if at is not None and self.world.now > at + self.world.CANCEL_S:
+            if at is not None and self.cluster.now > at + self.cluster.CANCEL_S:
                 self.break_("ran_cancelled", f"{task} is on {machine.name}")
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -13,7 +13,7 @@
 from tests.versions import Version
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 def ask_peer(peer: Any, version: Version, path: str, sent: Any) -> Reply:
@@ -32,14 +32,14 @@
 
     def __init__(
         self,
-        world: "World",
+        cluster: "SimulatedCluster",
         name: str,
         process: int,
         idle_s: float = 60.0,
         keep: Callable[[], bool] = lambda: True,
         **_: Any,
     ) -> None:
-        self.world, self.name, self.process, self.idle_s, self.keep = world, name, process, idle_s, keep
+        self.cluster, self.name, self.process, self.idle_s, self.keep = cluster, name, process, idle_s, keep
 
     async def request(  # noqa: C901 - one case a target
         self,
@@ -50,27 +50,27 @@
         timeout_s: float,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> Reply:
-        world = self.world
+        cluster = self.cluster
         target = {"10.9.0.1:1": "state", "10.9.0.2:1": "cloud"}.get(address, address.partition(":")[0])
         if address.endswith(":8081"):
-            target = world.names[int(address.split(":")[0].split(".")[-1])]
-        version = world.versions[self.name]
-        if world.processes[self.name] != self.process:
+            target = cluster.names[int(address.split(":")[0].split(".")[-1])]
+        version = cluster.versions[self.name]
+        if cluster.processes[self.name] != self.process:
             await defer.Deferred()  # the process is over: nothing goes on in it
         sent = messages.decode(messages.encode(body)) if body is not None else None
 
         def work() -> Any:
             if target == "state":
-                return world.state.ask(self.name, method, path, sent)
+                return cluster.state.ask(self.name, method, path, sent)
             if target == "cloud":
-                return world.cloud.handle(self.name, method, path, sent)
-            if target in world.names:
-                peer, peer_version = world.nodes[target], world.versions[target]
-                if peer is None or world.now < world.peers_refuse:
+                return cluster.cloud.handle(self.name, method, path, sent)
+            if target in cluster.names:
+                peer, peer_version = cluster.nodes[target], cluster.versions[target]
+                if peer is None or cluster.now < cluster.peers_refuse:
                     raise ConnectionFailedError("no process, or a filter")
                 resources = peer_version.peer_resources(peer)
-                return world.to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
-            machine = world.every_machine[target]
+                return cluster.to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
+            machine = cluster.every_machine[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
             return machine.command(sent)
@@ -78,11 +78,11 @@
         if not is_wanted():
             raise version.connection_failed("withdrawn before it was sent")
         keep = self.keep()
-        connections = world.connections[self.name]
+        connections = cluster.connections[self.name]
         connections[address] = math.inf
-        held = world.held_for(target, sent) if target in world.every_machine else (0.0, 0.0)
-        waiting = world.send(self.name, target, work, held)
-        timer = world.clock.callLater(timeout_s, world.awake, self.name, waiting.cancel)
+        held = cluster.held_for(target, sent) if target in cluster.every_machine else (0.0, 0.0)
+        waiting = cluster.send(self.name, target, work, held)
+        timer = cluster.clock.callLater(timeout_s, cluster.awake, self.name, waiting.cancel)
         try:
             reply = await waiting
         except ConnectionFailedError as error:
@@ -94,8 +94,8 @@
         finally:
             if timer.active():
                 timer.cancel()
-            connections[address] = world.now + self.idle_s if keep else 0.0
-        if world.processes[self.name] != self.process:
+            connections[address] = cluster.now + self.idle_s if keep else 0.0
+        if cluster.processes[self.name] != self.process:
             await defer.Deferred()
         body_back = messages.decode(messages.encode(reply.body)) if reply.body is not None else None
         return Reply(reply.status, body_back)
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -8,7 +8,7 @@
 from tests.simulation.workers import Machine
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 LIST_LAG_S = 5.0
@@ -19,8 +19,8 @@
 
 
 class Cloud:
-    def __init__(self, world: "World", capacity: int) -> None:
-        self.world = world
+    def __init__(self, cluster: "SimulatedCluster", capacity: int) -> None:
+        self.cluster = cluster
         self.capacity = capacity
         self.most = 1000
         """Machines of all kinds together."""
@@ -43,11 +43,11 @@
         self.loop()
 
     def loop(self) -> None:
-        self.world.clock.callLater(1.0, self.loop)
+        self.cluster.clock.callLater(1.0, self.loop)
         del self.history[: -math.ceil(OLDEST_LIST * LIST_LAG_S)]
         self.history.append(
             (
-                self.world.now,
+                self.cluster.now,
                 [
                     {
                         "nameId": m.name,
@@ -56,7 +56,7 @@
                         "yard": m.zone,
                         "loaner": m.spot,
                         "phase": "running" if m.up else "starting",
-                        "ageS": self.world.now - m.rented,
+                        "ageS": self.cluster.now - m.rented,
                     }
                     for m in self.machines.values()
                 ],
@@ -64,7 +64,7 @@
         )
 
     def handle(self, _caller: str, _method: str, path: str, body: Any) -> Reply:
-        if self.world.now < self.down_until:
+        if self.cluster.now < self.down_until:
             return Reply(503, {"error": "trouble"})
         if not self._within_rate():
             self.refused_rates += 1
@@ -83,8 +83,8 @@
 
     def listed(self, arguments: dict[str, str]) -> Reply:
         """A page of the list, as it was a while ago."""
-        lag = LIST_LAG_S * self.world.random.uniform(0.5, 2.0)
-        shown = [listed for at, listed in self.history if at <= self.world.now - lag]
+        lag = LIST_LAG_S * self.cluster.random.uniform(0.5, 2.0)
+        shown = [listed for at, listed in self.history if at <= self.cluster.now - lag]
         since, limit = arguments.get("since", ""), min(MOST_LISTED, int(arguments.get("limit", MOST_LISTED)))
         following = [item for item in (shown[-1] if shown else []) if item["nameId"] > since]
         return Reply(200, {"hosts": following[:limit], "more": len(following) > limit})
@@ -92,9 +92,9 @@
     def _within_rate(self) -> bool:
         """Whether a request is within the limit, with bursts of two seconds' worth."""
         left, at = self._allowed
-        left = min(2 * self.rps, left + (self.world.now - at) * self.rps)
+        left = min(2 * self.rps, left + (self.cluster.now - at) * self.rps)
         taken = left >= 1.0
-        self._allowed = left - taken, self.world.now
+        self._allowed = left - taken, self.cluster.now
         return taken
 
     def rent(self, body: Any) -> Reply:
@@ -112,16 +112,16 @@
         return Reply(200, {"hosts": names})
 
     def machine(self, name: str, kind: dict, zone: str, spot: bool) -> Machine:
-        return Machine(self.world, name, kind, zone, spot)
+        return Machine(self.cluster, name, kind, zone, spot)
 
     def add(self, kind: dict, zone: str, spot: bool) -> Machine:
-        name = f"n-{len(self.world.every_machine):06d}"
+        name = f"n-{len(self.cluster.every_machine):06d}"
         machine = self.machine(name, kind, zone, spot)
         self.machines[name] = machine
-        self.world.every_machine[name] = machine
-        draw = self.world.random.random()
-        boot_s = self.boot_s * self.world.random.uniform(0.6, 1.5)
-        if self.world.now < self.boots_until:
+        self.cluster.every_machine[name] = machine
+        draw = self.cluster.random.random()
+        boot_s = self.boot_s * self.cluster.random.uniform(0.6, 1.5)
+        if self.cluster.now < self.boots_until:
             never, late, self_made = self.boots
             boot_s = self_made or boot_s
             if draw < never:
@@ -129,5 +129,5 @@
             if draw < never + late:
                 boot_s *= 6
         if draw > self.never_up:
-            self.world.clock.callLater(boot_s, machine.boot)
+            self.cluster.clock.callLater(boot_s, machine.boot)
         return machine
--- a/tests/simulation/world.py
+++ b/tests/simulation/cluster.py
@@ -21,7 +21,7 @@
 NAMES = ("node-0", "node-1", "node-2")
 
 
-class World(Controllers, Network, Users):
+class SimulatedCluster(Controllers, Network, Users):
     """Everything outside the nodes, the nodes, and the rules they have to keep."""
 
     # Of the settings; a subclass that changes them has to change its `settings` alike.
--- a/tests/simulation/fleet.py
+++ b/tests/simulation/fleet.py
@@ -2,13 +2,13 @@
 
 from stileloft.features import Features
 from stileloft.model import records
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.deployment import TYPES, with_settings
-from tests.simulation.world import World
 
 JOBS, TASKS = 20, 100
 
 
-class FleetWorld(World):
+class FleetCluster(SimulatedCluster):
     """Machines are up from the start; reports come less often than elsewhere, as each costs time to play."""
 
     REPORT_S, LEASE_S, CANCEL_S = 6.0, 24.0, 60.0
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -3,8 +3,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
+    from tests.simulation.cluster import SimulatedCluster
     from tests.simulation.workers import Machine
-    from tests.simulation.world import World
 
 GANG_WAIT_S, GANG_PEER_S = 20.0, 3.0
 
@@ -12,8 +12,8 @@
 class Gang:
     """One attempt of a gang, as its tasks see each other."""
 
-    def __init__(self, world: "World", job: dict[str, Any]) -> None:
-        self.world, self.job = world, job
+    def __init__(self, cluster: "SimulatedCluster", job: dict[str, Any]) -> None:
+        self.cluster, self.job = cluster, job
         self.members: dict[str, tuple[Machine, dict[str, Any]]] = {}
         self.running_since: float | None = None
         self.told: dict[str, float] = {}
@@ -31,12 +31,12 @@
 
     def gather(self, name: str, machine: "Machine", state: dict[str, Any]) -> None:
         self.members[name] = machine, state
-        self.gathered.append(self.world.now)
-        self.world.clock.callLater(GANG_WAIT_S, self.give_up, name, state)
+        self.gathered.append(self.cluster.now)
+        self.cluster.clock.callLater(GANG_WAIT_S, self.give_up, name, state)
         here = [other for other in self.members if self.present(other)]
         if self.running_since is None and len(here) == self.job["pieces"]:
-            self.running_since = self.world.now
-            self.world.rules.begun_at.setdefault(self.job["nameId"], self.world.now)
+            self.running_since = self.cluster.now
+            self.cluster.rules.begun_at.setdefault(self.job["nameId"], self.cluster.now)
             for member, member_state in self.members.values():
                 member_state["phase"] = "running"
                 member.send_report()
@@ -47,7 +47,7 @@
         if state["phase"] != "gathering" or machine.gone or machine.tasks.get(name) is not state:
             return
         if machine.hung:
-            self.world.clock.callLater(0.5, self.give_up, name, state)
+            self.cluster.clock.callLater(0.5, self.give_up, name, state)
         else:
             machine.finish(name, "incomplete")
 
@@ -55,13 +55,13 @@
         """Progress of the job by now; it stops with the first stop."""
         if self.running_since is None or self.told:
             return self.progress
-        return self.world.saved.get(self.job["nameId"], 0.0) + self.world.now - self.running_since
+        return self.cluster.saved.get(self.job["nameId"], 0.0) + self.cluster.now - self.running_since
 
     def watch(self, lost_at: float | None) -> None:
         """All of a running gang complete together; if one is lost the others notice."""
         if self.over:
             return
-        now = self.world.now
+        now = self.cluster.now
         lost = [name for name in self.members if not self.present(name)]
         if lost:
             lost_at = now if lost_at is None else lost_at
@@ -70,11 +70,11 @@
                 return
         elif self.told:
             self.save()
-        elif self.at() >= self.world.run_s(self.job["nameId"] + "/0"):
+        elif self.at() >= self.cluster.run_s(self.job["nameId"] + "/0"):
             self.over = True
             for name, (machine, _) in self.members.items():
                 machine.finish(name, "done")
-        self.world.clock.callLater(0.25, self.watch, lost_at)
+        self.cluster.clock.callLater(0.25, self.watch, lost_at)
 
     def stop(self, name: str, machine: "Machine", grace_s: float) -> None:
         if self.job["snapshotS"] <= 0 or grace_s < self.job["stashS"]:
@@ -82,14 +82,14 @@
             machine.finish(name, "halted")
             return
         self.progress = self.at()
-        self.told.setdefault(name, self.world.now)
+        self.told.setdefault(name, self.cluster.now)
         machine.tasks[name]["phase"] = "flushing"
 
     def save(self) -> None:
-        now, first = self.world.now, min(self.told.values())
+        now, first = self.cluster.now, min(self.told.values())
         if len(self.told) == len(self.members) and now >= max(self.told.values()) + self.job["stashS"]:
             self.over = True
-            self.world.saved[self.job["nameId"]] = self.progress
+            self.cluster.saved[self.job["nameId"]] = self.progress
             for name, (machine, state) in self.members.items():
                 state["kept"] = True
                 machine.finish(name, "halted")
@@ -100,9 +100,9 @@
         self.over = True
         every_s = self.job["snapshotS"]
         progress = self.at()
-        before = self.world.saved.get(self.job["nameId"], 0.0)
-        self.world.saved[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
-        self.world.lost_gangs += 1
+        before = self.cluster.saved.get(self.job["nameId"], 0.0)
+        self.cluster.saved[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
+        self.cluster.lost_gangs += 1
         for name in self.members:
             self.exit(name, why)
 
@@ -110,6 +110,6 @@
         """One on a machine that hangs exits when it goes on."""
         machine, _state = self.members[name]
         if machine.hung and not machine.gone:
-            self.world.clock.callLater(0.3, self.exit, name, why)
+            self.cluster.clock.callLater(0.3, self.exit, name, why)
         elif self.present(name):
             machine.finish(name, why)
--- a/tests/simulation/processes.py
+++ b/tests/simulation/processes.py
@@ -7,7 +7,7 @@
 from twisted.internet import base, task
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 class Clock(task.Clock):
@@ -33,22 +33,22 @@
 class Process:
     """A node with clocks and timers that stop when the process is killed."""
 
-    def __init__(self, world: "World", name: str, number: int) -> None:
-        self.world, self.name, self.number = world, name, number
+    def __init__(self, cluster: "SimulatedCluster", name: str, number: int) -> None:
+        self.cluster, self.name, self.number = cluster, name, number
 
     def alive(self) -> bool:
-        return self.world.processes[self.name] == self.number
+        return self.cluster.processes[self.name] == self.number
 
     def seconds(self) -> float:
-        return self.world.clock.seconds()
+        return self.cluster.clock.seconds()
 
     def callLater(self, delay: float, function: Callable[..., Any], *arguments: Any) -> Any:
-        return self.world.clock.callLater(max(0.0, delay), self._call, function, *arguments)
+        return self.cluster.clock.callLater(max(0.0, delay), self._call, function, *arguments)
 
     def _call(self, function: Callable[..., Any], *arguments: Any) -> None:
         if self.alive():
-            self.world.awake(self.name, function, *arguments)
+            self.cluster.awake(self.name, function, *arguments)
 
     def getReaders(self) -> list[None]:
         """One for each open connection, as the real reactor has one for each socket."""
-        return [None] * self.world.sockets(self.name)
+        return [None] * self.cluster.sockets(self.name)
--- a/tests/simulation/state_service.py
+++ b/tests/simulation/state_service.py
@@ -8,7 +8,7 @@
 from stileloft.transport.client import NoResponseError, Reply
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 # What an answer holds at the most, and how many changes are kept for watches.
@@ -20,8 +20,8 @@
 class StateService:
     """The key-value store, with leases, watches and outages."""
 
-    def __init__(self, world: "World") -> None:
-        self.world = world
+    def __init__(self, cluster: "SimulatedCluster") -> None:
+        self.cluster = cluster
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         self.revision = 0
         self.leases: dict[int, tuple[float, float]] = {}
@@ -31,7 +31,7 @@
         """Changes up to this revision are no longer known."""
         self.down_until = 0.0
         self.refuses: dict[str, float] = {}
-        self.value_bytes = int(world.value_kb * 1024)
+        self.value_bytes = int(cluster.value_kb * 1024)
         self.txn_ops = 12
         self.refused_sizes = 0
         self.rps, self.write_rps = 200.0, 60.0
@@ -43,51 +43,51 @@
         else they are 2 s to 12 s later."""
         self.slow = (0.0, 0.0)
         """Until when answers take up to how long; what they say is read at the start or at the end of that."""
-        world.clock.callLater(0.05, self.expire)
+        cluster.clock.callLater(0.05, self.expire)
 
     def within(self, limit: str, per_s: float, amount: float) -> bool:
         left, at = self.allowed[limit]
-        left = min(per_s, left + (self.world.now - at) * per_s)
+        left = min(per_s, left + (self.cluster.now - at) * per_s)
         taken = left >= amount
-        self.allowed[limit] = left - amount * taken, self.world.now
+        self.allowed[limit] = left - amount * taken, self.cluster.now
         return taken
 
     def ask(self, caller: str, method: str, path: str, body: Any) -> Any:
         """A request as it comes from the network, with the troubles of the service."""
-        world = self.world
+        cluster = self.cluster
         until, share, at_once = self.late_writes
-        if path == "/commit" and world.now < until and world.random.random() < share:
+        if path == "/commit" and cluster.now < until and cluster.random.random() < share:
             if at_once:
                 self.handle(caller, method, path, body)
             else:
-                world.clock.callLater(world.random.uniform(2.0, 12.0), self.handle, caller, method, path, body)
+                cluster.clock.callLater(cluster.random.uniform(2.0, 12.0), self.handle, caller, method, path, body)
             raise NoResponseError("the answer is lost")
         until, longest = self.slow
-        if world.now >= until:
+        if cluster.now >= until:
             return self.handle(caller, method, path, body)
         answered: defer.Deferred = defer.Deferred()
-        wait = world.random.uniform(0.0, longest)
-        if world.random.random() < 0.5:
+        wait = cluster.random.uniform(0.0, longest)
+        if cluster.random.random() < 0.5:
             early = defer.maybeDeferred(self.handle, caller, method, path, body)
-            world.clock.callLater(wait, early.chainDeferred, answered)
+            cluster.clock.callLater(wait, early.chainDeferred, answered)
         else:
-            world.clock.callLater(
+            cluster.clock.callLater(
                 wait, lambda: defer.maybeDeferred(self.handle, caller, method, path, body).chainDeferred(answered)
             )
         return answered
 
     def down_for(self, caller: str) -> bool:
-        now = self.world.now
+        now = self.cluster.now
         return now < self.down_until or now < self.refuses.get(caller, 0.0)
 
     def outage(self, seconds: float) -> None:
-        self.down_until = self.world.now + seconds
+        self.down_until = self.cluster.now + seconds
 
         def renewed() -> None:
             for lease, (life, _) in list(self.leases.items()):
-                self.leases[lease] = life, self.world.now + life
+                self.leases[lease] = life, self.cluster.now + life
 
-        self.world.clock.callLater(seconds, renewed)
+        self.cluster.clock.callLater(seconds, renewed)
 
     def wipe(self, keeps_counting: bool = False) -> None:
         """All records and leases are gone; revisions begin again, unless the service keeps counting."""
@@ -106,11 +106,11 @@
         self.compacted = 0
 
     def expire(self) -> None:
-        self.world.clock.callLater(0.05, self.expire)
-        if self.world.now < self.down_until:
+        self.cluster.clock.callLater(0.05, self.expire)
+        if self.cluster.now < self.down_until:
             return
         for lease, (_, until) in list(self.leases.items()):
-            if self.world.now >= until:
+            if self.cluster.now >= until:
                 self.end(lease)
 
     def end(self, lease: int) -> None:
@@ -145,7 +145,7 @@
         if path == "/holds":
             self.next_lease += 1
             life = body["lifeMs"] / 1000
-            self.leases[self.next_lease] = life, self.world.now + life
+            self.leases[self.next_lease] = life, self.cluster.now + life
             return Reply(200, {"hold": self.next_lease})
         if path.startswith("/holds/"):
             lease = int(path.split("/")[2])
@@ -155,7 +155,7 @@
                 self.end(lease)
             else:
                 life = self.leases[lease][0]
-                self.leases[lease] = life, self.world.now + life
+                self.leases[lease] = life, self.cluster.now + life
             return Reply(200, {})
         return self.watch(caller, arguments)
 
@@ -202,13 +202,13 @@
         if since < self.compacted:
             answer: defer.Deferred = defer.succeed(Reply(410, {"epoch": self.revision}))
             return answer
-        until = self.world.now + int(arguments["blockMs"]) / 1000
+        until = self.cluster.now + int(arguments["blockMs"]) / 1000
         answered: defer.Deferred = defer.Deferred()
 
         def look() -> None:
             news = [c for c in self.changes if c[2] > since and c[0].startswith(prefix)]
-            if self.down_for(caller) or (not news and self.world.now < until):
-                self.world.clock.callLater(0.05, look)
+            if self.down_for(caller) or (not news and self.cluster.now < until):
+                self.cluster.clock.callLater(0.05, look)
                 return
             answered.callback(
                 Reply(
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -10,22 +10,22 @@
 from tests.simulation.gangs import Gang
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 class Machine:
     """A rented machine with its worker."""
 
-    def __init__(self, world: "World", name: str, kind: dict, zone: str, spot: bool) -> None:
-        self.world, self.name, self.kind, self.zone, self.spot = world, name, kind, zone, spot
+    def __init__(self, cluster: "SimulatedCluster", name: str, kind: dict, zone: str, spot: bool) -> None:
+        self.cluster, self.name, self.kind, self.zone, self.spot = cluster, name, kind, zone, spot
         self.address = f"{name}:9000"
-        self.rented = world.now
+        self.rented = cluster.now
         self.up = self.gone = self.hung = False
         self.epoch, self.sequence, self.token = 1, 0, 0
-        self.renewed = world.now
+        self.renewed = cluster.now
         self.notice: float | None = None
         self.tasks: dict[str, dict[str, Any]] = {}
-        self.target = world.random.choice(world.names)
+        self.target = cluster.random.choice(cluster.names)
         self.connected_to: str | None = None
         """The node to which it has a connection open for its reports."""
         self.reporting = False
@@ -34,7 +34,7 @@
     def boot(self) -> None:
         if not self.gone:
             self.up = True
-            self.renewed = self.world.now
+            self.renewed = self.cluster.now
             self.loop()
             self.lease_loop()
 
@@ -53,7 +53,7 @@
             "stint": self.epoch,
             "tick": self.sequence,
             "baton": self.token,
-            "warningS": None if self.notice is None else max(0.0, self.notice - self.world.now),
+            "warningS": None if self.notice is None else max(0.0, self.notice - self.cluster.now),
             "pieces": [
                 {"piece": t, "try": s["try"], "phase": s["phase"], "cause": s["cause"], "kept": s.get("kept", False)}
                 for t, s in self.tasks.items()
@@ -63,56 +63,56 @@
     def lease_loop(self) -> None:
         if self.gone:
             return
-        self.world.clock.callLater(self.world.LAPSE_S, self.lease_loop)
+        self.cluster.clock.callLater(self.cluster.LAPSE_S, self.lease_loop)
         if not self.hung:
             self.lapse()
 
     def lapse(self) -> None:
-        if self.world.now - self.renewed > self.world.LEASE_S:
-            self.world.sessions_lost += 1
+        if self.cluster.now - self.renewed > self.cluster.LEASE_S:
+            self.cluster.sessions_lost += 1
             for name in list(self.tasks):
                 self.leave(name)
             self.tasks.clear()
             self.epoch += 1
-            self.renewed = self.world.now
+            self.renewed = self.cluster.now
 
     def loop(self) -> None:
         if self.gone:
             return
-        self.world.clock.callLater(self.world.REPORT_S * self.world.random.uniform(0.75, 1.25), self.loop)
+        self.cluster.clock.callLater(self.cluster.REPORT_S * self.cluster.random.uniform(0.75, 1.25), self.loop)
         self.send_report()
 
     def send_report(self) -> None:  # noqa: C901 - one case an answer
         if self.gone or self.hung or not self.up or self.reporting:
             return
         self.reporting = True
-        sent, session, target = self.world.now, self.epoch, self.target
+        sent, session, target = self.cluster.now, self.epoch, self.target
         if not self.connect(target):
             self.reporting = False
             self.next_node()
-            self.world.clock.callLater(1.0, self.send_report)
+            self.cluster.clock.callLater(1.0, self.send_report)
             return
         waiting = self.deliver(target, messages.decode(messages.encode(self.report())))
-        timer = self.world.clock.callLater(4.0, waiting.cancel)
+        timer = self.cluster.clock.callLater(4.0, waiting.cancel)
 
         def answered(reply: Reply) -> None:
             self.reporting = False
             if timer.active():
                 timer.cancel()
-            if reply.status != 200 or not self.world.keeps_report_connection(target):
+            if reply.status != 200 or not self.cluster.keeps_report_connection(target):
                 self.disconnect()
             if self.gone or self.hung or session != self.epoch:
                 return
             if reply.status == 421:
                 steward = (reply.body or {}).get("steward")
-                names = self.world.names
+                names = self.cluster.names
                 other = names[(names.index(self.target) + 1) % len(names)]
                 self.target = steward if steward in names and steward != self.target else other
-                self.world.clock.callLater(0.3, self.send_report)
+                self.cluster.clock.callLater(0.3, self.send_report)
             elif reply.status == 200:
                 if reply.body["baton"] >= self.token:
                     if reply.body["baton"] > self.token:
-                        self.world.clock.callLater(0.5, self.send_report)
+                        self.cluster.clock.callLater(0.5, self.send_report)
                     self.token = reply.body["baton"]
                     self.renewed = max(self.renewed, sent)
                     self.execute(reply.body["orders"])
@@ -130,28 +130,28 @@
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
         """Sends a report to a node."""
-        return self.world.send(
-            self.name, target, lambda: self.world.to_node(target, lambda: self.world.deliver_report(target, body))
+        return self.cluster.send(
+            self.name, target, lambda: self.cluster.to_node(target, lambda: self.cluster.deliver_report(target, body))
         )
 
     def connect(self, target: str) -> bool:
         """Whether there is a connection to report on; none is made while the node has no socket left."""
         if self.connected_to == target:
             return True
-        if self.world.sockets(target) >= self.world.most_sockets:
+        if self.cluster.sockets(target) >= self.cluster.most_sockets:
             return False
         self.disconnect()
         self.connected_to = target
-        self.world.report_connections[target].add(self.name)
+        self.cluster.report_connections[target].add(self.name)
         return True
 
     def disconnect(self) -> None:
         if self.connected_to is not None:
-            self.world.report_connections[self.connected_to].discard(self.name)
+            self.cluster.report_connections[self.connected_to].discard(self.name)
             self.connected_to = None
 
     def next_node(self) -> None:
-        names = self.world.names
+        names = self.cluster.names
         self.target = names[(names.index(self.target) + 1) % len(names)]
 
     def command(self, body: Any) -> Reply:
@@ -162,7 +162,7 @@
             self.refuse(body)
             return Reply(409, self.report())
         if body["baton"] > self.token:
-            self.world.clock.callLater(0.5, self.send_report)
+            self.cluster.clock.callLater(0.5, self.send_report)
         self.token = body["baton"]
         self.execute(body["orders"])
         return Reply(200, self.report())
@@ -170,7 +170,7 @@
     def refuse(self, body: Any) -> None:
         """Counts starts that came under a token, or for a session, that is over."""
         reason = "token" if body["baton"] < self.token else "session"
-        self.world.rules.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
+        self.cluster.rules.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -184,7 +184,7 @@
                 if known["phase"] == "exited":
                     del self.tasks[name]
             elif known["phase"] != "exited":
-                gang = self.world.gang_of(name, attempt)
+                gang = self.cluster.gang_of(name, attempt)
                 if gang is not None and known["phase"] in ("running", "flushing"):
                     gang.stop(name, self, command["windDownS"])
                 else:
@@ -193,61 +193,63 @@
     def start(self, name: str, attempt: int, known: dict[str, Any] | None) -> None:
         if known is not None and (known["try"] == attempt or known["phase"] != "exited"):
             return  # no effect, or another attempt is here still, which a real worker refuses
-        job = self.world.jobs.get(split_task(name)[0])
+        job = self.cluster.jobs.get(split_task(name)[0])
         state = {"try": attempt, "phase": "fetching", "cause": None, "session": self.epoch}
         self.tasks[name] = state
         if job is None:
             state["phase"], state["cause"] = "exited", "no_such"
             return
-        used = sum(self.world.jobs[split_task(t)[0]]["vcpus"] for t, s in self.tasks.items() if s["phase"] != "exited")
+        used = sum(
+            self.cluster.jobs[split_task(t)[0]]["vcpus"] for t, s in self.tasks.items() if s["phase"] != "exited"
+        )
         if used > self.kind["vcpus"]:
             state["phase"], state["cause"] = "exited", "full"
             return
-        wait = 0.0 if job["bundle"] in self.images else self.world.random.uniform(0.6, 1.4)
-        self.world.clock.callLater(wait, self.begin, name, state)
+        wait = 0.0 if job["bundle"] in self.images else self.cluster.random.uniform(0.6, 1.4)
+        self.cluster.clock.callLater(wait, self.begin, name, state)
 
     def begin(self, name: str, state: dict[str, Any]) -> None:
         if self.tasks.get(name) is not state or state["phase"] != "fetching" or self.gone:
             return
         if self.hung:
-            self.world.clock.callLater(0.5, self.begin, name, state)
+            self.cluster.clock.callLater(0.5, self.begin, name, state)
             return
-        job = self.world.jobs[split_task(name)[0]]
+        job = self.cluster.jobs[split_task(name)[0]]
         self.images.add(job["bundle"])
-        if name in self.world.rules.done:  # its result is kept
+        if name in self.cluster.rules.done:  # its result is kept
             state.update(phase="exited", cause="done")
             self.send_report()
             return
-        self.world.rules.started(name, self, self.world.now)
+        self.cluster.rules.started(name, self, self.cluster.now)
         if job["shape"] == "gang":
             state["phase"] = "gathering"
-            gang = self.world.gangs.setdefault((job["nameId"], state["try"]), Gang(self.world, job))
+            gang = self.cluster.gangs.setdefault((job["nameId"], state["try"]), Gang(self.cluster, job))
             gang.gather(name, self, state)
             self.send_report()
             return
         state["phase"] = "running"
         self.send_report()
-        self.world.clock.callLater(self.world.run_s(name), self.complete, name, state)
+        self.cluster.clock.callLater(self.cluster.run_s(name), self.complete, name, state)
 
     def complete(self, name: str, state: dict[str, Any]) -> None:
         if self.tasks.get(name) is not state or state["phase"] != "running" or self.gone:
             return
         if self.hung:
-            self.world.clock.callLater(0.5, self.complete, name, state)
+            self.cluster.clock.callLater(0.5, self.complete, name, state)
             return
-        why = "error" if split_task(name)[0] in self.world.mistaken or self.name in self.world.faulty else "done"
+        why = "error" if split_task(name)[0] in self.cluster.mistaken or self.name in self.cluster.faulty else "done"
         self.finish(name, why)
 
     def finish(self, name: str, why: str) -> None:
         self.leave(name)
         self.tasks[name].update(phase="exited", cause=why)
         if why == "done":
-            self.world.rules.completed(name)
-        self.world.clock.callLater(0.01, self.send_report)
+            self.cluster.rules.completed(name)
+        self.cluster.clock.callLater(0.01, self.send_report)
 
     def leave(self, name: str) -> None:
         if self.tasks[name]["phase"] in ("running", "gathering", "flushing"):
-            self.world.rules.ended(name, self)
+            self.cluster.rules.ended(name, self)
 
     def restart(self) -> None:
         """Back at once with nothing on it; its counters begin anew."""
@@ -255,7 +257,7 @@
             self.leave(name)
         self.tasks.clear()
         self.epoch, self.sequence, self.token = 1, 0, 0
-        self.renewed = self.world.now
+        self.renewed = self.cluster.now
 
     def die(self) -> None:
         self.gone = True
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -65,30 +65,32 @@
 class SoakMachine(LoopbackMachine):
     """A worker whose links may fail."""
 
-    def __init__(self, world: "SoakCluster", name: str, *arguments: Any) -> None:
-        Machine.__init__(self, world, name, *arguments)
-        port = world.listen(lambda _method, _path, body: world.links.carry("leader", name, body, self._command(body)))
+    def __init__(self, cluster: "SoakCluster", name: str, *arguments: Any) -> None:
+        Machine.__init__(self, cluster, name, *arguments)
+        port = cluster.listen(
+            lambda _method, _path, body: cluster.links.carry("leader", name, body, self._command(body))
+        )
         self.address = f"{LOCAL}:{port}"
 
     def _command(self, body: Any) -> Any:
         def work() -> Reply:
-            if self.gone or not self.up or self.world.deaf.get(self.name, 0.0) > self.world.now:
+            if self.gone or not self.up or self.cluster.deaf.get(self.name, 0.0) > self.cluster.now:
                 raise NoResponseError("silence")
             return self.command(body)
 
         return work
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
-        return self.world.links.carry(self.name, target, body, lambda: self._report(target, body))
+        return self.cluster.links.carry(self.name, target, body, lambda: self._report(target, body))
 
     def _report(self, target: str, body: Any) -> defer.Deferred:
-        if self.world.mute.get(self.name, 0.0) > self.world.now:
+        if self.cluster.mute.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
-        answered = self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
+        answered = self.cluster.client.request("POST", self.cluster.public[target], HEARTBEAT_PATH, body, 4.0)
         return defer.ensureDeferred(answered).addCallback(self._unless_deaf)
 
     def _unless_deaf(self, reply: Reply) -> Reply:
-        if self.world.deaf.get(self.name, 0.0) > self.world.now:
+        if self.cluster.deaf.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
         return reply
 
@@ -97,7 +99,7 @@
     """Rents workers whose links may fail."""
 
     def machine(self, name: str, kind: dict, zone: str, spot: bool) -> Machine:
-        return SoakMachine(self.world, name, kind, zone, spot)
+        return SoakMachine(self.cluster, name, kind, zone, spot)
 
 
 class SoakCluster(LoopbackCluster):
--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -7,7 +7,7 @@
 from stileloft.protocol.admin_errors import InvalidSettingsError, StaleVersionError
 from stileloft.protocol.rebuild_admin import RebuildResources
 from stileloft.transport.server import Response
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 class StubNode:
@@ -74,20 +74,20 @@
 
 
 def test_operator_settings_are_compared_and_set_and_reach_all_nodes() -> None:
-    world = World(2)
-    world.run(5)
+    cluster = SimulatedCluster(2)
+    cluster.run(5)
 
     def ask(coroutine) -> object:
         result: list = []
         defer.ensureDeferred(coroutine).addBoth(result.append)
-        world.run(1)
+        cluster.run(1)
         return result[0]
 
-    node = world.nodes["node-0"]
+    node = cluster.nodes["node-0"]
     assert ask(node.administration.read_settings()) == (OperatorSettings(), 0)
     version = ask(node.administration.change_settings(OperatorSettings(headroom=3.0), 0))
     assert isinstance(version, int)
     late = ask(node.administration.change_settings(OperatorSettings(headroom=4.0), 0))
     assert late.type is StaleVersionError
-    world.run(1)
-    assert {n.operator_settings.current.headroom for n in world.nodes.values()} == {3.0}
+    cluster.run(1)
+    assert {n.operator_settings.current.headroom for n in cluster.nodes.values()} == {3.0}
--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import Hold
-from tests.simulation.world import World
 from tests.test_rules import finish
 
 VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
@@ -16,71 +16,71 @@
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
-        self.world = World(seed, loss=0.0)
-        self.world.run(5.0)
+        self.cluster = SimulatedCluster(seed, loss=0.0)
+        self.cluster.run(5.0)
         for number in range(4):
-            self.world.submit(self.world.job(number, pieces=3, vcpus=2.0, guessS=60.0))
-        self.world.run(20.0)
+            self.cluster.submit(self.cluster.job(number, pieces=3, vcpus=2.0, guessS=60.0))
+        self.cluster.run(20.0)
 
     @rule(pieces=st.integers(1, 4), length_s=st.floats(5.0, 60.0), gang=st.booleans(), cancel_s=st.floats(0.5, 20.0))
     def submit_and_cancel(self, pieces: int, length_s: float, gang: bool, cancel_s: float) -> None:
         shape = "gang" if gang and pieces > 1 else "array"
-        body = self.world.job(len(self.world.jobs), pieces=pieces, vcpus=0.5, guessS=length_s, shape=shape)
-        self.world.submit(body)
-        self.world.clock.callLater(cancel_s, self.world.cancel, body["nameId"])
+        body = self.cluster.job(len(self.cluster.jobs), pieces=pieces, vcpus=0.5, guessS=length_s, shape=shape)
+        self.cluster.submit(body)
+        self.cluster.clock.callLater(cancel_s, self.cluster.cancel, body["nameId"])
 
     @rule(verb=VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
     def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
-        now = self.world.now
-        self.world.holds = [hold for hold in self.world.holds if hold.until > now]
-        self.world.holds.append(Hold(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
+        now = self.cluster.now
+        self.cluster.holds = [hold for hold in self.cluster.holds if hold.until > now]
+        self.cluster.holds.append(Hold(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
 
     @rule(which=st.integers(0, 2), back_s=st.floats(0.2, 5.0))
     def kill(self, which: int, back_s: float) -> None:
-        self.world.kill(self.world.leader() or self.world.names[which], back_s)
+        self.cluster.kill(self.cluster.leader() or self.cluster.names[which], back_s)
 
     @rule(seconds=st.floats(0.5, 12.0))
     def freeze_leader(self, seconds: float) -> None:
-        self.world.freeze(self.world.leader() or self.world.names[0], seconds)
+        self.cluster.freeze(self.cluster.leader() or self.cluster.names[0], seconds)
 
     @rule(seconds=st.floats(0.5, 25.0))
     def outage(self, seconds: float) -> None:
-        self.world.state.outage(seconds)
+        self.cluster.state.outage(seconds)
 
     @rule(seconds=st.floats(0.5, 20.0))
     def refuse_leader(self, seconds: float) -> None:
-        name = self.world.leader()
+        name = self.cluster.leader()
         if name is not None:
-            self.world.state.refuses[name] = self.world.now + seconds
+            self.cluster.state.refuses[name] = self.cluster.now + seconds
 
     @rule(seconds=st.floats(0.5, 10.0), share=st.floats(0.1, 0.6))
     def late_writes(self, seconds: float, share: float) -> None:
-        self.world.state.late_writes = self.world.now + seconds, share, False
+        self.cluster.state.late_writes = self.cluster.now + seconds, share, False
 
     @rule(which=st.integers(0, 20), seconds=st.floats(1.0, 20.0), how=st.sampled_from(["deaf", "mute"]))
     def silence(self, which: int, seconds: float, how: str) -> None:
-        machines = [machine for machine in self.world.cloud.machines.values() if machine.up]
+        machines = [machine for machine in self.cluster.cloud.machines.values() if machine.up]
         for machine in machines[which : which + 2]:
-            getattr(self.world, how)[machine.name] = self.world.now + seconds
+            getattr(self.cluster, how)[machine.name] = self.cluster.now + seconds
 
-    @precondition(lambda self: self.world.copies == 0.0)
+    @precondition(lambda self: self.cluster.copies == 0.0)
     @rule(seconds=st.floats(5.0, 30.0))
     def copies(self, seconds: float) -> None:
-        self.world.copies = 0.1
-        self.world.clock.callLater(seconds, setattr, self.world, "copies", 0.0)
+        self.cluster.copies = 0.1
+        self.cluster.clock.callLater(seconds, setattr, self.cluster, "copies", 0.0)
 
     @rule(seconds=st.floats(0.1, 15.0))
     def go_on(self, seconds: float) -> None:
-        end = self.world.now + seconds
-        while self.world.now < end:
-            self.world.run(0.25)
-            self.world.rules.check_cancelled()
-        assert self.world.rules.broken == []
+        end = self.cluster.now + seconds
+        while self.cluster.now < end:
+            self.cluster.run(0.25)
+            self.cluster.rules.check_cancelled()
+        assert self.cluster.rules.broken == []
 
     def teardown(self) -> None:
-        if hasattr(self, "world"):
-            finish(self.world)
-            assert self.world.rules.broken == []
+        if hasattr(self, "cluster"):
+            finish(self.cluster)
+            assert self.cluster.rules.broken == []
 
 
 TestHistories = Histories.TestCase
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -25,9 +25,9 @@
 from stileloft.transport.client import Client, ConnectionFailedError
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
-from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
+from tests.held_starts import busy_cluster, hold_and_cancel, run_watched, submit_small_jobs
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import Hold
-from tests.simulation.world import World
 from tests.soak.cluster import COUNTED
 from tests.versions import NEW, production
 
@@ -105,28 +105,28 @@
 # -- what may be sent -----------------------------------------------------------------------------------------------
 
 
-def leading_controller(world: World) -> Controller:
-    name = world.leader()
+def leading_controller(cluster: SimulatedCluster) -> Controller:
+    name = cluster.leader()
     assert name is not None
-    controller = world.nodes[name]
+    controller = cluster.nodes[name]
     assert controller is not None
     return controller
 
 
-def leading(world: World) -> Leader:
-    leader = leading_controller(world).leader
+def leading(cluster: SimulatedCluster) -> Leader:
+    leader = leading_controller(cluster).leader
     assert leader is not None
     return leader
 
 
 def test_an_attempt_is_forgotten_only_when_its_start_is_fenced() -> None:
     """A held start that comes after the forget would run the attempt again, perhaps beside a newer one elsewhere."""
-    world = World(seed=31, loss=0.0)
-    world.submit(world.job(1, pieces=1, guessS=400.0))
-    world.run(40)
-    leader = leading(world)
-    (name,) = {machine.name for machine in world.rules.where.values()}
-    machine, worker = leader.cluster.machines[name], world.every_machine[name]
+    cluster = SimulatedCluster(seed=31, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=1, guessS=400.0))
+    cluster.run(40)
+    leader = leading(cluster)
+    (name,) = {machine.name for machine in cluster.rules.where.values()}
+    machine, worker = leader.cluster.machines[name], cluster.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
     late = msgspec.to_builtins(
@@ -134,31 +134,31 @@
     )
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is None
-    machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
+    machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = cluster.now
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
     leader.lifecycle.stop(placement, 0.0)
     machine.drain_reason = None
-    world.run(4 * world.LEASE_S + 20.0)
+    cluster.run(4 * cluster.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
     assert worker.token > token, "it was forgotten under a higher token than its start had"
-    starts = world.rules.starts
+    starts = cluster.rules.starts
     assert worker.command(late).status == 409
-    world.run(5)
-    assert world.rules.starts == starts
-    assert world.rules.broken == []
+    cluster.run(5)
+    assert cluster.rules.starts == starts
+    assert cluster.rules.broken == []
 
 
 def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
     """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
-    world = World(seed=32, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
-    world.run(60)
-    fullest = max(world.cloud.machines.values(), key=lambda machine: len(machine.tasks))
+    cluster = SimulatedCluster(seed=32, loss=0.0, value_kb=16.0)
+    cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    cluster.run(60)
+    fullest = max(cluster.cloud.machines.values(), key=lambda machine: len(machine.tasks))
     assert len(fullest.tasks) > MAX_COMMANDS_PER_ANSWER
-    leader = world.leader()
-    world.cut(leader, fullest.name, 0.0)
+    leader = cluster.leader()
+    cluster.cut(leader, fullest.name, 0.0)
     answers: list[dict[str, Any]] = []
-    deliver = world.deliver_report
+    deliver = cluster.deliver_report
 
     def delivering(name: str, body: Any) -> Any:
         reply = deliver(name, body)
@@ -166,30 +166,30 @@
             answers.append(reply.body)
         return reply
 
-    world.deliver_report = delivering  # type: ignore[method-assign]
-    world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
-    world.cancel("j-000001")
+    cluster.deliver_report = delivering  # type: ignore[method-assign]
+    cluster.holds.append(Hold(cluster.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
+    cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
-        run_watched(world, world.CANCEL_S + 20.0)
+        run_watched(cluster, cluster.CANCEL_S + 20.0)
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
-    assert world.rules.broken == []
-    assert world.rules.where == {}
+    assert cluster.rules.broken == []
+    assert cluster.rules.where == {}
 
 
 def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
     """An answer that can't carry them moves no clock of the direct ones: nobody else's tasks pay with their lease."""
-    world = World(seed=39, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
-    world.submit(world.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
-    world.run(60)
-    assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
-    world.cancel("j-000001")
-    run_watched(world, 0.6 * World.LEASE_S)
-    assert set(world.rules.where) == {"j-000002/0"}
-    assert world.sessions_lost == 0
-    assert world.rules.starts_by_task["j-000002/0"] == 1
+    cluster = SimulatedCluster(seed=39, loss=0.0, value_kb=16.0)
+    cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    cluster.submit(cluster.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
+    cluster.run(60)
+    assert max(len(machine.tasks) for machine in cluster.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
+    cluster.cancel("j-000001")
+    run_watched(cluster, 0.6 * SimulatedCluster.LEASE_S)
+    assert set(cluster.rules.where) == {"j-000002/0"}
+    assert cluster.sessions_lost == 0
+    assert cluster.rules.starts_by_task["j-000002/0"] == 1
 
 
 def test_a_start_is_asked_for_again_when_its_connection_is_there() -> None:
@@ -222,8 +222,8 @@
 
 def test_what_may_go_out_when_the_connection_is_there_at_last() -> None:
     """Nothing after the leadership; stops while it lasts; starts only with everything that starts need."""
-    world = busy_world(36)
-    leader = leading(world)
+    cluster = busy_cluster(36)
+    leader = leading(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     assert leader.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
@@ -231,7 +231,7 @@
     assert leader.authority.check_transmission([placement], machine) is None
     leader.tokens._spares.clear()
     assert leader.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
-    leading_controller(world).election._held_until = 0.0
+    leading_controller(cluster).election._held_until = 0.0
     assert leader.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
     assert leader.authority.check_transmission([], machine) is None
     leader.lease.active = False
@@ -239,28 +239,28 @@
 
 
 def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
-    world = busy_world(37)
-    leader = leading(world)
+    cluster = busy_cluster(37)
+    leader = leading(cluster)
     machine = next(iter(leader.cluster.machines.values()))
     before = machine.token
     leader.tokens._spares.clear()
-    leader.fencing.fence_for_forgets(machine, world.now)
+    leader.fencing.fence_for_forgets(machine, cluster.now)
     assert machine.token == before
     assert no_violations == []
     leader.tokens.record_commit(10**6)
-    leader.fencing.fence_for_forgets(machine, world.now)
+    leader.fencing.fence_for_forgets(machine, cluster.now)
     assert machine.token > before
     leader.tokens.record_commit(10**6 + 1)
-    leader.fencing.fence_for_forgets(machine, world.now + 0.1)
+    leader.fencing.fence_for_forgets(machine, cluster.now + 0.1)
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
 def test_provisioning_and_releases_are_asked_for_again_when_their_connection_is_there() -> None:
     """A leader that was replaced meanwhile would provision twice, or release what its successor uses."""
-    world = busy_world(38)
-    leader = leading(world)
+    cluster = busy_cluster(38)
+    leader = leading(cluster)
     asked: list[str] = []
-    controller = leading_controller(world)
+    controller = leading_controller(cluster)
     wire = controller.clients.cloud._client
     plain = wire.request
 
@@ -269,23 +269,23 @@
         controller.election._held_until = 0.0  # its lease ends while the connection is made
         return await plain(method, address, path, body, timeout_s, is_wanted)
 
-    machines = set(world.cloud.machines)
+    machines = set(cluster.cloud.machines)
     wire.request = connecting
     leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
-    world.run(0.1)
-    controller.election._record_renewal(world.now)
+    cluster.run(0.1)
+    controller.election._record_renewal(cluster.now)
     leader.provisioner.provision(("small", "a", True), 1)
-    world.run(0.1)
+    cluster.run(0.1)
     assert asked == ["/hosts/release", "/hosts"]
-    assert set(world.cloud.machines) == machines
+    assert set(cluster.cloud.machines) == machines
 
 
 def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
-    world = busy_world(33)
-    leader = leading(world)
+    cluster = busy_cluster(33)
+    leader = leading(cluster)
     job = leader.cluster.jobs["j-000001"]
     seen: list[str | None] = []
-    node = leading_controller(world)
+    node = leading_controller(cluster)
     admission = node.admission
     keep = admission.outcomes.record
 
@@ -294,50 +294,50 @@
         return keep(job_id, value)
 
     admission.outcomes.record = keeping  # type: ignore[method-assign]
-    world.rules.cancelling("j-000001")
+    cluster.rules.cancelling("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
-    world.run(1.0)
+    cluster.run(1.0)
     assert seen
     assert seen[0] is not None
 
 
 def test_a_leader_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
-    world = busy_world(34)
-    leader = leading(world)
+    cluster = busy_cluster(34)
+    leader = leading(cluster)
     leader.tokens._spares.clear()
     commits = leader.commit_queue.commits
-    world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
-    world.run(0.2)
+    cluster.submit(cluster.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
+    cluster.run(0.2)
     leader.tokens._spares.clear()  # as if its machine's token had been raised to the newest
-    world.run(20)
+    cluster.run(20)
     assert leader.commit_queue.commits > commits
-    assert "j-000200/0" in world.rules.done
+    assert "j-000200/0" in cluster.rules.done
     assert leader.fencing.machines_awaiting_token == {}
 
 
 def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
-    world = busy_world(48)
+    cluster = busy_cluster(48)
     with caplog.at_level(logging.INFO):
-        hold_and_cancel(world)
-        run_watched(world, 60.0)
+        hold_and_cancel(cluster)
+        run_watched(cluster, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
         assert COUNTED[name].search(caplog.text), name
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
-    world = busy_world(35)
-    world.holds.append(Hold(world.now + 3.0, 45.0, 45.0, verb="launch"))
-    submit_small_jobs(world)
-    world.run(7)
-    shown = leading(world).status()["commands"]
+    cluster = busy_cluster(35)
+    cluster.holds.append(Hold(cluster.now + 3.0, 45.0, 45.0, verb="launch"))
+    submit_small_jobs(cluster)
+    cluster.run(7)
+    shown = leading(cluster).status()["commands"]
     assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0
     assert shown["starts_sent"] > shown["starts_answered"]
     row = shown["in_doubt"][0]
-    assert row["first_sent_at"] < row["in_doubt_since"] <= world.now
+    assert row["first_sent_at"] < row["in_doubt_since"] <= cluster.now
     assert row["token"] > 0
     assert row["epoch"] == 1
     told = orjson.loads(
-        orjson.dumps(leading_controller(world).administration.status())
+        orjson.dumps(leading_controller(cluster).administration.status())
     )  # as the administration API tells it
     assert told["invariants"] == {"violations": {}, "newest": []}
     assert told["leadership"]["commands"] == shown
@@ -347,41 +347,41 @@
 # -- versions, and a lost store ---------------------------------------------------------------------------------------
 
 
-def cancel_held(world: World) -> None:
+def cancel_held(cluster: SimulatedCluster) -> None:
     """Starts are held, their jobs cancelled, and tokens raised for that."""
-    hold_and_cancel(world)
-    world.run(4)
-    assert leading(world).tokens.issued_count > 0
+    hold_and_cancel(cluster)
+    cluster.run(4)
+    assert leading(cluster).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_version_in_production_leads_after_tokens_were_raised(seed: int) -> None:
     """It knows nothing of raised tokens: its own, the version of its key, is above all of them."""
-    world = busy_world(40 + seed)
-    cancel_held(world)
-    raised = leading(world).tokens.highest_issued
-    for name in world.names:
-        world.kill(name, 0.3, production() or NEW)
-    run_watched(world, 100.0)
-    leader = world.leader()
+    cluster = busy_cluster(40 + seed)
+    cancel_held(cluster)
+    raised = leading(cluster).tokens.highest_issued
+    for name in cluster.names:
+        cluster.kill(name, 0.3, production() or NEW)
+    run_watched(cluster, 100.0)
+    leader = cluster.leader()
     assert leader is not None
-    assert world.nodes[leader].election.token > raised
-    assert world.rules.broken == []
-    assert world.rules.refused_starts["token"] > 0
+    assert cluster.nodes[leader].election.token > raised
+    assert cluster.rules.broken == []
+    assert cluster.rules.refused_starts["token"] > 0
 
 
 def test_a_store_that_is_lost_after_tokens_were_raised_is_rebuilt() -> None:
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
-    world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
-    cancel_held(world)
-    running, tokens = set(world.rules.where), leading_controller(world).rebuild.tokens
-    assert tokens.last_term_token == leading(world).tokens.highest_issued == tokens.highest
-    world.state.wipe()
-    run_watched(world, 100.0)
-    assert leading(world).tokens.first > tokens.last_term_token - 1
-    assert world.rules.broken == []
-    assert running <= set(world.rules.where), "what ran goes on"
+    cluster = busy_cluster(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
+    cancel_held(cluster)
+    running, tokens = set(cluster.rules.where), leading_controller(cluster).rebuild.tokens
+    assert tokens.last_term_token == leading(cluster).tokens.highest_issued == tokens.highest
+    cluster.state.wipe()
+    run_watched(cluster, 100.0)
+    assert leading(cluster).tokens.first > tokens.last_term_token - 1
+    assert cluster.rules.broken == []
+    assert running <= set(cluster.rules.where), "what ran goes on"
 
 
 # -- invariants -------------------------------------------------------------------------------------------------------
@@ -392,13 +392,13 @@
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
     monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
-    world = busy_world(45)
-    hold_and_cancel(world)
-    run_watched(world, 80.0)
+    cluster = busy_cluster(45)
+    hold_and_cancel(cluster)
+    run_watched(cluster, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
-    assert world.rules.broken == []
-    assert world.sessions_lost > 0
-    assert leading_controller(world).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
+    assert cluster.rules.broken == []
+    assert cluster.sessions_lost > 0
+    assert leading_controller(cluster).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
 
 
@@ -411,11 +411,11 @@
         lambda _, placement, __: None if placement.state == PlacementState.BOUND else Refusal.ALREADY_REPORTED,
     )
     monkeypatch.setattr(Authority, "check_transmission", lambda *_: None)
-    world = busy_world(46)
-    hold_and_cancel(world)
-    run_watched(world, 60.0)
+    cluster = busy_cluster(46)
+    hold_and_cancel(cluster)
+    run_watched(cluster, 60.0)
     assert Invariant.NO_START_AFTER_END.name in {line.partition(":")[0] for line in no_violations}
-    assert world.rules.broken == []
+    assert cluster.rules.broken == []
     no_violations.clear()
 
 
@@ -435,12 +435,12 @@
 
 
 def test_a_fenced_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
-    world = busy_world(47)
-    leader = leading(world)
+    cluster = busy_cluster(47)
+    leader = leading(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
     leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
-    world.run(5)
+    cluster.run(5)
     assert no_violations
     assert no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
     assert Machine("n").fenced_starts == {}
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -8,30 +8,30 @@
 from stileloft.scheduling.autoscaling import ScalingPlan
 from stileloft.transport import sockets
 from stileloft.transport.sockets import SocketUsage
-from tests.simulation.fleet import JOBS, FleetWorld
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.fleet import JOBS, FleetCluster
 
 MACHINES = 4000
 
 
-def finished_jobs(world: World) -> int:
-    return sum(world.rules.last.get(job) == "done" for job in world.jobs)
+def finished_jobs(cluster: SimulatedCluster) -> int:
+    return sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs)
 
 
-def known_machines(world: World) -> int:
+def known_machines(cluster: SimulatedCluster) -> int:
     """Machines that the present leader hears."""
-    term = world.nodes[world.leader()].leader
+    term = cluster.nodes[cluster.leader()].leader
     return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
 
 
-def run_until_done(world: World, longest_s: float) -> None:
-    end = world.now + longest_s
-    while world.now < end and finished_jobs(world) < JOBS:
-        world.run(5)
-    world.rules.check_cancelled()
-    assert world.rules.broken == []
-    assert finished_jobs(world) == JOBS
-    assert world.cloud.refused_rates == 0
+def run_until_done(cluster: SimulatedCluster, longest_s: float) -> None:
+    end = cluster.now + longest_s
+    while cluster.now < end and finished_jobs(cluster) < JOBS:
+        cluster.run(5)
+    cluster.rules.check_cancelled()
+    assert cluster.rules.broken == []
+    assert finished_jobs(cluster) == JOBS
+    assert cluster.cloud.refused_rates == 0
 
 
 @pytest.mark.parametrize("keeps", [False, True])
@@ -39,74 +39,74 @@
     """With `keeps`, workers' connections stay open as in small fleets; others are refused, and lose their leases."""
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
-    world = FleetWorld(1, MACHINES // 2 if keeps else MACHINES)
+    cluster = FleetCluster(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
-        world.run(1.5 * world.LEASE_S)
-        assert world.sessions_lost > 100
+        cluster.run(1.5 * cluster.LEASE_S)
+        assert cluster.sessions_lost > 100
         return
-    world.submit_batch(12.0)
-    run_until_done(world, 90.0)
-    assert world.sessions_lost == 0
-    assert known_machines(world) >= MACHINES
-    assert all(world.sockets(name) <= world.SOCKETS for name in world.names)
+    cluster.submit_batch(12.0)
+    run_until_done(cluster, 90.0)
+    assert cluster.sessions_lost == 0
+    assert known_machines(cluster) >= MACHINES
+    assert all(cluster.sockets(name) <= cluster.SOCKETS for name in cluster.names)
 
 
 def test_a_new_leader_takes_over_the_fleet_before_a_lease_ends() -> None:
-    world = FleetWorld(2, MACHINES)
-    world.submit_batch(8.0)
-    world.run(20)
-    world.kill(world.leader())
-    world.run(world.LEASE_S / 2)
-    assert known_machines(world) >= MACHINES
-    run_until_done(world, 90.0)
-    assert world.sessions_lost == 0
+    cluster = FleetCluster(2, MACHINES)
+    cluster.submit_batch(8.0)
+    cluster.run(20)
+    cluster.kill(cluster.leader())
+    cluster.run(cluster.LEASE_S / 2)
+    assert known_machines(cluster) >= MACHINES
+    run_until_done(cluster, 90.0)
+    assert cluster.sessions_lost == 0
 
 
 def test_a_new_leader_takes_no_machine_for_slow(caplog: pytest.LogCaptureFixture) -> None:
     """Tasks that ran when it began end sooner after it first saw them; those begun later are not slow beside them."""
     caplog.set_level("INFO")
-    world = FleetWorld(6, 300)
-    world.submit_batch(8.0)
-    world.run(22)
-    world.kill(world.leader())
-    run_until_done(world, 90.0)
+    cluster = FleetCluster(6, 300)
+    cluster.submit_batch(8.0)
+    cluster.run(22)
+    cluster.kill(cluster.leader())
+    run_until_done(cluster, 90.0)
     assert "is slow" not in caplog.text
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
     """All workers end their tasks; every one of them finds the way back, and the batch is finished."""
-    world = FleetWorld(3, MACHINES)
-    world.submit_batch(8.0)
-    world.run(20)
-    for name in world.names:
-        world.kill(name, back_after=1.3 * world.LEASE_S)
-    world.run(1.3 * world.LEASE_S)
-    assert world.sessions_lost >= MACHINES
-    world.run(world.LEASE_S)
-    assert known_machines(world) >= MACHINES
-    lost = world.sessions_lost
-    run_until_done(world, 120.0)
-    assert world.sessions_lost == lost
+    cluster = FleetCluster(3, MACHINES)
+    cluster.submit_batch(8.0)
+    cluster.run(20)
+    for name in cluster.names:
+        cluster.kill(name, back_after=1.3 * cluster.LEASE_S)
+    cluster.run(1.3 * cluster.LEASE_S)
+    assert cluster.sessions_lost >= MACHINES
+    cluster.run(cluster.LEASE_S)
+    assert known_machines(cluster) >= MACHINES
+    lost = cluster.sessions_lost
+    run_until_done(cluster, 120.0)
+    assert cluster.sessions_lost == lost
 
 
 def test_a_list_of_many_pages_is_read_within_the_clouds_limit() -> None:
     """In one go it would take more requests than the cloud allows, and none of it would be known."""
-    world = FleetWorld(4, 6000, booted=False)
-    world.run(20)
-    assert len(world.nodes[world.leader()].leader.cluster.machines) >= 6000
-    assert world.cloud.refused_rates == 0
+    cluster = FleetCluster(4, 6000, booted=False)
+    cluster.run(20)
+    assert len(cluster.nodes[cluster.leader()].leader.cluster.machines) >= 6000
+    assert cluster.cloud.refused_rates == 0
 
 
 def test_rentals_of_more_than_a_request_holds_are_made_in_several() -> None:
     """In one request the rest would not come, and look as if the cloud had no more of these machines."""
-    world = World(seed=5, capacity=1000, loss=0.0)
-    world.run(5)
-    leader = world.nodes[world.leader()].leader
-    before = len(world.cloud.machines)
+    cluster = SimulatedCluster(seed=5, capacity=1000, loss=0.0)
+    cluster.run(5)
+    leader = cluster.nodes[cluster.leader()].leader
+    before = len(cluster.cloud.machines)
     wanted = 2 * PROVISION_LIMIT + 20
     leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): wanted}))
-    world.run(2)
-    assert len(world.cloud.machines) - before >= wanted
+    cluster.run(2)
+    assert len(cluster.cloud.machines) - before >= wanted
     assert not leader.provisioner.offers_without_capacity()
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -11,9 +11,9 @@
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
 from stileloft.settings import Team
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.gangs import Gang
 from tests.simulation.workers import Machine
-from tests.simulation.world import World
 from tests.test_rules import (
     burst,
     crash_all_at_once,
@@ -32,7 +32,7 @@
 )
 
 
-def gang(world: World, number: int, **changes: object) -> dict:
+def gang(cluster: SimulatedCluster, number: int, **changes: object) -> dict:
     fields = {
         "lane": "solver",
         "shape": "gang",
@@ -45,28 +45,28 @@
         "snapshotS": 4.0,
         "stashS": 1.0,
     } | changes
-    return world.job(number, **fields)
+    return cluster.job(number, **fields)
 
 
-def gang_load(world: World, first: int = 100, count: int = 8, every: float = 4.0) -> None:
+def gang_load(cluster: SimulatedCluster, first: int = 100, count: int = 8, every: float = 4.0) -> None:
     for number in range(count):
         pieces = (2, 4, 6, 3)[number % 4]
         # Some may be anywhere, some on spot machines, some never save, some are more pressing.
         changes = ({}, {"together": False}, {"loaner": True, "urgency": "urgent"}, {"snapshotS": 0.0, "stashS": 0.0})
-        body = gang(world, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
-        world.clock.callLater(2.0 + number * every, world.submit, body)
+        body = gang(cluster, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
+        cluster.clock.callLater(2.0 + number * every, cluster.submit, body)
 
 
-def when(world: World, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
+def when(cluster: SimulatedCluster, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
     """Does something at the first moment at which an attempt of a gang looks so; says when that was."""
     at: list[float] = []
 
     def look() -> None:
-        found = next((g for g in list(world.gangs.values()) if seen(g)), None)
+        found = next((g for g in list(cluster.gangs.values()) if seen(g)), None)
         if found is None:
-            world.clock.callLater(0.02, look)
+            cluster.clock.callLater(0.02, look)
         else:
-            at.append(world.now)
+            at.append(cluster.now)
             then(found)
 
     look()
@@ -86,28 +86,28 @@
 
 
 def done_on_one(g: Gang) -> bool:
-    return g.over and any(f"{name}" in g.world.rules.done for name in g.members)
+    return g.over and any(f"{name}" in g.cluster.rules.done for name in g.members)
 
 
 def die_one(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
-    g.world.cloud.machines.pop(machine.name, None)
+    g.cluster.cloud.machines.pop(machine.name, None)
     machine.die()
 
 
 def take_back_one(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
-    machine.notice = g.world.now + 7.0
+    machine.notice = g.cluster.now + 7.0
 
     def gone() -> None:
-        g.world.cloud.machines.pop(machine.name, None)
+        g.cluster.cloud.machines.pop(machine.name, None)
         machine.die()
 
-    g.world.clock.callLater(7.0, gone)
+    g.cluster.clock.callLater(7.0, gone)
 
 
 def lead_anew(g: Gang) -> None:
-    crash_leader(g.world)
+    crash_leader(g.cluster)
 
 
 MOMENTS = {"gathering": gathering, "running": running, "stopping": stopping, "done on one": done_on_one}
@@ -116,82 +116,82 @@
 @pytest.mark.parametrize("moment", MOMENTS)
 @pytest.mark.parametrize("trouble", ["take-over", "machine dies"])
 def test_at_each_moment_of_a_gang(moment: str, trouble: str) -> None:
-    world = World(seed=len(moment) + len(trouble), loss=0.004)
-    gang_load(world)
+    cluster = SimulatedCluster(seed=len(moment) + len(trouble), loss=0.004)
+    gang_load(cluster)
     if moment == "stopping":
-        when(world, running, take_back_one)
-    met = when(world, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
-    finish(world, 300)
+        when(cluster, running, take_back_one)
+    met = when(cluster, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
+    finish(cluster, 300)
     assert met
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
 
 
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
 def test_take_over_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Committed in part: nothing was started, and it is taken back. Started in part: the rest follows."""
-    world = World(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
-    handle, launched = world.state.handle, Machine.start
+    cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
+    handle, launched = cluster.state.handle, Machine.start
     commits: list[float] = []
     launches: list[float] = []
 
     def counted(caller: str, method: str, path: str, body: dict) -> object:
         if path == "/commit" and any("tasks/j-000001/" in write.get("set", "") for write in body["writes"]):
-            commits.append(world.now)
+            commits.append(cluster.now)
             if len(commits) == 1 and stored == "in part":
-                world.clock.callLater(0.0, world.kill, caller, 1.0)
+                cluster.clock.callLater(0.0, cluster.kill, caller, 1.0)
         return handle(caller, method, path, body)
 
     def counted_start(machine: Machine, name: str, attempt: int, known: dict | None) -> None:
-        launches.append(world.now)
+        launches.append(cluster.now)
         if len(launches) == 1 and stored != "in part":
-            world.kill(world.leader(), 1.0)
+            cluster.kill(cluster.leader(), 1.0)
         launched(machine, name, attempt, known)
 
-    world.state.handle = counted  # type: ignore[method-assign]
+    cluster.state.handle = counted  # type: ignore[method-assign]
     monkeypatch.setattr(Machine, "start", counted_start)
-    world.submit(gang(world, 1, pieces=24))
+    cluster.submit(gang(cluster, 1, pieces=24))
     while not commits:
-        world.run(0.5)
-    assert {len(launches), len(world.gangs)} == {0} or stored != "in part"
-    finish(world, 200)
-    assert world.rules.broken == []
-    assert world.rules.last["j-000001"] == "done"
+        cluster.run(0.5)
+    assert {len(launches), len(cluster.gangs)} == {0} or stored != "in part"
+    finish(cluster, 200)
+    assert cluster.rules.broken == []
+    assert cluster.rules.last["j-000001"] == "done"
     # Taken back: a second attempt. Started in part: the first goes on.
-    assert sorted(attempt for _, attempt in world.gangs) == ([2] if stored == "in part" else [1])
+    assert sorted(attempt for _, attempt in cluster.gangs) == ([2] if stored == "in part" else [1])
 
 
 def test_a_new_leader_stops_nothing_before_it_has_read_the_store() -> None:
     """Reports that came in between were taken as of tasks that are not to be there, which were stopped."""
-    world = World(seed=32, loss=0.0)
-    world.submit(world.job(1, pieces=6, guessS=600.0))
-    world.submit(gang(world, 2, guessS=600.0))
-    world.run(60)
-    assert len(world.rules.where) >= 6
-    before = dict(world.rules.where)
-    handle = world.state.handle
+    cluster = SimulatedCluster(seed=32, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=6, guessS=600.0))
+    cluster.submit(gang(cluster, 2, guessS=600.0))
+    cluster.run(60)
+    assert len(cluster.rules.where) >= 6
+    before = dict(cluster.rules.where)
+    handle = cluster.state.handle
 
     def slow(caller: str, method: str, path: str, body: object) -> object:
         answer = handle(caller, method, path, body)
         if not path.startswith("/kv?under=tasks/"):
             return answer
         late: defer.Deferred = defer.Deferred()
-        world.clock.callLater(1.2, late.callback, answer)
+        cluster.clock.callLater(1.2, late.callback, answer)
         return late
 
-    world.state.handle = slow  # type: ignore[method-assign]
-    leader = world.leader()
-    world.kill(leader, 0.2)
-    for machine in world.cloud.machines.values():
-        world.clock.callLater(0.8, machine.send_report)
+    cluster.state.handle = slow  # type: ignore[method-assign]
+    leader = cluster.leader()
+    cluster.kill(leader, 0.2)
+    for machine in cluster.cloud.machines.values():
+        cluster.clock.callLater(0.8, machine.send_report)
         machine.target = leader
-    world.run(6)
-    assert world.leader() is not None
-    assert world.rules.broken == []
-    assert {task: world.rules.where.get(task) for task in before} == before
+    cluster.run(6)
+    assert cluster.leader() is not None
+    assert cluster.rules.broken == []
+    assert {task: cluster.rules.where.get(task) for task in before} == before
 
 
-TROUBLES: dict[str, list[Callable[[World], None]]] = {
+TROUBLES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
     "quiet": [],
     "machines die": [machines_die, machines_die],
     "machines hang past the lease": [hang(20.0), crash_leader],
@@ -206,63 +206,63 @@
 
 @pytest.mark.parametrize("name", TROUBLES)
 def test_day_with_gangs(name: str) -> None:
-    world = World(seed=50 + len(name), loss=0.004)
-    load(world, jobs=12)
-    gang_load(world, count=10)
+    cluster = SimulatedCluster(seed=50 + len(name), loss=0.004)
+    load(cluster, jobs=12)
+    gang_load(cluster, count=10)
     for number, trouble in enumerate(TROUBLES[name]):
-        world.clock.callLater(33.0 + 9.0 * number, trouble, world)
-    world.clock.callLater(34.0, world.cancel, "j-000101")
-    world.clock.callLater(45.0, world.cancel, "j-000104")
-    world.rules.troubled_until = 110.0
-    finish(world)
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+        cluster.clock.callLater(33.0 + 9.0 * number, trouble, cluster)
+    cluster.clock.callLater(34.0, cluster.cancel, "j-000101")
+    cluster.clock.callLater(45.0, cluster.cancel, "j-000104")
+    cluster.rules.troubled_until = 110.0
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
 
 
 def test_a_stopped_gang_saves_together_and_goes_on_from_there() -> None:
     """All are told at once: more pressing work takes its place, and nothing of its progress is lost."""
-    world = World(seed=41, loss=0.0)
-    world.cloud.most = 1
-    world.cloud.kinds = {"large"}
-    world.submit(gang(world, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
-    world.lengths["j-000001/0"] = 40.0
-    world.run(45)
-    assert [g.running_since is not None for g in world.gangs.values()] == [True]
-    world.submit(world.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
-    finish(world, 250)
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
-    assert world.lost_gangs == 0
-    assert world.saved["j-000001"] > 4.0
-    assert len(world.gangs) == 2
-    assert world.rules.final_at["j-000002"] < world.rules.final_at["j-000001"]
+    cluster = SimulatedCluster(seed=41, loss=0.0)
+    cluster.cloud.most = 1
+    cluster.cloud.kinds = {"large"}
+    cluster.submit(gang(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
+    cluster.lengths["j-000001/0"] = 40.0
+    cluster.run(45)
+    assert [g.running_since is not None for g in cluster.gangs.values()] == [True]
+    cluster.submit(cluster.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
+    finish(cluster, 250)
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.lost_gangs == 0
+    assert cluster.saved["j-000001"] > 4.0
+    assert len(cluster.gangs) == 2
+    assert cluster.rules.final_at["j-000002"] < cluster.rules.final_at["j-000001"]
 
 
 def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
     """Room for seven of eight is room for none; small tasks that fill each hole do not keep it out for ever."""
-    world = World(seed=42, loss=0.0)
-    world.cloud.most = 1
-    world.cloud.kinds = {"large"}
+    cluster = SimulatedCluster(seed=42, loss=0.0)
+    cluster.cloud.most = 1
+    cluster.cloud.kinds = {"large"}
     for number in range(90):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 2.0 * number,
-            world.submit,
-            world.job(
+            cluster.submit,
+            cluster.job(
                 1000 + number, pieces=2, vcpus=4.0, guessS=7.0, builds=["large"], crew=("core", "edge")[number % 2]
             ),
         )
-    wide = gang(world, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
-    world.clock.callLater(40.0, world.submit, wide)
-    while world.now < 300 and not world.rules.is_final("j-000001"):
-        world.run(2.0)
-    assert world.rules.begun_at["j-000001"] - world.rules.submitted_at["j-000001"] < 240
-    (only,) = world.gangs.values()
-    assert world.rules.broken == []
+    wide = gang(cluster, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
+    cluster.clock.callLater(40.0, cluster.submit, wide)
+    while cluster.now < 300 and not cluster.rules.is_final("j-000001"):
+        cluster.run(2.0)
+    assert cluster.rules.begun_at["j-000001"] - cluster.rules.submitted_at["j-000001"] < 240
+    (only,) = cluster.gangs.values()
+    assert cluster.rules.broken == []
     assert max(only.gathered) - min(only.gathered) < 3.0
 
 
 def job_of(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
-    body = World.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
+    body = SimulatedCluster.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
     job = Job(parse_job(body), 0.0, size)
     for index, (attempt, state, done) in enumerate(states):
         placement = Placement(job.id, index, attempt, "n-0", "a", False, state, done=done)
@@ -298,7 +298,7 @@
     types = {"small": MachineType("small", 8.0, 32.0, 0.5, 0.2, 30.0, ("a", "b"))}
 
     def reason(**changes: object) -> str | None:
-        body = World.job(None, 1, shape="gang", pieces=4, vcpus=4.0, crew="core") | changes  # type: ignore[arg-type]
+        body = SimulatedCluster.job(None, 1, shape="gang", pieces=4, vcpus=4.0, crew="core") | changes  # type: ignore[arg-type]
         return infeasibility_reason(parse_job(body), teams, types, 4096)
 
     assert reason() is None
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.held_starts import SCENARIOS, SMALL_JOBS, busy_world, hold_and_cancel, play, run_watched
+from tests.held_starts import SCENARIOS, SMALL_JOBS, busy_cluster, hold_and_cancel, play, run_watched
 
 HELD = [name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["heartbeats go on"].hold]
 """Scenarios in which the starts themselves are held, for longer than their jobs' cancellation may take."""
@@ -14,21 +14,21 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_start_that_was_held_up_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
     """The incident: heartbeats go on, each answer carries a stop, and the start comes after them all."""
-    world = busy_world(seed)
-    jobs = hold_and_cancel(world, 45.0, 80.0)
-    run_watched(world, 100.0)
-    assert set(jobs) <= world.rules.cancelled_at.keys()
-    assert world.rules.broken == []
+    cluster = busy_cluster(seed)
+    jobs = hold_and_cancel(cluster, 45.0, 80.0)
+    run_watched(cluster, 100.0)
+    assert set(jobs) <= cluster.rules.cancelled_at.keys()
+    assert cluster.rules.broken == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_held_command_together_with_another_fault(name: str, seed: int) -> None:
-    world, outcome = play(SCENARIOS[name], seed)
+    cluster, outcome = play(SCENARIOS[name], seed)
     assert outcome.broken == ()
     assert outcome.cancelled == SMALL_JOBS
     assert outcome.longest_part <= 1.0
-    assert world.rules.started_after == []
+    assert cluster.rules.started_after == []
     if name in HELD:
         assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
 
@@ -36,29 +36,29 @@
 @pytest.mark.parametrize("name", ["heartbeats go on", "the cloud is out", "the leader ends after it"])
 def test_the_other_tasks_of_a_machine_do_not_pay(name: str) -> None:
     """A start is fenced, and what runs beside it goes on: no session ends, and no task begins again."""
-    world, outcome = play(SCENARIOS[name], 3)
+    cluster, outcome = play(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0
     assert outcome.long_tasks_lost == 0
-    assert world.sessions_lost == 0
+    assert cluster.sessions_lost == 0
 
 
 def test_a_start_that_is_hours_late_is_refused() -> None:
-    world = busy_world(4)
+    cluster = busy_cluster(4)
     held: list[Callable[[], Any]] = []
-    send = world.send
+    send = cluster.send
 
     def sending(source: str, target: str, work: Callable[[], Any], held_s: tuple[float, float] = (0.0, 0.0)) -> Any:
         if held_s[0] > 0.0:
             held.append(work)
         return send(source, target, work, held_s)
 
-    world.send = sending  # type: ignore[method-assign]
-    hold_and_cancel(world, 7200.0, 7200.0)
-    run_watched(world, 60.0)
+    cluster.send = sending  # type: ignore[method-assign]
+    hold_and_cancel(cluster, 7200.0, 7200.0)
+    run_watched(cluster, 60.0)
     assert held, "nothing was held"
-    starts, refused = world.rules.starts, world.rules.refused_starts["token"]
+    starts, refused = cluster.rules.starts, cluster.rules.refused_starts["token"]
     for arrive in held:
         arrive()  # no matter when: the worker knows a higher token for good
-    run_watched(world, 10.0)
-    assert world.rules.starts == starts
-    assert world.rules.refused_starts["token"] > refused
+    run_watched(cluster, 10.0)
+    assert cluster.rules.starts == starts
+    assert cluster.rules.refused_starts["token"] > refused
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -15,7 +15,7 @@
 from stileloft.model.jobs import Job
 from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 from tests.test_rules import crash_leader, finish, load, outage
 from tests.test_upgrade import stored_spec
 from tests.versions import LAST_FORMAT_1, NEW, from_history
@@ -23,10 +23,10 @@
 needs_history = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
 
 
-def count_changes(world: World) -> Counter[str]:
+def count_changes(cluster: SimulatedCluster) -> Counter[str]:
     """Counts the store's executed changes from now on, by their key's first part and what they do."""
     counted: Counter[str] = Counter()
-    commit = world.state.commit
+    commit = cluster.state.commit
 
     def counting(body: Any) -> Reply:
         reply = commit(body)
@@ -36,36 +36,36 @@
                 counted[f"{what} {write[what].partition('/')[0]}"] += 1
         return reply
 
-    world.state.commit = counting  # type: ignore[method-assign]
+    cluster.state.commit = counting  # type: ignore[method-assign]
     return counted
 
 
-def world_in_newest_format(seed: int, **more: Any) -> World:
+def cluster_in_newest_format(seed: int, **more: Any) -> SimulatedCluster:
     """A world whose controllers all write the newest format."""
-    world = World(seed, loss=0.0, **more)
-    world.run(15)
-    assert {node.record_format.number for node in world.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
-    return world
+    cluster = SimulatedCluster(seed, loss=0.0, **more)
+    cluster.run(15)
+    assert {node.record_format.number for node in cluster.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
+    return cluster
 
 
-def run_until_started(world: World, tasks: int) -> None:
+def run_until_started(cluster: SimulatedCluster, tasks: int) -> None:
     for _ in range(120):
-        if len(world.rules.where) >= tasks:
+        if len(cluster.rules.where) >= tasks:
             return
-        world.run(1)
+        cluster.run(1)
     raise AssertionError("the tasks did not start")
 
 
 def test_a_one_task_job_takes_five_changes() -> None:
     """Accepted, placed, running, and the two of its end; six with a record for its chunk."""
-    world = world_in_newest_format(101)
-    counted = count_changes(world)
+    cluster = cluster_in_newest_format(101)
+    counted = count_changes(cluster)
     for number in range(30):
-        world.clock.callLater(number * 1.0, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=8.0))
-    finish(world)
+        cluster.clock.callLater(number * 1.0, cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=8.0))
+    finish(cluster)
     jobs = {kind: count for kind, count in counted.items() if "active" in kind or "final" in kind or "tasks" in kind}
-    assert set(world.rules.last.values()) == {"done"}
-    assert world.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.rules.broken == []
     assert jobs["set final"] == jobs["delete active"] == 30
     assert jobs["set active"] <= 3 * 30
     assert set(jobs) == {"set active", "set final", "delete active"}
@@ -73,97 +73,99 @@
 
 def test_a_cancelled_job_keeps_what_may_still_run() -> None:
     """Its record goes with the cancellation. Were its placements gone with it, nobody would stop them or count them."""
-    world = world_in_newest_format(102)
-    world.submit(world.job(1, pieces=3, guessS=200.0))
-    run_until_started(world, 3)
-    assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
-    leader = world.leader()
+    cluster = cluster_in_newest_format(102)
+    cluster.submit(cluster.job(1, pieces=3, guessS=200.0))
+    run_until_started(cluster, 3)
+    assert records.INLINE_CHUNK in cluster.state.items["active/j-000001"][0]
+    leader = cluster.leader()
     assert leader is not None
     # The leader hears nothing of it, and ends before it could.
-    world.state.refuses[leader] = world.now + 60.0
-    world.cancel("j-000001")
-    while world.rules.last.get("j-000001") != "aborted":
-        world.run(0.1)
-    kept = world.state.items[records.chunk_key("j-000001", 0)][0]
+    cluster.state.refuses[leader] = cluster.now + 60.0
+    cluster.cancel("j-000001")
+    while cluster.rules.last.get("j-000001") != "aborted":
+        cluster.run(0.1)
+    kept = cluster.state.items[records.chunk_key("j-000001", 0)][0]
     assert len(kept["p"]) == 3
     assert kept["r"] == ["core", 4.0, 0.0, 4.0]
-    world.kill(leader, 30.0)
+    cluster.kill(leader, 30.0)
     # Well within a worker's lease: they are stopped by a successor that found them, and have not merely lapsed.
-    world.run(7)
-    assert world.leader() not in (None, leader)
-    assert world.rules.where == {}
-    assert world.rules.broken == []
-    world.run(20)
-    assert [key for key in world.state.items if "j-000001" in key] == ["final/j-000001"]
+    cluster.run(7)
+    assert cluster.leader() not in (None, leader)
+    assert cluster.rules.where == {}
+    assert cluster.rules.broken == []
+    cluster.run(20)
+    assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
 def test_a_job_cancelled_before_it_is_placed_leaves_no_chunk() -> None:
-    world = world_in_newest_format(103)
-    world.cloud.kinds.clear()  # there is nowhere to run
-    world.submit(world.job(1, pieces=2))
-    world.run(2)
-    counted = count_changes(world)
-    world.cancel("j-000001")
-    world.run(4)
-    assert world.rules.last["j-000001"] == "aborted"
+    cluster = cluster_in_newest_format(103)
+    cluster.cloud.kinds.clear()  # there is nowhere to run
+    cluster.submit(cluster.job(1, pieces=2))
+    cluster.run(2)
+    counted = count_changes(cluster)
+    cluster.cancel("j-000001")
+    cluster.run(4)
+    assert cluster.rules.last["j-000001"] == "aborted"
     assert {kind: n for kind, n in counted.items() if "rented" not in kind} == {"set final": 1, "delete active": 1}
 
 
 def test_a_new_leader_finds_placements_in_the_jobs_record() -> None:
-    world = world_in_newest_format(104)
+    cluster = cluster_in_newest_format(104)
     for number in range(4):
-        world.submit(world.job(number, pieces=3, vcpus=1.0, guessS=60.0))
-    run_until_started(world, 12)
-    starts = world.rules.starts
-    crash_leader(world)
-    world.run(8)
-    assert world.rules.starts == starts
-    assert len(world.rules.where) == 12
-    finish(world)
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
+        cluster.submit(cluster.job(number, pieces=3, vcpus=1.0, guessS=60.0))
+    run_until_started(cluster, 12)
+    starts = cluster.rules.starts
+    crash_leader(cluster)
+    cluster.run(8)
+    assert cluster.rules.starts == starts
+    assert len(cluster.rules.where) == 12
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
 
 
 def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
     """The limit of a value becomes lower without notice, while many tasks are placed."""
-    world = world_in_newest_format(105, value_kb=16.0)
-    world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=60.0))
-    run_until_started(world, 40)
-    assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
-    world.state.value_bytes = 1024
-    finish(world)
-    assert world.rules.broken == []
-    assert world.rules.last == {"j-000001": "done"}
-    world.run(20)
-    assert [key for key in world.state.items if key.startswith(("active/", "tasks/"))] == []
+    cluster = cluster_in_newest_format(105, value_kb=16.0)
+    cluster.submit(cluster.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=60.0))
+    run_until_started(cluster, 40)
+    assert records.INLINE_CHUNK in cluster.state.items["active/j-000001"][0]
+    cluster.state.value_bytes = 1024
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert cluster.rules.last == {"j-000001": "done"}
+    cluster.run(20)
+    assert [key for key in cluster.state.items if key.startswith(("active/", "tasks/"))] == []
 
 
 @needs_history
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
-    world = World(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or NEW)
-    load(world, jobs=24)
+    cluster = SimulatedCluster(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or NEW)
+    load(cluster, jobs=24)
     for number in range(200, 240):
-        world.clock.callLater(0.8 * number - 150, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=12.0))
+        cluster.clock.callLater(
+            0.8 * number - 150, cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=12.0)
+        )
     for number in (205, 212, 219, 226, 233):
-        world.clock.callLater(0.8 * number - 146, world.cancel, f"j-{number:06d}")
-    world.clock.callLater(18.0, world.kill, "node-0", 1.0, NEW)
-    world.clock.callLater(26.0, world.kill, "node-1", 0.3)  # comes back old before its turn
-    world.clock.callLater(32.0, world.kill, "node-1", 1.0, NEW)
+        cluster.clock.callLater(0.8 * number - 146, cluster.cancel, f"j-{number:06d}")
+    cluster.clock.callLater(18.0, cluster.kill, "node-0", 1.0, NEW)
+    cluster.clock.callLater(26.0, cluster.kill, "node-1", 0.3)  # comes back old before its turn
+    cluster.clock.callLater(32.0, cluster.kill, "node-1", 1.0, NEW)
     for seconds in range(40):
-        world.run(1)
-        inline = [key for key, item in world.state.items.items() if records.INLINE_CHUNK in item[0]]
+        cluster.run(1)
+        inline = [key for key, item in cluster.state.items.items() if records.INLINE_CHUNK in item[0]]
         assert inline == [], f"after {seconds} s"
-    world.kill("node-2", 1.0, NEW)
-    world.run(12)
-    assert world.state.items[records.FORMAT][0]["format"] == 2
-    world.clock.callLater(3.0, crash_leader, world)
-    world.clock.callLater(14.0, outage, world)
-    world.rules.troubled_until = world.now + 40.0
-    finish(world)
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+    cluster.kill("node-2", 1.0, NEW)
+    cluster.run(12)
+    assert cluster.state.items[records.FORMAT][0]["format"] == 2
+    cluster.clock.callLater(3.0, crash_leader, cluster)
+    cluster.clock.callLater(14.0, outage, cluster)
+    cluster.rules.troubled_until = cluster.now + 40.0
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
 
 
 def test_an_inline_chunk_is_read_as_it_was_written() -> None:
@@ -193,38 +195,38 @@
     Its successor knows the job by its chunk's record alone. Without the length there it took the tasks for those of
     other chunks, and failed to let go of them.
     """
-    world = world_in_newest_format(106)
-    world.submit(world.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
-    run_until_started(world, 40)
-    assert world.state.items["active/j-000001"][0]["n"] > records.chunk_size(world.value_kb) > 20
-    ask, until = world.state.ask, world.now + 12.0
+    cluster = cluster_in_newest_format(106)
+    cluster.submit(cluster.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
+    run_until_started(cluster, 40)
+    assert cluster.state.items["active/j-000001"][0]["n"] > records.chunk_size(cluster.value_kb) > 20
+    ask, until = cluster.state.ask, cluster.now + 12.0
 
     def asking(caller: str, method: str, path: str, body: Any) -> Any:
-        if path == f"/kv/{records.FORMAT}" and world.now < until:
+        if path == f"/kv/{records.FORMAT}" and cluster.now < until:
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    world.state.ask = asking  # type: ignore[method-assign]
-    for name in world.names:
-        world.kill(name, 0.2)
-    world.run(6)
-    leader = world.leader()
+    cluster.state.ask = asking  # type: ignore[method-assign]
+    for name in cluster.names:
+        cluster.kill(name, 0.2)
+    cluster.run(6)
+    leader = cluster.leader()
     assert leader is not None
-    assert world.nodes[leader].record_format.number == 0
-    world.submit(world.job(2, pieces=2))  # some change of the first job is written too: its counts
-    for machine in list({m.name: m for task, m in world.rules.where.items()}.values())[:1]:
+    assert cluster.nodes[leader].record_format.number == 0
+    cluster.submit(cluster.job(2, pieces=2))  # some change of the first job is written too: its counts
+    for machine in list({m.name: m for task, m in cluster.rules.where.items()}.values())[:1]:
         machine.die()
-    while records.chunk_key("j-000001", 0) not in world.state.items and world.now < until:
-        world.run(0.1)
-    assert world.state.items[records.chunk_key("j-000001", 0)][0]["n"] == 65
-    world.cancel("j-000001")
-    world.run(0.5)
-    crash_leader(world)
-    finish(world)
-    world.run(30)
-    assert world.rules.where == {}
-    assert world.rules.broken == []
-    assert [key for key in world.state.items if "j-000001" in key] == ["final/j-000001"]
+    while records.chunk_key("j-000001", 0) not in cluster.state.items and cluster.now < until:
+        cluster.run(0.1)
+    assert cluster.state.items[records.chunk_key("j-000001", 0)][0]["n"] == 65
+    cluster.cancel("j-000001")
+    cluster.run(0.5)
+    crash_leader(cluster)
+    finish(cluster)
+    cluster.run(30)
+    assert cluster.rules.where == {}
+    assert cluster.rules.broken == []
+    assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
 @example(spec={"pieces": 20, "bundle": "0"}, names=["\U00010000" * 4], done=set(), attempts=0)  # once too large
@@ -238,7 +240,7 @@
     spec: dict[str, Any], names: list[str], done: set[int], attempts: int
 ) -> None:
     """What is reckoned without encoding decides that a chunk is put into it: less than the truth could be too large."""
-    body = World.job(None, 1, **spec)  # type: ignore[arg-type]
+    body = SimulatedCluster.job(None, 1, **spec)  # type: ignore[arg-type]
     job = Job(NEW.messages.parse_job(body), 1e9, 96)
     chunk = job.chunk_of(0)
     chunk.done, chunk.attempt = {i for i in done if i < job.spec.tasks}, attempts
--- a/tests/test_job_parts.py
+++ b/tests/test_job_parts.py
@@ -20,7 +20,7 @@
 from stileloft.protocol.state import ThrottledError, UnavailableError, UnknownOutcomeError
 from stileloft.store.integrity import StoreIntegrity
 from stileloft.transport.rate_limit import TokenBucket
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 LEASE_S = 10.0
 
@@ -45,7 +45,7 @@
         self.backoff = JobBackoff(self.cluster, self.clock, lambda: None)
         self.attribution = FailureAttribution(self.cluster, self.lifecycle, self.backoff, LEASE_S)
         for number in range(jobs):
-            spec = parse_job(World.job(None, number))  # type: ignore[arg-type]
+            spec = parse_job(SimulatedCluster.job(None, number))  # type: ignore[arg-type]
             self.cluster.jobs[spec.id] = Job(spec, 0.0, 8)
 
     def job(self, number: int) -> Job:
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -3,29 +3,29 @@
 import msgspec
 
 from stileloft.protocol import messages
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 def test_a_restarted_leader_ends_its_former_lease_at_once() -> None:
-    world = World(4, loss=0.0)
-    world.run(10)
-    name = world.leader()
+    cluster = SimulatedCluster(4, loss=0.0)
+    cluster.run(10)
+    name = cluster.leader()
     assert name is not None
-    token = world.nodes[name].election.token
-    others = [other for other in world.names if other != name]
+    token = cluster.nodes[name].election.token
+    others = [other for other in cluster.names if other != name]
     for other in others:
-        world.kill(other, None)
-    world.kill(name, 0.2)
-    world.run(1.0)  # far less than the lease of 2 s
-    assert world.leader() == name
-    assert world.nodes[name].election.token > token
+        cluster.kill(other, None)
+    cluster.kill(name, 0.2)
+    cluster.run(1.0)  # far less than the lease of 2 s
+    assert cluster.leader() == name
+    assert cluster.nodes[name].election.token > token
 
 
 def test_a_leader_steps_down_when_a_worker_knows_a_higher_token() -> None:
-    world = World(4, loss=0.0)
-    world.run(10)
-    name = world.leader()
-    node = world.nodes[name]
+    cluster = SimulatedCluster(4, loss=0.0)
+    cluster.run(10)
+    name = cluster.leader()
+    node = cluster.nodes[name]
     report = msgspec.convert(
         {
             "host": "n-1",
@@ -52,33 +52,33 @@
 
 
 def lost_to_a_deaf_leader(seed: int) -> int:
-    world = World(seed, loss=0.0)
-    world.submit(world.job(1, pieces=8, guessS=100.0))
-    while len(world.rules.where) < 8:
-        world.run(1)
-    before, running = world.leader(), set(world.rules.where)
+    cluster = SimulatedCluster(seed, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=8, guessS=100.0))
+    while len(cluster.rules.where) < 8:
+        cluster.run(1)
+    before, running = cluster.leader(), set(cluster.rules.where)
     assert before is not None
     assert len(running) == 8
-    for machine in world.cloud.machines:
-        world.cut(before, machine, 30.0, hold=True)
-    world.run(14)
-    assert world.leader() not in (None, before)
-    lost = len(running - set(world.rules.where))
-    world.run(240)  # what was lost begins again, and takes up to 150 s
-    assert world.rules.broken == []
-    assert world.rules.last["j-000001"] == "done"
+    for machine in cluster.cloud.machines:
+        cluster.cut(before, machine, 30.0, hold=True)
+    cluster.run(14)
+    assert cluster.leader() not in (None, before)
+    lost = len(running - set(cluster.rules.where))
+    cluster.run(240)  # what was lost begins again, and takes up to 150 s
+    assert cluster.rules.broken == []
+    assert cluster.rules.last["j-000001"] == "done"
     return lost
 
 
 def test_a_late_report_does_not_bring_a_machine_back() -> None:
-    world = World(14, loss=0.0)
-    world.submit(world.job(1, pieces=1, guessS=30.0))
-    world.run(30)
-    term = world.nodes[world.leader()].leader
-    machine = next(m for m in world.cloud.machines.values() if m.up)
+    cluster = SimulatedCluster(14, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=1, guessS=30.0))
+    cluster.run(30)
+    term = cluster.nodes[cluster.leader()].leader
+    machine = next(m for m in cluster.cloud.machines.values() if m.up)
     late = messages.parse_heartbeat(machine.report())
-    world.cloud.machines.pop(machine.name).die()
-    world.run(20)
+    cluster.cloud.machines.pop(machine.name).die()
+    cluster.run(20)
     assert machine.name in term.releaser.released
     assert term.on_heartbeat(late).commands == []
     assert machine.name not in term.cluster.machines
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -5,91 +5,91 @@
 import pytest
 
 from stileloft.controller.controller import Controller
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 from tests.test_inline_records import count_changes
 from tests.test_overlapping_faults import all_away, boots, cancel_now, close_looks, late_writes, many_questions, outage
 from tests.test_rules import crash_leader, finish, load, spot_wave
 
-Trouble = Callable[[World], None]
+Trouble = Callable[[SimulatedCluster], None]
 
 
-def guests(world: World) -> None:
+def guests(cluster: SimulatedCluster) -> None:
     """A team without a guarantee: idle work, an array of thousands, and a swarm of one-task jobs."""
     few = {"crew": "guest", "urgency": "idle"}
     for number in range(3):
-        idle = world.job(
+        idle = cluster.job(
             3000 + number, pieces=8, vcpus=4.0, guessS=60.0, snapshotS=10.0, stashS=1.0, lane="idle", **few
         )
-        world.submit(idle)
-    world.submit(world.job(3100, pieces=4000, vcpus=0.5, memGb=0.2, guessS=3.0, lane="giant", **few))
+        cluster.submit(idle)
+    cluster.submit(cluster.job(3100, pieces=4000, vcpus=0.5, memGb=0.2, guessS=3.0, lane="giant", **few))
     for number in range(160):
-        swarm = world.job(3200 + number, pieces=1, vcpus=1.0, memGb=0.5, guessS=8.0, lane="swarm", **few)
-        world.clock.callLater(8.0 + number / 4, world.submit, swarm)
+        swarm = cluster.job(3200 + number, pieces=1, vcpus=1.0, memGb=0.5, guessS=8.0, lane="swarm", **few)
+        cluster.clock.callLater(8.0 + number / 4, cluster.submit, swarm)
 
 
 def stand_still(seconds: float) -> Trouble:
     """The leader stands still while its clocks run on."""
 
-    def start(world: World) -> None:
-        name = world.leader()
+    def start(cluster: SimulatedCluster) -> None:
+        name = cluster.leader()
         if name is not None:
-            world.freeze(name, seconds)
+            cluster.freeze(name, seconds)
 
     return start
 
 
-def stand_still_in_elections(world: World) -> None:
+def stand_still_in_elections(cluster: SimulatedCluster) -> None:
     """Whoever leads ends, and each node that may follow stands still for a moment of the election."""
-    crash_leader(world)
-    for number, name in enumerate(world.names):
-        world.clock.callLater(0.3 + 0.7 * number, world.freeze, name, 3.0)
+    crash_leader(cluster)
+    for number, name in enumerate(cluster.names):
+        cluster.clock.callLater(0.3 + 0.7 * number, cluster.freeze, name, 3.0)
 
 
-def stand_still_at_commits(world: World) -> None:
+def stand_still_at_commits(cluster: SimulatedCluster) -> None:
     """The leader stands still just as its transactions are carried out: their answers wait, and others lead."""
-    leader, ask, left = world.leader(), world.state.ask, [4]
+    leader, ask, left = cluster.leader(), cluster.state.ask, [4]
 
     def asking(caller: str, method: str, path: str, body: object) -> object:
         answer = ask(caller, method, path, body)
-        if path == "/commit" and caller == leader and left[0] and world.random.random() < 0.3:
+        if path == "/commit" and caller == leader and left[0] and cluster.random.random() < 0.3:
             left[0] -= 1
-            world.freeze(caller, 4.0)
+            cluster.freeze(caller, 4.0)
         return answer
 
-    world.state.ask = asking  # type: ignore[method-assign]
+    cluster.state.ask = asking  # type: ignore[method-assign]
 
 
-def stand_still_while_deciding(world: World) -> None:
+def stand_still_while_deciding(cluster: SimulatedCluster) -> None:
     """The leader stands still between a decision and what follows from it: it has been replaced meanwhile."""
-    name = world.leader()
-    node = world.nodes[name] if name is not None else None
+    name = cluster.leader()
+    node = cluster.nodes[name] if name is not None else None
     if name is None or node is None:
         return
     decide = node.in_thread
 
     def deciding(function: Callable[..., object], *arguments: object) -> object:
         outcome = decide(function, *arguments)
-        if world.random.random() < 0.2:
-            world.freeze(name, 4.0)
+        if cluster.random.random() < 0.2:
+            cluster.freeze(name, 4.0)
         return outcome
 
     node.in_thread = deciding  # type: ignore[method-assign]
-    world.clock.callLater(12.0, setattr, node, "in_thread", decide)
+    cluster.clock.callLater(12.0, setattr, node, "in_thread", decide)
 
 
-def mistaken_jobs(world: World) -> None:
+def mistaken_jobs(cluster: SimulatedCluster) -> None:
     """Jobs that fail on every machine, until their users cancel them."""
     for number in range(4):
-        body = world.job(3500 + number, pieces=6, vcpus=2.0, urgency="urgent", guessS=3.0, lane="mistaken")
-        world.mistaken.add(body["nameId"])
-        world.submit(body)
-        world.clock.callLater(50.0 + 3 * number, world.cancel, body["nameId"])
+        body = cluster.job(3500 + number, pieces=6, vcpus=2.0, urgency="urgent", guessS=3.0, lane="mistaken")
+        cluster.mistaken.add(body["nameId"])
+        cluster.submit(body)
+        cluster.clock.callLater(50.0 + 3 * number, cluster.cancel, body["nameId"])
 
 
-def faulty_machine(world: World) -> None:
-    up = [m for m in world.cloud.machines.values() if m.up]
+def faulty_machine(cluster: SimulatedCluster) -> None:
+    up = [m for m in cluster.cloud.machines.values() if m.up]
     if up:
-        world.faulty.add(up[0].name)
+        cluster.faulty.add(up[0].name)
 
 
 DAYS: dict[str, list[tuple[float, Trouble]]] = {
@@ -116,90 +116,92 @@
 }
 
 
-def play(name: str, seed: int) -> World:
-    world = World(seed=seed, loss=0.002, capacity=6)
-    load(world, jobs=18)
+def play(name: str, seed: int) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed=seed, loss=0.002, capacity=6)
+    load(cluster, jobs=18)
     for at, trouble in DAYS[name]:
-        world.clock.callLater(35.0 + at, trouble, world)
-    world.rules.troubled_until = 35.0 + 100.0
-    finish(world)
-    return world
+        cluster.clock.callLater(35.0 + at, trouble, cluster)
+    cluster.rules.troubled_until = 35.0 + 100.0
+    finish(cluster)
+    return cluster
 
 
 @pytest.mark.parametrize("name", DAYS)
 def test_day(name: str) -> None:
-    world = play(name, seed=len(name))
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+    cluster = play(name, seed=len(name))
+    assert cluster.rules.broken == []
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
 
 
 def test_guests_take_little_from_the_others() -> None:
     """The same day without them, and with them: how long the other teams' jobs take in all."""
     taken: list[float] = []
     for trouble in ([], [(0.0, guests)]):
-        world = World(seed=17, loss=0.0, capacity=6)
-        load(world, jobs=18)
+        cluster = SimulatedCluster(seed=17, loss=0.0, capacity=6)
+        load(cluster, jobs=18)
         for at, start in trouble:
-            world.clock.callLater(20.0 + at, start, world)
-        finish(world)
-        assert world.rules.broken == []
-        others = [job for job in world.jobs if world.jobs[job]["crew"] != "guest"]
-        taken.append(sum(world.rules.final_at[job] - world.rules.submitted_at[job] for job in others) / len(others))
+            cluster.clock.callLater(20.0 + at, start, cluster)
+        finish(cluster)
+        assert cluster.rules.broken == []
+        others = [job for job in cluster.jobs if cluster.jobs[job]["crew"] != "guest"]
+        taken.append(sum(cluster.rules.final_at[job] - cluster.rules.submitted_at[job] for job in others) / len(others))
     assert taken[1] < 1.25 * taken[0]
 
 
 def test_a_mistaken_job_changes_the_store_ever_less() -> None:
     """It is tried one task at a time, at growing intervals, and no machine is blamed for it."""
-    world = World(seed=18, loss=0.0)
-    world.run(15)
-    world.mistaken.add("j-000900")
-    world.submit(world.job(900, pieces=50, vcpus=1.0, guessS=2.0))
-    world.run(30)
-    counted = count_changes(world)
-    before = world.rules.starts
-    world.run(120)
-    tries = world.rules.starts - before
+    cluster = SimulatedCluster(seed=18, loss=0.0)
+    cluster.run(15)
+    cluster.mistaken.add("j-000900")
+    cluster.submit(cluster.job(900, pieces=50, vcpus=1.0, guessS=2.0))
+    cluster.run(30)
+    counted = count_changes(cluster)
+    before = cluster.rules.starts
+    cluster.run(120)
+    tries = cluster.rules.starts - before
     assert 1 <= tries <= 8
     changes = sum(count for kind, count in counted.items() if "active" in kind or "tasks" in kind)
     assert changes <= 6 * tries
-    term = world.nodes[world.leader()].leader
+    term = cluster.nodes[cluster.leader()].leader
     assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
-    world.cancel("j-000900")
-    finish(world, 60)
-    assert world.rules.last["j-000900"] == "aborted"
-    assert world.rules.broken == []
+    cluster.cancel("j-000900")
+    finish(cluster, 60)
+    assert cluster.rules.last["j-000900"] == "aborted"
+    assert cluster.rules.broken == []
 
 
 def test_polls_do_not_starve_the_leader_or_submissions() -> None:
     """Users ask forty times a second; what they submit meanwhile is accepted, and begins."""
-    world = World(seed=19, loss=0.0)
-    load(world, jobs=8, every=1.0)
-    world.run(30)
-    many_questions(world)
+    cluster = SimulatedCluster(seed=19, loss=0.0)
+    load(cluster, jobs=8, every=1.0)
+    cluster.run(30)
+    many_questions(cluster)
     for number in range(100, 110):
-        world.clock.callLater(2.0 * (number - 99), world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=2.0))
-    world.run(40)
+        cluster.clock.callLater(
+            2.0 * (number - 99), cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=2.0)
+        )
+    cluster.run(40)
     late = [f"j-{n:06d}" for n in range(100, 110)]
-    assert all(world.rules.accepted_at[job] - world.rules.submitted_at[job] < 2.0 for job in late)
-    assert all(world.rules.begun_at[job] - world.rules.submitted_at[job] < 20.0 for job in late)
-    finish(world)
-    assert world.rules.broken == []
+    assert all(cluster.rules.accepted_at[job] - cluster.rules.submitted_at[job] < 2.0 for job in late)
+    assert all(cluster.rules.begun_at[job] - cluster.rules.submitted_at[job] < 20.0 for job in late)
+    finish(cluster)
+    assert cluster.rules.broken == []
 
 
 def test_a_leader_that_stood_still_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """What was checked before is not acted on afterwards. Without the check of its lease, the day shows it."""
-    world = World(seed=20, loss=0.0)
-    world.run(15)
-    name = world.leader()
+    cluster = SimulatedCluster(seed=20, loss=0.0)
+    cluster.run(15)
+    name = cluster.leader()
     assert name is not None
-    node = world.nodes[name]
+    node = cluster.nodes[name]
     assert isinstance(node, Controller)
     term = node.leader
     assert term is not None
-    world.freeze(name, 6.0)
-    world.submit(world.job(1, pieces=2, guessS=4.0))
-    world.run(5.9)
-    assert world.leader() not in (None, name)
+    cluster.freeze(name, 6.0)
+    cluster.submit(cluster.job(1, pieces=2, guessS=4.0))
+    cluster.run(5.9)
+    assert cluster.leader() not in (None, name)
     sent: list[object] = []
     command = node.clients.workers.command
 
@@ -208,9 +210,9 @@
         return command(*arguments)
 
     monkeypatch.setattr(node.clients.workers, "command", commanding)
-    world.run(2)
+    cluster.run(2)
     assert not term.lease.active
     assert sent == []
-    finish(world)
-    assert world.rules.broken == []
-    assert world.rules.last == {"j-000001": "done"}
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert cluster.rules.last == {"j-000001": "done"}
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -9,91 +9,91 @@
 from stileloft.protocol import messages
 from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.transport.client import NoResponseError, Reply
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.deployment import TYPES
 from tests.simulation.workers import Machine
-from tests.simulation.world import World
 from tests.test_rules import crash_leader, finish, hang_machines, load, spot_wave
 
-CANCEL_S = World.CANCEL_S
+CANCEL_S = SimulatedCluster.CANCEL_S
 
 # -- troubles ----------------------------------------------------------------------------------------------------
 
-Trouble = Callable[[World], None]
+Trouble = Callable[[SimulatedCluster], None]
 
 
-def long_jobs(world: World, jobs: int = 9) -> None:
+def long_jobs(cluster: SimulatedCluster, jobs: int = 9) -> None:
     """Work that is still running when the troubles are over."""
     for number in range(jobs):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 0.5 * number,
-            world.submit,
-            world.job(number, pieces=3, vcpus=3.0, guessS=150.0, crew=("core", "edge")[number % 2]),
+            cluster.submit,
+            cluster.job(number, pieces=3, vcpus=3.0, guessS=150.0, crew=("core", "edge")[number % 2]),
         )
 
 
-def some_machines(world: World, part: int = 2) -> list:
-    return [m for m in world.cloud.machines.values() if m.up][::part]
+def some_machines(cluster: SimulatedCluster, part: int = 2) -> list:
+    return [m for m in cluster.cloud.machines.values() if m.up][::part]
 
 
-def nothing(world: World) -> None:
+def nothing(cluster: SimulatedCluster) -> None:
     pass
 
 
-def refuse_leader(world: World, seconds: float = 14.0) -> None:
-    name = world.leader()
+def refuse_leader(cluster: SimulatedCluster, seconds: float = 14.0) -> None:
+    name = cluster.leader()
     if name is not None:
-        world.state.refuses[name] = world.now + seconds
+        cluster.state.refuses[name] = cluster.now + seconds
 
 
-def watch_over_cancellations(world: World, seconds: float) -> None:
-    end = world.now + seconds
-    while world.now < end:
-        world.run(0.25)
-        world.rules.check_cancelled()
+def watch_over_cancellations(cluster: SimulatedCluster, seconds: float) -> None:
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(0.25)
+        cluster.rules.check_cancelled()
 
 
 def outage(seconds: float) -> Trouble:
-    return lambda world: world.state.outage(seconds)
+    return lambda cluster: cluster.state.outage(seconds)
 
 
 def slow_store(seconds: float, longest_s: float = 0.6) -> Trouble:
-    def start(world: World) -> None:
-        world.state.slow = world.now + seconds, longest_s
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.state.slow = cluster.now + seconds, longest_s
 
     return start
 
 
 def late_writes(seconds: float, share: float, at_once: bool = False) -> Trouble:
-    def start(world: World) -> None:
-        world.state.late_writes = world.now + seconds, share, at_once
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.state.late_writes = cluster.now + seconds, share, at_once
 
     return start
 
 
 def close_looks(seconds: float) -> Trouble:
-    def start(world: World) -> None:
-        world.close_looks = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.close_looks = cluster.now + seconds
 
     return start
 
 
 def reports_for_the_next(seconds: float) -> Trouble:
-    def start(world: World) -> None:
-        world.keep_for_next = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.keep_for_next = cluster.now + seconds
 
     return start
 
 
 def held_commands(seconds: float, longest_s: float = 9.0) -> Trouble:
-    def start(world: World) -> None:
-        world.slow_commands = world.now + seconds, longest_s
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.slow_commands = cluster.now + seconds, longest_s
 
     return start
 
 
 def boots(seconds: float, never: float, late: float, boot_s: float) -> Trouble:
-    def start(world: World) -> None:
-        world.cloud.boots_until, world.cloud.boots = world.now + seconds, (never, late, boot_s)
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.cloud.boots_until, cluster.cloud.boots = cluster.now + seconds, (never, late, boot_s)
 
     return start
 
@@ -101,22 +101,22 @@
 def silence(which: str, seconds: float, part: int = 2) -> Trouble:
     """Machines that hear nothing (`deaf`), or reach no controller (`mute`)."""
 
-    def start(world: World) -> None:
-        for machine in some_machines(world, part):
-            getattr(world, which)[machine.name] = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in some_machines(cluster, part):
+            getattr(cluster, which)[machine.name] = cluster.now + seconds
 
     return start
 
 
 def hang_all(seconds: float, part: int = 2) -> Trouble:
-    return lambda world: hang_machines(some_machines(world, part), seconds)
+    return lambda cluster: hang_machines(some_machines(cluster, part), seconds)
 
 
 def cut_machines(seconds: float, part: int = 3) -> Trouble:
-    def start(world: World) -> None:
-        for machine in some_machines(world, part):
-            for name in world.names:
-                world.cut(name, machine.name, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in some_machines(cluster, part):
+            for name in cluster.names:
+                cluster.cut(name, machine.name, seconds, hold=True)
 
     return start
 
@@ -124,43 +124,43 @@
 def cancel_now(count: int, hang_s: float = 0.0) -> Trouble:
     """Users call off jobs that run, within a fifth of a second; some of their machines hang."""
 
-    def start(world: World) -> None:
-        running = list(dict.fromkeys(task.rpartition("/")[0] for task in world.rules.where))[:count]
+    def start(cluster: SimulatedCluster) -> None:
+        running = list(dict.fromkeys(task.rpartition("/")[0] for task in cluster.rules.where))[:count]
         for job in running:
-            world.clock.callLater(world.random.uniform(0.0, 0.2), world.cancel, job)
+            cluster.clock.callLater(cluster.random.uniform(0.0, 0.2), cluster.cancel, job)
         if hang_s:
-            machines = {m.name: m for task, m in world.rules.where.items() if task.rpartition("/")[0] in running}
+            machines = {m.name: m for task, m in cluster.rules.where.items() if task.rpartition("/")[0] in running}
             hang_machines(list(machines.values())[:8], hang_s)
 
     return start
 
 
-def cancel_at_end(world: World) -> None:
+def cancel_at_end(cluster: SimulatedCluster) -> None:
     """For a minute, jobs are called off at the moment at which their last task ends."""
-    completed = world.rules.completed
+    completed = cluster.rules.completed
 
     def ends(task: str) -> None:
         completed(task)
         job = task.rpartition("/")[0]
-        left = [i for i in range(world.jobs[job]["pieces"]) if f"{job}/{i}" not in world.rules.done]
-        if not left and world.random.random() < 0.7:
-            world.clock.callLater(world.random.uniform(0.0, 0.03), world.cancel, job)
+        left = [i for i in range(cluster.jobs[job]["pieces"]) if f"{job}/{i}" not in cluster.rules.done]
+        if not left and cluster.random.random() < 0.7:
+            cluster.clock.callLater(cluster.random.uniform(0.0, 0.03), cluster.cancel, job)
 
-    world.rules.completed = ends  # type: ignore[method-assign]
-    world.clock.callLater(60.0, setattr, world.rules, "completed", completed)
+    cluster.rules.completed = ends  # type: ignore[method-assign]
+    cluster.clock.callLater(60.0, setattr, cluster.rules, "completed", completed)
 
 
 def hand_over(times: int, apart_s: float) -> Trouble:
     """The leadership goes to and fro: whoever leads ends, and is back at once."""
 
-    def start(world: World) -> None:
+    def start(cluster: SimulatedCluster) -> None:
         def end() -> None:
-            name = world.leader()
+            name = cluster.leader()
             if name is not None:
-                world.kill(name, 0.2)
+                cluster.kill(name, 0.2)
 
         for number in range(times):
-            world.clock.callLater(number * apart_s, end)
+            cluster.clock.callLater(number * apart_s, end)
 
     return start
 
@@ -168,77 +168,77 @@
 def leader_alone(seconds: float) -> Trouble:
     """No state service and no peers, but all its workers and users."""
 
-    def start(world: World) -> None:
-        name = world.leader() or "node-0"
-        for other in ["state", *(n for n in world.names if n != name)]:
-            world.cut(name, other, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        name = cluster.leader() or "node-0"
+        for other in ["state", *(n for n in cluster.names if n != name)]:
+            cluster.cut(name, other, seconds, hold=True)
 
     return start
 
 
 def zone_cut(seconds: float, zone: str = "a") -> Trouble:
-    def start(world: World) -> None:
+    def start(cluster: SimulatedCluster) -> None:
         inside = ["node-1", "node-2"] if zone == "a" else ["node-0"]
-        inside += [m.name for m in world.cloud.machines.values() if m.zone == zone]
+        inside += [m.name for m in cluster.cloud.machines.values() if m.zone == zone]
         outside = [
             "state",
             "cloud",
-            *(n for n in world.names if n not in inside),
-            *(m.name for m in world.cloud.machines.values() if m.zone != zone),
+            *(n for n in cluster.names if n not in inside),
+            *(m.name for m in cluster.cloud.machines.values() if m.zone != zone),
         ]
         for one in inside:
             for other in outside:
-                world.cut(one, other, seconds, hold=True)
+                cluster.cut(one, other, seconds, hold=True)
 
     return start
 
 
 def all_away(seconds: float) -> Trouble:
-    def start(world: World) -> None:
-        for name in world.names:
-            world.kill(name, seconds)
+    def start(cluster: SimulatedCluster) -> None:
+        for name in cluster.names:
+            cluster.kill(name, seconds)
 
     return start
 
 
-def one_returns(world: World) -> None:
+def one_returns(cluster: SimulatedCluster) -> None:
     """All end, and one returns at once, the others later."""
-    for number, name in enumerate(world.names):
-        world.kill(name, 0.3 + 6.0 * number)
+    for number, name in enumerate(cluster.names):
+        cluster.kill(name, 0.3 + 6.0 * number)
 
 
-def full_teams(world: World) -> None:
+def full_teams(cluster: SimulatedCluster) -> None:
     """Every team is at its limit, with more waiting."""
     for number in range(16):
-        world.submit(world.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
+        cluster.submit(cluster.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
 
 
-def small_jobs(world: World) -> None:
+def small_jobs(cluster: SimulatedCluster) -> None:
     """One-task jobs, four a second for a minute; a quarter is cancelled soon."""
     for number in range(240):
-        job = world.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
-        world.clock.callLater(number / 4, world.submit, job)
+        job = cluster.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
+        cluster.clock.callLater(number / 4, cluster.submit, job)
         if number % 4 == 0:
-            world.clock.callLater(number / 4 + world.random.uniform(1.0, 8.0), world.cancel, job["nameId"])
+            cluster.clock.callLater(number / 4 + cluster.random.uniform(1.0, 8.0), cluster.cancel, job["nameId"])
 
 
-def zone_jobs(world: World) -> None:
+def zone_jobs(cluster: SimulatedCluster) -> None:
     """Jobs bound to a zone, to one zone together, or to both by halves."""
     for number, bound in enumerate([{"yard": "a"}, {"together": True}, {"spread": True}, {"yard": "b"}] * 3):
         changes: dict = {"pieces": 5, "vcpus": 2.0, "guessS": 30.0, "crew": ("core", "edge")[number % 2]} | bound
-        world.submit(world.job(700 + number, **changes))
+        cluster.submit(cluster.job(700 + number, **changes))
 
 
-def machines_die(world: World) -> None:
-    for machine in some_machines(world, 3):
+def machines_die(cluster: SimulatedCluster) -> None:
+    for machine in some_machines(cluster, 3):
         machine.die()
 
 
 def refused_then(seconds: float) -> Trouble:
-    return lambda world: refuse_leader(world, seconds)
+    return lambda cluster: refuse_leader(cluster, seconds)
 
 
-def odd_requests(world: World) -> None:
+def odd_requests(cluster: SimulatedCluster) -> None:
     """Jobs that no machine or team can take, and repeats of what is known, over all nodes."""
     odd = [
         {"vcpus": 64.0},
@@ -250,40 +250,42 @@
         {"crew": "edge", "shape": "standing", "pieces": 40, "vcpus": 4.0},
     ]
     for number, changes in enumerate(odd):
-        body = world.job(800 + number, **changes)
-        world.rules.impossible.add(body["nameId"])
-        world.jobs[body["nameId"]] = body
-        for name in world.names:
-            world.clock.callLater(0.1 * number, world._look, name, world._submission(body), body["nameId"])
-    for job in list(world.jobs)[:12]:
-        if job not in world.rules.impossible:
-            for name in world.names:
-                world.clock.callLater(0.3, world._look, name, world._submission(world.jobs[job]), job)
-
-
-def many_questions(world: World) -> None:
+        body = cluster.job(800 + number, **changes)
+        cluster.rules.impossible.add(body["nameId"])
+        cluster.jobs[body["nameId"]] = body
+        for name in cluster.names:
+            cluster.clock.callLater(0.1 * number, cluster._look, name, cluster._submission(body), body["nameId"])
+    for job in list(cluster.jobs)[:12]:
+        if job not in cluster.rules.impossible:
+            for name in cluster.names:
+                cluster.clock.callLater(0.3, cluster._look, name, cluster._submission(cluster.jobs[job]), job)
+
+
+def many_questions(cluster: SimulatedCluster) -> None:
     """Users ask fifty times as often, for a minute."""
     for number in range(2400):
-        job = world.random.choice(list(world.jobs))
-        world.clock.callLater(number / 40, world._look, world.names[number % 3], world._question(job), job)
+        job = cluster.random.choice(list(cluster.jobs))
+        cluster.clock.callLater(number / 40, cluster._look, cluster.names[number % 3], cluster._question(job), job)
 
 
 # -- the gap: a leader refused alone, cancellations confirmed by others, then an outage for all ----------------
 
 
-def gap(seed: int, apart_s: float, trouble: Trouble, outage_s: float = CANCEL_S + 12.0, twice: bool = False) -> World:
-    world = World(seed=seed, loss=0.002)
-    long_jobs(world)
-    world.run(40)
-    assert len(world.rules.where) > 15
+def gap(
+    seed: int, apart_s: float, trouble: Trouble, outage_s: float = CANCEL_S + 12.0, twice: bool = False
+) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed=seed, loss=0.002)
+    long_jobs(cluster)
+    cluster.run(40)
+    assert len(cluster.rules.where) > 15
     for first in (0,) if not twice else (0, 4):
-        refuse_leader(world)
-        trouble(world)
+        refuse_leader(cluster)
+        trouble(cluster)
         for number in range(first, first + 4):
-            world.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), world.cancel, f"j-{number:06d}")
-        world.clock.callLater(apart_s, world.state.outage, outage_s)
-        watch_over_cancellations(world, apart_s + outage_s + 25.0)
-    return world
+            cluster.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), cluster.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(apart_s, cluster.state.outage, outage_s)
+        watch_over_cancellations(cluster, apart_s + outage_s + 25.0)
+    return cluster
 
 
 @pytest.mark.parametrize(
@@ -294,68 +296,68 @@
 @pytest.mark.parametrize("apart_s", [0.24, 0.8, 1.3, 1.6, 2.4, 3.6])
 def test_the_gap(apart_s: float, trouble: Trouble) -> None:
     """What users were told is cancelled is gone in time, though its leader never hears of it while it answers."""
-    world = gap(int(apart_s * 10), apart_s, trouble)
-    assert world.rules.cancelled_at
-    assert world.rules.broken == []
+    cluster = gap(int(apart_s * 10), apart_s, trouble)
+    assert cluster.rules.cancelled_at
+    assert cluster.rules.broken == []
 
 
 def test_the_gap_twice_in_a_row() -> None:
-    world = gap(5, 1.0, nothing, twice=True)
-    assert len(world.rules.cancelled_at) >= 4
-    assert world.rules.broken == []
+    cluster = gap(5, 1.0, nothing, twice=True)
+    assert len(cluster.rules.cancelled_at) >= 4
+    assert cluster.rules.broken == []
 
 
-def graces_in_a_row(seed: int, wait_s: float) -> World:
+def graces_in_a_row(seed: int, wait_s: float) -> SimulatedCluster:
     """Standbys are elected and end at once, until the outage comes that long after an election."""
-    world = World(seed=seed, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    refuse_leader(world)
+    cluster = SimulatedCluster(seed=seed, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    refuse_leader(cluster)
     for number in range(4):
-        world.clock.callLater(0.1 + 0.1 * number, world.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(0.1 + 0.1 * number, cluster.cancel, f"j-{number:06d}")
     elected = []
 
     def on_leader(name: str) -> None:
         elected.append(name)
         if len(elected) <= 3:
-            world.clock.callLater(0.0, world.kill, name, 0.2)
+            cluster.clock.callLater(0.0, cluster.kill, name, 0.2)
         else:
-            world.clock.callLater(wait_s, world.state.outage, CANCEL_S + 12.0)
+            cluster.clock.callLater(wait_s, cluster.state.outage, CANCEL_S + 12.0)
 
-    world.on_leader.append(on_leader)
-    watch_over_cancellations(world, CANCEL_S + 40.0)
+    cluster.on_leader.append(on_leader)
+    watch_over_cancellations(cluster, CANCEL_S + 40.0)
     assert len(elected) >= 4
-    return world
+    return cluster
 
 
 @pytest.mark.parametrize("wait_s", [0.012, 0.4])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_graces_are_not_added_up(seed: int, wait_s: float) -> None:
     """The last has read the store or not; workers go from one leader that can't ask to another."""
-    world = graces_in_a_row(seed, wait_s)
-    assert len(world.rules.cancelled_at) == 4
-    assert world.rules.broken == []
+    cluster = graces_in_a_row(seed, wait_s)
+    assert len(cluster.rules.cancelled_at) == 4
+    assert cluster.rules.broken == []
 
 
 def test_a_leader_whose_watch_fails_answers_no_longer_than_its_grace() -> None:
     """Its lease is renewed all the time, but it hears of no cancellation."""
-    world = World(seed=4, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    leader, ask = world.leader(), world.state.ask
+    cluster = SimulatedCluster(seed=4, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    leader, ask = cluster.leader(), cluster.state.ask
 
     def ask_but_watch(caller: str, method: str, path: str, body: object) -> object:
         if caller == leader and path.startswith("/watch?under=active/"):
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    world.state.ask = ask_but_watch  # type: ignore[method-assign]
-    world.run(6)  # a watch that was open before has ended
+    cluster.state.ask = ask_but_watch  # type: ignore[method-assign]
+    cluster.run(6)  # a watch that was open before has ended
     for number in range(4):
-        world.cancel(f"j-{number:06d}")
-    watch_over_cancellations(world, CANCEL_S + 30.0)
-    assert len(world.rules.cancelled_at) == 4
-    assert world.rules.broken == []
+        cluster.cancel(f"j-{number:06d}")
+    watch_over_cancellations(cluster, CANCEL_S + 30.0)
+    assert len(cluster.rules.cancelled_at) == 4
+    assert cluster.rules.broken == []
 
 
 def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -510,10 +512,10 @@
     ),
     "an old report after newer ones, from an earlier session": (
         [
-            (0.0, lambda world: setattr(world, "copies", 0.3)),
+            (0.0, lambda cluster: setattr(cluster, "copies", 0.3)),
             (4.0, hang_all(14.0)),
             (10.0, crash_leader),
-            (30.0, lambda world: setattr(world, "copies", 0.0)),
+            (30.0, lambda cluster: setattr(cluster, "copies", 0.0)),
         ],
         80.0,
     ),
@@ -541,15 +543,15 @@
 }
 
 
-def play(name: str, seed: int) -> World:
+def play(name: str, seed: int) -> SimulatedCluster:
     troubles, over_s = DAYS[name]
-    world = World(seed=seed, loss=0.003)
-    load(world)
+    cluster = SimulatedCluster(seed=seed, loss=0.003)
+    load(cluster)
     for seconds, trouble in troubles:
-        world.clock.callLater(34.0 + seconds, trouble, world)
-    world.rules.troubled_until = 34.0 + over_s
-    finish(world)
-    return world
+        cluster.clock.callLater(34.0 + seconds, trouble, cluster)
+    cluster.rules.troubled_until = 34.0 + over_s
+    finish(cluster)
+    return cluster
 
 
 # Two seeds each, and those that once broke a rule.
@@ -560,10 +562,10 @@
 
 @pytest.mark.parametrize(("name", "seed"), SEEDS)
 def test_overlapping_faults(name: str, seed: int) -> None:
-    world = play(name, seed)
-    assert world.rules.broken == []
-    wanted = [job for job in world.jobs if job not in world.rules.impossible]
-    assert [job for job in wanted if not world.rules.is_final(job)] == []
+    cluster = play(name, seed)
+    assert cluster.rules.broken == []
+    wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
+    assert [job for job in wanted if not cluster.rules.is_final(job)] == []
 
 
 # -- close looks ---------------------------------------------------------------------------------------------------
@@ -571,11 +573,11 @@
 
 def test_many_questions_share_reads_and_leave_the_store_to_the_leader() -> None:
     """Two hundred questions a second are answered with a few reads; each read begins after its questions came."""
-    world = World(seed=3, loss=0.0)
-    load(world, jobs=12, every=0.5)
-    world.run(20)
-    ask, asked, answers = world.state.ask, [0], []
-    told = world.rules.told
+    cluster = SimulatedCluster(seed=3, loss=0.0)
+    load(cluster, jobs=12, every=0.5)
+    cluster.run(20)
+    ask, asked, answers = cluster.state.ask, [0], []
+    told = cluster.rules.told
 
     def count(caller: str, method: str, path: str, body: object) -> object:
         asked[0] += 1
@@ -585,16 +587,16 @@
         answers.append(job)
         told(job, answer, asked_at)
 
-    world.state.ask = count  # type: ignore[method-assign]
-    world.rules.told = note  # type: ignore[method-assign]
+    cluster.state.ask = count  # type: ignore[method-assign]
+    cluster.rules.told = note  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
-        world.clock.callLater(number / 200, world._look, world.names[number % 3], world._question(job), job)
-    world.run(11)
+        cluster.clock.callLater(number / 200, cluster._look, cluster.names[number % 3], cluster._question(job), job)
+    cluster.run(11)
     assert len(answers) >= 0.99 * 2000
-    assert world.state.refused_rates == 0
-    assert asked[0] < 11 * 0.75 * world.state.rps
-    assert world.rules.broken == []
+    assert cluster.state.refused_rates == 0
+    assert asked[0] < 11 * 0.75 * cluster.state.rps
+    assert cluster.rules.broken == []
 
 
 @pytest.mark.parametrize("inline", [True, False])
@@ -604,9 +606,9 @@
     """The placements of a transaction that got no answer come after a reload, when others have that room by then."""
     if not inline:
         monkeypatch.setattr(records, "INLINE_FORMAT", records.NEWEST_FORMAT + 1)
-    world = World(seed=5, loss=0.0)
-    world.run(5)
-    handle, late = world.state.handle, []
+    cluster = SimulatedCluster(seed=5, loss=0.0)
+    cluster.run(5)
+    handle, late = cluster.state.handle, []
 
     def places(write: dict) -> bool:
         key = write.get("set", "")
@@ -620,19 +622,19 @@
             raise NoResponseError("nothing comes back")
         return handle(caller, method, path, body)
 
-    world.state.handle = delayed  # type: ignore[method-assign]
-    world.submit(world.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # all that its team may have
-    while not late and world.now < 60:
-        world.run(0.1)
-    job = world.nodes[world.leader()].leader.cluster.jobs["j-000001"]
+    cluster.state.handle = delayed  # type: ignore[method-assign]
+    cluster.submit(cluster.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # all that its team may have
+    while not late and cluster.now < 60:
+        cluster.run(0.1)
+    job = cluster.nodes[cluster.leader()].leader.cluster.jobs["j-000001"]
     for settled in (False, True):
-        while job.reload_pending != (not settled) and world.now < 70:
-            world.clock.advance(0.01)
+        while job.reload_pending != (not settled) and cluster.now < 70:
+            cluster.clock.advance(0.01)
     # It has been read again; were it carried out now, its placements would come on top of what follows.
     assert handle(*late[0]).status == 409
-    finish(world, 120)
-    assert world.rules.broken == []
-    assert world.rules.last["j-000001"] == "done"
+    finish(cluster, 120)
+    assert cluster.rules.broken == []
+    assert cluster.rules.last["j-000001"] == "done"
 
 
 # -- old reports and a new leader ------------------------------------------------------------------------------------
@@ -640,106 +642,106 @@
 
 def test_an_old_report_does_not_shorten_the_wait_for_a_former_leader() -> None:
     """It comes first, is answered, and shows nothing: its worker may hear the former leader for a grace still."""
-    world = World(seed=8, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.rules.where.values()))
     old = [machine.report() for _ in range(2)]
-    for name in world.names:
-        world.cut(name, machine.name, 90.0)
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    term = world.nodes[leader].leader
+    for name in cluster.names:
+        cluster.cut(name, machine.name, 90.0)
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader = cluster.leader()
+    term = cluster.nodes[leader].leader
     for body in old:
-        assert world.deliver_report(leader, body).status == 200
+        assert cluster.deliver_report(leader, body).status == 200
     known = term.cluster.machines[machine.name]
     assert known.placements
     assert not known.claimed
-    assert not term.dispatcher.is_reachable(known, world.now)
-    assert not term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
+    assert not term.dispatcher.is_reachable(known, cluster.now)
+    assert not term.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
     assert not term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 12.0)
     assert term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 1.2 * 12.0)
 
 
 def test_a_new_session_that_nobody_answered_lasts_for_a_lease() -> None:
     """What was started in it is not over when the lease of the session before is."""
-    world = World(seed=8, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
-    term = world.nodes[world.leader()].leader
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.rules.where.values()))
+    term = cluster.nodes[cluster.leader()].leader
     known = term.cluster.machines[machine.name]
-    for name in world.names:
-        world.cut(machine.name, name, 90.0)
-    known.lease_renewed_at = world.now - 11.9
+    for name in cluster.names:
+        cluster.cut(machine.name, name, 90.0)
+    known.lease_renewed_at = cluster.now - 11.9
     machine.epoch += 1
     term.heartbeats.process(messages.parse_heartbeat(machine.report()))
-    assert not term.worker_leases.has_expired(known, world.now + 12.0)
-    assert term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
+    assert not term.worker_leases.has_expired(known, cluster.now + 12.0)
+    assert term.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
 
 
 def test_before_the_store_is_read_no_lease_is_renewed() -> None:
-    world = World(seed=8, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
-    scan = world.state.handle
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.rules.where.values()))
+    scan = cluster.state.handle
 
     def unread(caller: str, method: str, path: str, body: object) -> object:
         if path.startswith("/kv?under=active/"):
             return Reply(503, {"error": "trouble"})
         return scan(caller, method, path, body)
 
-    world.state.handle = unread  # type: ignore[method-assign]
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    assert world.deliver_report(leader, machine.report()).status == 503
-    world.state.handle = scan  # type: ignore[method-assign]
-    world.run(2)
-    answer = world.deliver_report(leader, machine.report())
+    cluster.state.handle = unread  # type: ignore[method-assign]
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader = cluster.leader()
+    assert cluster.deliver_report(leader, machine.report()).status == 503
+    cluster.state.handle = scan  # type: ignore[method-assign]
+    cluster.run(2)
+    answer = cluster.deliver_report(leader, machine.report())
     assert answer.status == 200
-    assert answer.body["baton"] == world.nodes[leader].leader.tokens.first
+    assert answer.body["baton"] == cluster.nodes[leader].leader.tokens.first
 
 
 def test_a_worker_with_an_older_token_is_told_what_is_cancelled() -> None:
     """With the answer that renews its lease, also while the job is being read again, which an outage holds up."""
-    world = World(seed=8, loss=0.0)
-    long_jobs(world)
-    world.run(40)
-    (task, machine), *_ = world.rules.where.items()
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    long_jobs(cluster)
+    cluster.run(40)
+    (task, machine), *_ = cluster.rules.where.items()
     job = task.rpartition("/")[0]
-    world.deaf[machine.name] = world.now + 30.0
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    term = world.nodes[leader].leader
+    cluster.deaf[machine.name] = cluster.now + 30.0
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader = cluster.leader()
+    term = cluster.nodes[leader].leader
     term.reloader.reload(term.cluster.jobs[job])
-    refuse_leader(world)
-    world.cancel(job)
-    world.run(0.01)
-    term.watch.on_change(job, None, world.state.revision)
+    refuse_leader(cluster)
+    cluster.cancel(job)
+    cluster.run(0.01)
+    term.watch.on_change(job, None, cluster.state.revision)
     assert term.cluster.jobs[job].reload_pending
     assert not term.cluster.machines[machine.name].claimed
-    told = world.deliver_report(leader, machine.report()).body["orders"]
+    told = cluster.deliver_report(leader, machine.report()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
-        name for name, on in world.rules.where.items() if on is machine and name.startswith(job)
+        name for name, on in cluster.rules.where.items() if on is machine and name.startswith(job)
     }
 
 
 # -- the checker ---------------------------------------------------------------------------------------------------
 
 
-def told_world() -> World:
-    world = World(seed=1)
-    world.jobs["j-000001"] = world.job(1, pieces=1)
-    return world
+def observed_cluster() -> SimulatedCluster:
+    cluster = SimulatedCluster(seed=1)
+    cluster.jobs["j-000001"] = cluster.job(1, pieces=1)
+    return cluster
 
 
 def test_the_checker_sees_an_older_answer_of_another_node() -> None:
     """Asked after a node had told the end, or that the job is known; what was asked before may be answered older."""
-    rules = told_world().rules
+    rules = observed_cluster().rules
     rules.cancelling("j-000001")
     rules.told("j-000001", {"phase": "aborted"}, -1.0)
     rules.told("j-000001", {"phase": "running"}, -0.5)
@@ -752,11 +754,11 @@
 
 def test_the_checker_sees_an_impossible_job_that_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("stileloft.jobs.feasibility.infeasibility_reason", lambda *_: None)
-    world = World(seed=1)
-    world.run(5)
-    odd_requests(world)
-    world.run(5)
-    assert any("accepted" in line for line in world.rules.broken)
+    cluster = SimulatedCluster(seed=1)
+    cluster.run(5)
+    odd_requests(cluster)
+    cluster.run(5)
+    assert any("accepted" in line for line in cluster.rules.broken)
 
 
 def test_the_checker_sees_what_waits_beside_room(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -764,21 +766,21 @@
     monkeypatch.setattr(
         DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and plain(applier, key, *more)
     )
-    world = World(seed=1, loss=0.0)
+    cluster = SimulatedCluster(seed=1, loss=0.0)
     for number in (1, 2):
-        world.submit(world.job(number, pieces=1, guessS=60.0))
+        cluster.submit(cluster.job(number, pieces=1, guessS=60.0))
     for _ in range(30):
-        world.run(5)
-        world.rules.check_waiting()
-    assert {line.split()[2] for line in world.rules.broken if "left_waiting" in line} == {"j-000001"}
+        cluster.run(5)
+        cluster.rules.check_waiting()
+    assert {line.split()[2] for line in cluster.rules.broken if "left_waiting" in line} == {"j-000001"}
 
 
 def test_the_checker_sees_a_start_after_a_cancellation() -> None:
-    world = told_world()
-    rules = world.rules
+    cluster = observed_cluster()
+    rules = cluster.rules
     rules.cancelling("j-000001")
     rules.told("j-000001", {"phase": "aborted"})
-    machine = world.cloud.add(TYPES[1], "a", True)
+    machine = cluster.cloud.add(TYPES[1], "a", True)
     rules.started("j-000001/0", machine, 2.0)
     assert rules.started_after == []
     rules.started("j-000001/0", machine, 10.0)
@@ -796,120 +798,122 @@
 )
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
     """Where no command is held up on its way, beyond what was on it."""
-    world = play(name, 3)
-    assert len(world.rules.cancelled_at) >= 3
-    assert world.rules.started_after == []
+    cluster = play(name, 3)
+    assert len(cluster.rules.cancelled_at) >= 3
+    assert cluster.rules.started_after == []
 
 
 def test_a_replacement_is_rented_before_a_late_machine_is_given_up() -> None:
     """What never comes up counts as coming for 1.6 boots, not for the 3 after which it is returned."""
-    world = World(seed=9, loss=0.0)
-    boots(10.0, 1.0, 0.0, 0.0)(world)
-    world.submit(world.job(1, pieces=2))
-    world.run(10)
-    lost = set(world.cloud.machines)
+    cluster = SimulatedCluster(seed=9, loss=0.0)
+    boots(10.0, 1.0, 0.0, 0.0)(cluster)
+    cluster.submit(cluster.job(1, pieces=2))
+    cluster.run(10)
+    lost = set(cluster.cloud.machines)
     assert lost
-    while not world.rules.begun_at and world.now < 100:
-        world.run(1.0)
+    while not cluster.rules.begun_at and cluster.now < 100:
+        cluster.run(1.0)
     # A boot takes up to 22.5 s here; plans are made every two seconds.
-    assert world.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
-    world.run(60)
-    assert not lost & set(world.cloud.machines)
-    assert world.rules.broken == []
+    assert cluster.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
+    cluster.run(60)
+    assert not lost & set(cluster.cloud.machines)
+    assert cluster.rules.broken == []
 
 
 def test_a_zone_whose_boots_fail_is_tried_less_and_again_later() -> None:
     """Machines of one zone never come up for a while: others are rented meanwhile, and then there again."""
-    world = World(seed=12, loss=0.0, capacity=12)
-    add, fails = world.cloud.add, [True]
+    cluster = SimulatedCluster(seed=12, loss=0.0, capacity=12)
+    add, fails = cluster.cloud.add, [True]
 
     def adding(kind: dict, zone: str, spot: bool) -> Machine:
-        world.cloud.boots_until = world.now + 1.0
-        world.cloud.boots = (1.0 if fails[0] and zone == "a" else 0.0, 0.0, 8.0)
+        cluster.cloud.boots_until = cluster.now + 1.0
+        cluster.cloud.boots = (1.0 if fails[0] and zone == "a" else 0.0, 0.0, 8.0)
         return add(kind, zone, spot)
 
     def rented_zones(first: int, jobs: int, **changes: object) -> list[str]:
         """Where machines are rented for a burst of jobs, of which each fills one."""
-        before = set(world.every_machine)
+        before = set(cluster.every_machine)
         for number in range(first, first + jobs):
-            world.submit(world.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
-        world.run(6)
-        return [machine.zone for name, machine in world.every_machine.items() if name not in before]
+            cluster.submit(cluster.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
+        cluster.run(6)
+        return [machine.zone for name, machine in cluster.every_machine.items() if name not in before]
 
-    world.cloud.add = adding  # type: ignore[method-assign]
-    world.run(4)
+    cluster.cloud.add = adding  # type: ignore[method-assign]
+    cluster.run(4)
     # More machines in the other zone, so that the one that fails would be preferred.
     assert set(rented_zones(0, 5, yard="b", crew="edge")) == {"b"}
     assert rented_zones(10, 6).count("a") >= 3
-    term = world.nodes[world.leader()].leader
-    while not term.boots.unreliable_offers() and world.now < 60:
-        world.run(0.05)
+    term = cluster.nodes[cluster.leader()].leader
+    while not term.boots.unreliable_offers() and cluster.now < 60:
+        cluster.run(0.05)
     assert {zone for _, zone, _ in term.boots.unreliable_offers()} == {"a"}
-    before = set(world.every_machine)
-    world.run(8)
-    instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
+    before = set(cluster.every_machine)
+    cluster.run(8)
+    instead = [machine.zone for name, machine in cluster.every_machine.items() if name not in before]
     assert len(instead) >= 2
     assert set(instead) == {"b"}
     fails[0] = False
-    world.run(200)  # all is done, and machines go back
+    cluster.run(200)  # all is done, and machines go back
     assert term.boots.unreliable_offers() == set()
     assert "a" in rented_zones(40, 8)
-    finish(world)
-    assert world.rules.broken == []
+    finish(cluster)
+    assert cluster.rules.broken == []
 
 
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_late_records_of_rentals_and_images_do_no_harm(kind: str, seed: int) -> None:
     """They get no answer and are carried out seconds later, over newer ones; then leaders change that read them."""
-    world = World(seed=seed, loss=0.0, capacity=6)
-    ask, held = world.state.ask, []
+    cluster = SimulatedCluster(seed=seed, loss=0.0, capacity=6)
+    ask, held = cluster.state.ask, []
 
     def asking(caller: str, method: str, path: str, body: dict) -> object:
         keys = [write.get("set") or write["delete"] for write in body["writes"]] if path == "/commit" else []
-        if any(key.startswith(kind) for key in keys) and world.now < 90.0:
+        if any(key.startswith(kind) for key in keys) and cluster.now < 90.0:
             held.append(keys)
-            world.clock.callLater(world.random.uniform(4.0, 20.0), world.state.handle, caller, method, path, body)
+            cluster.clock.callLater(cluster.random.uniform(4.0, 20.0), cluster.state.handle, caller, method, path, body)
             raise NoResponseError("nothing comes back")
         return ask(caller, method, path, body)
 
-    world.state.ask = asking  # type: ignore[method-assign]
-    load(world, jobs=18)
+    cluster.state.ask = asking  # type: ignore[method-assign]
+    load(cluster, jobs=18)
     for number in range(18):
         # Enough images that a machine's record changes again and again.
-        world.clock.callLater(3.0 * number, world.submit, world.job(100 + number, pieces=2, bundle=f"img-{number}"))
+        cluster.clock.callLater(
+            3.0 * number, cluster.submit, cluster.job(100 + number, pieces=2, bundle=f"img-{number}")
+        )
     for at in (30.0, 52.0, 74.0):
-        world.clock.callLater(at, crash_leader, world)
-    world.clock.callLater(60.0, spot_wave, world)
-    world.rules.troubled_until = 110.0
-    finish(world)
+        cluster.clock.callLater(at, crash_leader, cluster)
+    cluster.clock.callLater(60.0, spot_wave, cluster)
+    cluster.rules.troubled_until = 110.0
+    finish(cluster)
     assert len(held) >= 3
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+    assert cluster.rules.broken == []
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
     # What was rented is found again, by the cloud's list if not by its record; what nobody wants goes back.
-    world.run(100)
-    leader = world.nodes[world.leader()]
-    assert set(world.cloud.machines) == set(leader.leader.cluster.machines)
-    assert len(world.cloud.machines) <= 6
+    cluster.run(100)
+    leader = cluster.nodes[cluster.leader()]
+    assert set(cluster.cloud.machines) == set(leader.leader.cluster.machines)
+    assert len(cluster.cloud.machines) <= 6
 
 
 def test_a_new_leader_takes_no_machine_that_is_up_for_late() -> None:
     """It has heard of none yet. Taken for late, they would be replaced, or returned if idle (inc-e1be)."""
-    world = World(seed=13, loss=0.0, capacity=8)
-    world.submit(world.job(1, pieces=8, vcpus=4.0, guessS=120.0))
-    while len(world.rules.where) < 8:
-        world.run(1)
-    world.run(25)  # so that all are older than a boot may take
+    cluster = SimulatedCluster(seed=13, loss=0.0, capacity=8)
+    cluster.submit(cluster.job(1, pieces=8, vcpus=4.0, guessS=120.0))
+    while len(cluster.rules.where) < 8:
+        cluster.run(1)
+    cluster.run(25)  # so that all are older than a boot may take
     for _ in range(3):
-        before = set(world.cloud.machines)
-        crash_leader(world)
-        world.run(6)
-        term = world.nodes[world.leader()].leader
+        before = set(cluster.cloud.machines)
+        crash_leader(cluster)
+        cluster.run(6)
+        term = cluster.nodes[cluster.leader()].leader
         assert [
             machine.id for machine in term.cluster.machines.values() if machine.boot_overdue and machine.cloud_state
         ] == []
         assert term.boots.unreliable_offers() == set()
-        assert before <= set(world.cloud.machines)
-        assert len(world.cloud.machines) <= len(before) + 3
-    finish(world)
-    assert world.rules.broken == []
+        assert before <= set(cluster.cloud.machines)
+        assert len(cluster.cloud.machines) <= len(before) + 3
+    finish(cluster)
+    assert cluster.rules.broken == []
--- a/tests/test_public_api.py
+++ b/tests/test_public_api.py
@@ -14,7 +14,7 @@
 from stileloft.protocol.users import HEARTBEAT_PATH, PublicResources
 from stileloft.transport.server import Response, Router, make_site
 from stileloft.transport.sockets import SocketUsage
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 class LaterError(RequestError):
@@ -65,7 +65,7 @@
 
 
 def job(number: str) -> dict:
-    return World(1).job(1) | {"nameId": f"j-{number}"}
+    return SimulatedCluster(1).job(1) | {"nameId": f"j-{number}"}
 
 
 def test_statuses() -> None:
