--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -11,7 +11,7 @@
 
 from stileloft.features import Features, RebuildFeature
 from stileloft.rebuild.store_status import StorePhase
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 from tests.test_overlapping_faults import DAYS, test_overlapping_faults
 
 ON = Features(rebuild=RebuildFeature(enabled=True))
@@ -19,11 +19,11 @@
 ROOT = Path(__file__).parent.parent
 
 
-def loaded_world(seed: int, features: Features = ON, **more) -> World:
+def loaded_cluster(seed: int, features: Features = ON, **more) -> SimulatedCluster:
     """A world with jobs of all kinds, in mid-batch when the loss comes."""
-    world = World(seed, features=features, **more)
+    cluster = SimulatedCluster(seed, features=features, **more)
     for number in range(JOBS):
-        body = world.job(
+        body = cluster.job(
             number,
             pieces=(1, 3, 12)[number % 3],
             vcpus=1.0,
@@ -32,113 +32,115 @@
             shape="gang" if number % 7 == 5 else "array",
             lane=("batch", "once")[number % 4 == 1],
         )
-        world.clock.callLater(4.0 + 1.5 * number, world.submit, body)
-    return world
+        cluster.clock.callLater(4.0 + 1.5 * number, cluster.submit, body)
+    return cluster
 
 
-def finish(world: World, longest_s: float = 300.0) -> None:
+def finish(cluster: SimulatedCluster, longest_s: float = 300.0) -> None:
     """Plays until all jobs have ended, and checks the rules."""
-    end = world.now + longest_s
-    while world.now < end and not all(world.rules.is_final(job) for job in world.jobs):
-        world.run(2)
-        world.rules.check_cancelled()
-    assert world.rules.broken == []
-    unfinished = {job: world.rules.last.get(job) for job in world.jobs if not world.rules.is_final(job)}
+    end = cluster.now + longest_s
+    while cluster.now < end and not all(cluster.rules.is_final(job) for job in cluster.jobs):
+        cluster.run(2)
+        cluster.rules.check_cancelled()
+    assert cluster.rules.broken == []
+    unfinished = {job: cluster.rules.last.get(job) for job in cluster.jobs if not cluster.rules.is_final(job)}
     assert unfinished == {}
 
 
-def phases(world: World) -> set[StorePhase]:
-    return {node.rebuild.store.phase for node in world.nodes.values() if node is not None}
+def phases(cluster: SimulatedCluster) -> set[StorePhase]:
+    return {node.rebuild.store.phase for node in cluster.nodes.values() if node is not None}
 
 
 # -- losses --------------------------------------------------------------------------------------------------------
 
-Loss = Callable[[World], None]
+Loss = Callable[[SimulatedCluster], None]
 
 
-def wiped(world: World) -> None:
-    world.state.wipe()
+def wiped(cluster: SimulatedCluster) -> None:
+    cluster.state.wipe()
 
 
-def wiped_but_counting(world: World) -> None:
-    world.state.wipe(keeps_counting=True)
+def wiped_but_counting(cluster: SimulatedCluster) -> None:
+    cluster.state.wipe(keeps_counting=True)
 
 
-def leader_lost_with_it(world: World) -> None:
-    name = world.leader()
-    world.state.wipe()
+def leader_lost_with_it(cluster: SimulatedCluster) -> None:
+    name = cluster.leader()
+    cluster.state.wipe()
     if name is not None:
-        world.kill(name, back_after=8.0)
+        cluster.kill(name, back_after=8.0)
 
 
-def leader_killed_in_the_rebuild(world: World) -> None:
-    world.state.wipe()
-    world.clock.callLater(1.05, lambda: [world.kill(name, 6.0) for name in world.names if is_rebuilding(world, name)])
+def leader_killed_in_the_rebuild(cluster: SimulatedCluster) -> None:
+    cluster.state.wipe()
+    cluster.clock.callLater(
+        1.05, lambda: [cluster.kill(name, 6.0) for name in cluster.names if is_rebuilding(cluster, name)]
+    )
 
 
-def is_rebuilding(world: World, name: str) -> bool:
-    node = world.nodes[name]
+def is_rebuilding(cluster: SimulatedCluster, name: str) -> bool:
+    node = cluster.nodes[name]
     return node is not None and node.rebuild.is_leading_rebuild()
 
 
-def wiped_twice(world: World) -> None:
-    world.state.wipe()
-    world.clock.callLater(1.1, world.state.wipe)
+def wiped_twice(cluster: SimulatedCluster) -> None:
+    cluster.state.wipe()
+    cluster.clock.callLater(1.1, cluster.state.wipe)
 
 
-def wiped_during_an_outage(world: World) -> None:
-    world.state.outage(5.0)
-    world.clock.callLater(2.0, world.state.wipe)
+def wiped_during_an_outage(cluster: SimulatedCluster) -> None:
+    cluster.state.outage(5.0)
+    cluster.clock.callLater(2.0, cluster.state.wipe)
 
 
-def machines_silent(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.up][::3]:
-        for name in world.names:
-            world.cut(machine.name, name, 25.0)
-    world.state.wipe()
+def machines_silent(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.up][::3]:
+        for name in cluster.names:
+            cluster.cut(machine.name, name, 25.0)
+    cluster.state.wipe()
 
 
-def all_machines_hang_and_leader_lost(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.up][::2]:
+def all_machines_hang_and_leader_lost(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.up][::2]:
         machine.hung = True
-        world.clock.callLater(9.0, setattr, machine, "hung", False)
-    leader_lost_with_it(world)
+        cluster.clock.callLater(9.0, setattr, machine, "hung", False)
+    leader_lost_with_it(cluster)
 
 
-def one_controller_cut_off(world: World) -> None:
-    name = next(n for n in world.names if n != world.leader())
-    for other in (*world.names, "state"):
+def one_controller_cut_off(cluster: SimulatedCluster) -> None:
+    name = next(n for n in cluster.names if n != cluster.leader())
+    for other in (*cluster.names, "state"):
         if other != name:
-            world.cut(name, other, 20.0)
-    world.state.wipe()
+            cluster.cut(name, other, 20.0)
+    cluster.state.wipe()
 
 
-def zone_cut(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.zone == "a"]:
-        for name in world.names:
-            world.cut(machine.name, name, 22.0, hold=True)
-    world.state.wipe()
+def zone_cut(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.zone == "a"]:
+        for name in cluster.names:
+            cluster.cut(machine.name, name, 22.0, hold=True)
+    cluster.state.wipe()
 
 
-def cancelled_just_before(world: World) -> None:
+def cancelled_just_before(cluster: SimulatedCluster) -> None:
     """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
-    running = [job for job in world.jobs if not world.rules.is_final(job)][:5]
+    running = [job for job in cluster.jobs if not cluster.rules.is_final(job)][:5]
     for job in running:
-        world.cancel(job)
-    world.clock.callLater(0.08, world.state.wipe)
+        cluster.cancel(job)
+    cluster.clock.callLater(0.08, cluster.state.wipe)
 
 
-def leader_frozen(world: World) -> None:
-    name = world.leader()
-    world.state.wipe()
+def leader_frozen(cluster: SimulatedCluster) -> None:
+    name = cluster.leader()
+    cluster.state.wipe()
     if name is not None:
-        world.freeze(name, 9.0)
+        cluster.freeze(name, 9.0)
 
 
-def late_copies(world: World) -> None:
-    world.copies = 0.1
-    world.clock.callLater(60.0, setattr, world, "copies", 0.0)
-    world.state.wipe()
+def late_copies(cluster: SimulatedCluster) -> None:
+    cluster.copies = 0.1
+    cluster.clock.callLater(60.0, setattr, cluster, "copies", 0.0)
+    cluster.state.wipe()
 
 
 LOSSES: dict[str, Loss] = {
@@ -164,15 +166,15 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", LOSSES)
 def test_a_loss_in_mid_batch(name: str, seed: int) -> None:
-    world = loaded_world(seed)
+    cluster = loaded_cluster(seed)
     for number in (2, 7, 11):
         # Confirmed shortly before the loss, at it, and after it.
-        world.clock.callLater(16.5 + number, world.cancel, f"j-{number:06d}")
-    world.run(24.0)
-    assert phases(world) == {StorePhase.SOUND}
-    LOSSES[name](world)
-    finish(world)
-    assert phases(world) == {StorePhase.SOUND}
+        cluster.clock.callLater(16.5 + number, cluster.cancel, f"j-{number:06d}")
+    cluster.run(24.0)
+    assert phases(cluster) == {StorePhase.SOUND}
+    LOSSES[name](cluster)
+    finish(cluster)
+    assert phases(cluster) == {StorePhase.SOUND}
 
 
 @pytest.mark.parametrize("name", DAYS)
@@ -180,49 +182,49 @@
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
-    monkeypatch.setattr(World, "FEATURES", ON)
+    monkeypatch.setattr(SimulatedCluster, "FEATURES", ON)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
 
 
 def test_without_the_feature_jobs_are_forgotten() -> None:
     """The checker sees what a loss does to a service that does not notice it."""
-    world = loaded_world(3, features=Features())
-    world.run(24.0)
-    world.state.wipe()
-    world.run(60.0)
-    assert any("forgotten" in broken for broken in world.rules.broken)
+    cluster = loaded_cluster(3, features=Features())
+    cluster.run(24.0)
+    cluster.state.wipe()
+    cluster.run(60.0)
+    assert any("forgotten" in broken for broken in cluster.rules.broken)
 
 
 def test_an_older_state_comes_back() -> None:
     """Ends and cancellations that it does not know stay; so do jobs that were accepted since."""
-    world = loaded_world(4)
-    world.run(14.0)
-    older = world.state.copy()
-    world.cancel("j-000001")
-    world.run(14.0)
-    assert world.rules.is_final("j-000001")
-    world.state.restore(*older)
-    finish(world)
+    cluster = loaded_cluster(4)
+    cluster.run(14.0)
+    older = cluster.state.copy()
+    cluster.cancel("j-000001")
+    cluster.run(14.0)
+    assert cluster.rules.is_final("j-000001")
+    cluster.state.restore(*older)
+    finish(cluster)
 
 
 @pytest.mark.parametrize("loss", [wiped, leader_lost_with_it, zone_cut])
 def test_a_standing_service_goes_on_until_it_is_cancelled(loss: Loss) -> None:
-    world = World(14, features=ON)
-    service = world.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
-    world.submit(service)
-    world.run(30.0)
-    assert len(world.rules.where) == 3
-    loss(world)
-    world.run(70.0)
-    assert len(world.rules.where) == 3
-    assert world.rules.broken == []
-    world.cancel(service["nameId"])
-    world.run(10.0)
-    world.rules.check_cancelled()
-    assert not world.rules.where
-    assert world.rules.last[service["nameId"]] == "aborted"
-    assert world.rules.broken == []
+    cluster = SimulatedCluster(14, features=ON)
+    service = cluster.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
+    cluster.submit(service)
+    cluster.run(30.0)
+    assert len(cluster.rules.where) == 3
+    loss(cluster)
+    cluster.run(70.0)
+    assert len(cluster.rules.where) == 3
+    assert cluster.rules.broken == []
+    cluster.cancel(service["nameId"])
+    cluster.run(10.0)
+    cluster.rules.check_cancelled()
+    assert not cluster.rules.where
+    assert cluster.rules.last[service["nameId"]] == "aborted"
+    assert cluster.rules.broken == []
 
 
 # -- real processes --------------------------------------------------------------------------------------------------
--- a/tests/test_rebuild_reconstruction.py
+++ b/tests/test_rebuild_reconstruction.py
@@ -18,11 +18,11 @@
 from stileloft.rebuild.reconstruction import Reconstruction, reconstruct
 from stileloft.rebuild.replica_merge import MergedReplica
 from stileloft.rebuild.unresolved_tasks import Decision, UnresolvedTasks
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 def spec(number: int, **changes: Any) -> JobSpec:
-    return parse_job(World.job(None, number, **changes))  # type: ignore[arg-type]
+    return parse_job(SimulatedCluster.job(None, number, **changes))  # type: ignore[arg-type]
 
 
 def job_records(job: JobSpec, placed: dict[str, list[Any]], done: list[list[int]] | None = None) -> dict[str, Any]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -17,10 +17,10 @@
 from stileloft.scheduling.pending_jobs import PendingJobs
 from stileloft.settings import Workers
 from stileloft.transport.client import Reply
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
-def load(world: World, jobs: int = 24, every: float = 3.0) -> None:
+def load(cluster: SimulatedCluster, jobs: int = 24, every: float = 3.0) -> None:
     """A mix of classes, teams and constraints, spread over the first minute or so."""
     for number in range(jobs):
         kind = number % 6
@@ -32,96 +32,96 @@
             4: {"spread": True, "pieces": 5, "vcpus": 3.0},
             5: {"loaner": False, "builds": ["small"], "yard": "b", "pieces": 2},
         }[kind]
-        world.clock.callLater(1.0 + number * every, world.submit, world.job(number, **changes))
+        cluster.clock.callLater(1.0 + number * every, cluster.submit, cluster.job(number, **changes))
 
 
-def finish(world: World, seconds: float = 400.0) -> None:
+def finish(cluster: SimulatedCluster, seconds: float = 400.0) -> None:
     """Runs until all users know how their jobs ended."""
-    end = world.now + seconds
-    wanted = [job for job in world.jobs if job not in world.rules.impossible]
-    while world.now < end and not (
-        wanted and world.now > world.rules.troubled_until and all(world.rules.is_final(job) for job in wanted)
+    end = cluster.now + seconds
+    wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
+    while cluster.now < end and not (
+        wanted and cluster.now > cluster.rules.troubled_until and all(cluster.rules.is_final(job) for job in wanted)
     ):
-        world.run(5.0)
-        world.rules.check_cancelled()
-        world.rules.check_known()
-        world.rules.check_waiting()
-        wanted = [job for job in world.jobs if job not in world.rules.impossible]
-    world.rules.check_served()
+        cluster.run(5.0)
+        cluster.rules.check_cancelled()
+        cluster.rules.check_known()
+        cluster.rules.check_waiting()
+        wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
+    cluster.rules.check_served()
 
 
-def crash_leader(world: World) -> None:
-    name = world.leader()
+def crash_leader(cluster: SimulatedCluster) -> None:
+    name = cluster.leader()
     if name is not None:
-        world.kill(name)
+        cluster.kill(name)
 
 
-def crash_all(world: World) -> None:
-    for name in world.names:
-        world.kill(name, 4.0)
+def crash_all(cluster: SimulatedCluster) -> None:
+    for name in cluster.names:
+        cluster.kill(name, 4.0)
 
 
-def crash_all_at_once(world: World) -> None:
-    for name in world.names:
-        world.kill(name, 0.2)
+def crash_all_at_once(cluster: SimulatedCluster) -> None:
+    for name in cluster.names:
+        cluster.kill(name, 0.2)
 
 
-def crash_all_in_outage(world: World) -> None:
-    world.state.outage(12.0)
-    crash_all(world)
+def crash_all_in_outage(cluster: SimulatedCluster) -> None:
+    cluster.state.outage(12.0)
+    crash_all(cluster)
 
 
-def roll(world: World) -> None:
-    for number, name in enumerate(world.names):
-        world.clock.callLater(number * 8.0, world.kill, name, 0.3)
+def roll(cluster: SimulatedCluster) -> None:
+    for number, name in enumerate(cluster.names):
+        cluster.clock.callLater(number * 8.0, cluster.kill, name, 0.3)
 
 
-def restart_in_election(world: World) -> None:
+def restart_in_election(cluster: SimulatedCluster) -> None:
     """The leader dies and each node restarts within a fraction of a second, again and again."""
     for number in range(6):
-        world.clock.callLater(number * 0.7, world.kill, world.names[number % 3], 0.2)
+        cluster.clock.callLater(number * 0.7, cluster.kill, cluster.names[number % 3], 0.2)
 
 
-def outage(world: World) -> None:
-    world.state.outage(20.0)
+def outage(cluster: SimulatedCluster) -> None:
+    cluster.state.outage(20.0)
 
 
-def leader_refused(world: World) -> None:
-    name = world.leader()
+def leader_refused(cluster: SimulatedCluster) -> None:
+    name = cluster.leader()
     if name is not None:
-        world.state.refuses[name] = world.now + 25.0
+        cluster.state.refuses[name] = cluster.now + 25.0
 
 
-def leader_cut_from_state(world: World) -> None:
-    world.cut(world.leader() or "node-0", "state", 15.0, hold=True)
+def leader_cut_from_state(cluster: SimulatedCluster) -> None:
+    cluster.cut(cluster.leader() or "node-0", "state", 15.0, hold=True)
 
 
-def leader_cut_from_workers(world: World) -> None:
-    name = world.leader() or "node-0"
-    for machine in list(world.cloud.machines):
-        world.cut(name, machine, 25.0, hold=True)
+def leader_cut_from_workers(cluster: SimulatedCluster) -> None:
+    name = cluster.leader() or "node-0"
+    for machine in list(cluster.cloud.machines):
+        cluster.cut(name, machine, 25.0, hold=True)
 
 
-def leader_cut_from_most_workers(world: World) -> None:
+def leader_cut_from_most_workers(cluster: SimulatedCluster) -> None:
     """As in an incident at Bluebonnet: some machines are still heard, so the leader does not doubt itself."""
-    name = world.leader() or "node-0"
-    for machine in list(world.cloud.machines)[1:]:
-        world.cut(name, machine, 30.0, hold=True)
+    name = cluster.leader() or "node-0"
+    for machine in list(cluster.cloud.machines)[1:]:
+        cluster.cut(name, machine, 30.0, hold=True)
 
 
-def spot_wave(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.spot][::2]:
-        machine.notice = world.now + 6.0
+def spot_wave(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.spot][::2]:
+        machine.notice = cluster.now + 6.0
 
         def taken(machine=machine) -> None:
-            world.cloud.machines.pop(machine.name, None)
+            cluster.cloud.machines.pop(machine.name, None)
             machine.die()
 
-        world.clock.callLater(6.0, taken)
+        cluster.clock.callLater(6.0, taken)
 
 
-def machines_die(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
+def machines_die(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
         machine.die()
 
 
@@ -133,115 +133,115 @@
             machine.hung = False
             machine.lapse()
 
-        machine.world.clock.callLater(seconds, on)
+        machine.cluster.clock.callLater(seconds, on)
 
 
-def hang(seconds: float) -> Callable[[World], None]:
-    return lambda world: hang_machines([m for m in world.cloud.machines.values() if m.up][:2], seconds)
+def hang(seconds: float) -> Callable[[SimulatedCluster], None]:
+    return lambda cluster: hang_machines([m for m in cluster.cloud.machines.values() if m.up][:2], seconds)
 
 
-def machines_cut(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
-        for name in world.names:
-            world.cut(name, machine.name, 10.0, hold=True)
+def machines_cut(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
+        for name in cluster.names:
+            cluster.cut(name, machine.name, 10.0, hold=True)
 
 
-def cloud_outage(world: World) -> None:
-    world.cloud.down_until = world.now + 25.0
+def cloud_outage(cluster: SimulatedCluster) -> None:
+    cluster.cloud.down_until = cluster.now + 25.0
 
 
-def faulty_machine(world: World) -> None:
-    world.faulty.update([m.name for m in world.cloud.machines.values() if m.up][:1])
+def faulty_machine(cluster: SimulatedCluster) -> None:
+    cluster.faulty.update([m.name for m in cluster.cloud.machines.values() if m.up][:1])
 
 
-def deaf_machines(seconds: float) -> Callable[[World], None]:
+def deaf_machines(seconds: float) -> Callable[[SimulatedCluster], None]:
     """Their reports arrive, but answers and commands don't reach them."""
 
-    def start(world: World) -> None:
-        for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
-            world.deaf[machine.name] = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
+            cluster.deaf[machine.name] = cluster.now + seconds
 
     return start
 
 
-def late_copies(world: World) -> None:
-    world.copies = 0.3
+def late_copies(cluster: SimulatedCluster) -> None:
+    cluster.copies = 0.3
 
 
-def leader_alone_with_its_workers(world: World) -> None:
+def leader_alone_with_its_workers(cluster: SimulatedCluster) -> None:
     """No state service and no peers, but all workers; meanwhile users cancel with the others."""
-    name = world.leader() or "node-0"
-    for other in ["state", *(n for n in world.names if n != name)]:
-        world.cut(name, other, 60.0, hold=True)
+    name = cluster.leader() or "node-0"
+    for other in ["state", *(n for n in cluster.names if n != name)]:
+        cluster.cut(name, other, 60.0, hold=True)
 
 
-def zone_with_leader_cut_off(world: World) -> None:
+def zone_with_leader_cut_off(cluster: SimulatedCluster) -> None:
     """The leader and half of the machines on one side, all the rest on the other; nothing can be returned."""
-    name = world.leader() or "node-0"
-    inside = [name, *(m.name for m in world.cloud.machines.values() if m.zone == "a")]
+    name = cluster.leader() or "node-0"
+    inside = [name, *(m.name for m in cluster.cloud.machines.values() if m.zone == "a")]
     outside = [
         "state",
         "cloud",
-        *(n for n in world.names if n != name),
-        *(m.name for m in world.cloud.machines.values() if m.zone != "a"),
+        *(n for n in cluster.names if n != name),
+        *(m.name for m in cluster.cloud.machines.values() if m.zone != "a"),
     ]
     for one in inside:
         for other in outside:
-            world.cut(one, other, 55.0, hold=True)
-    world.cloud.down_until = world.now + 55.0
+            cluster.cut(one, other, 55.0, hold=True)
+    cluster.cloud.down_until = cluster.now + 55.0
 
 
-def freeze_leader(world: World) -> None:
+def freeze_leader(cluster: SimulatedCluster) -> None:
     """It stands still for longer than all leases; when it goes on, everything is due at once."""
-    world.freeze(world.leader() or "node-0", 25.0)
+    cluster.freeze(cluster.leader() or "node-0", 25.0)
 
 
-def freeze_standbys(world: World) -> None:
-    leader = world.leader()
-    for name in world.names:
+def freeze_standbys(cluster: SimulatedCluster) -> None:
+    leader = cluster.leader()
+    for name in cluster.names:
         if name != leader:
-            world.freeze(name, 14.0)
+            cluster.freeze(name, 14.0)
 
 
-def freeze_in_elections(world: World) -> None:
+def freeze_in_elections(cluster: SimulatedCluster) -> None:
     """The leader stands still and each node after it, a moment after it was elected or while it is."""
     for number in range(24):
-        world.clock.callLater(number * 0.35, freeze_now_and_then, world, number)
+        cluster.clock.callLater(number * 0.35, freeze_now_and_then, cluster, number)
 
 
-def freeze_now_and_then(world: World, number: int) -> None:
-    name = world.leader() or world.names[number % 3]
-    if number % 2 == 0 and world.frozen.get(name, 0.0) <= world.now:
-        world.freeze(name, world.random.uniform(1.0, 6.0))
+def freeze_now_and_then(cluster: SimulatedCluster, number: int) -> None:
+    name = cluster.leader() or cluster.names[number % 3]
+    if number % 2 == 0 and cluster.frozen.get(name, 0.0) <= cluster.now:
+        cluster.freeze(name, cluster.random.uniform(1.0, 6.0))
 
 
-def peers_refuse(world: World) -> None:
-    world.peers_refuse = world.now + 40.0
+def peers_refuse(cluster: SimulatedCluster) -> None:
+    cluster.peers_refuse = cluster.now + 40.0
 
 
-def most_machines_at_once(world: World) -> None:
+def most_machines_at_once(cluster: SimulatedCluster) -> None:
     """Some die, some hang, some are cut off, and half of the spot machines are taken back."""
-    up = [m for m in world.cloud.machines.values() if m.up]
+    up = [m for m in cluster.cloud.machines.values() if m.up]
     for machine in up[::4]:
         machine.die()
     for machine in up[1::4]:
-        for name in world.names:
-            world.cut(name, machine.name, 18.0, hold=True)
-    hang(15.0)(world)
-    spot_wave(world)
+        for name in cluster.names:
+            cluster.cut(name, machine.name, 18.0, hold=True)
+    hang(15.0)(cluster)
+    spot_wave(cluster)
 
 
-def burst(world: World) -> None:
+def burst(cluster: SimulatedCluster) -> None:
     for number in range(12):
-        world.submit(world.job(500 + number, pieces=4, vcpus=2.0, guessS=6.0, crew=("core", "edge")[number % 2]))
+        cluster.submit(cluster.job(500 + number, pieces=4, vcpus=2.0, guessS=6.0, crew=("core", "edge")[number % 2]))
 
 
-def machines_restart(world: World) -> None:
-    for machine in [m for m in world.cloud.machines.values() if m.up][:3]:
+def machines_restart(cluster: SimulatedCluster) -> None:
+    for machine in [m for m in cluster.cloud.machines.values() if m.up][:3]:
         machine.restart()
 
 
-TROUBLES: dict[str, list[Callable[[World], None]]] = {
+TROUBLES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
     "quiet": [],
     "leader crashes": [crash_leader, crash_leader],
     "all crash in an outage": [crash_all_in_outage],
@@ -278,50 +278,50 @@
 
 @pytest.mark.parametrize("name", TROUBLES)
 def test_day(name: str) -> None:
-    world = World(seed=len(name), loss=0.004)
-    load(world)
+    cluster = SimulatedCluster(seed=len(name), loss=0.004)
+    load(cluster)
     for number, trouble in enumerate(TROUBLES[name]):
-        world.clock.callLater(35.0 + 9.0 * number, trouble, world)
+        cluster.clock.callLater(35.0 + 9.0 * number, trouble, cluster)
     for number in (2, 8, 15):
-        world.clock.callLater(20.0 + 3 * number, world.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(20.0 + 3 * number, cluster.cancel, f"j-{number:06d}")
     for number in (4, 11, 20):
         # These fall into the trouble; whoever tells it must be right.
-        world.clock.callLater(48.0 + number / 2, world.cancel, f"j-{number:06d}")
-    world.rules.troubled_until = 110.0
-    finish(world)
-    assert world.rules.broken == []
-    unfinished = [job for job in world.jobs if not world.rules.is_final(job)]
+        cluster.clock.callLater(48.0 + number / 2, cluster.cancel, f"j-{number:06d}")
+    cluster.rules.troubled_until = 110.0
+    finish(cluster)
+    assert cluster.rules.broken == []
+    unfinished = [job for job in cluster.jobs if not cluster.rules.is_final(job)]
     assert unfinished == []
-    assert world.rules.starts > 38
+    assert cluster.rules.starts > 38
 
 
 def test_a_mistaken_job_blocks_nobody() -> None:
-    world = World(seed=5)
-    world.mistaken.add("j-000900")
-    world.submit(world.job(900, pieces=6, urgency="urgent"))
-    load(world, jobs=10)
-    world.run(150)
-    others = [job for job in world.jobs if job != "j-000900"]
-    assert all(world.rules.last.get(job) == "done" for job in others)
-    world.cancel("j-000900")
-    finish(world, 60)
-    assert world.rules.last["j-000900"] == "aborted"
-    assert world.rules.broken == []
+    cluster = SimulatedCluster(seed=5)
+    cluster.mistaken.add("j-000900")
+    cluster.submit(cluster.job(900, pieces=6, urgency="urgent"))
+    load(cluster, jobs=10)
+    cluster.run(150)
+    others = [job for job in cluster.jobs if job != "j-000900"]
+    assert all(cluster.rules.last.get(job) == "done" for job in others)
+    cluster.cancel("j-000900")
+    finish(cluster, 60)
+    assert cluster.rules.last["j-000900"] == "aborted"
+    assert cluster.rules.broken == []
 
 
 def test_a_slow_machine_is_emptied_and_returned() -> None:
-    world = World(seed=16, loss=0.0)
+    cluster = SimulatedCluster(seed=16, loss=0.0)
     for number in range(12):
-        world.clock.callLater(1.0 + 6 * number, world.submit, world.job(number, pieces=8, vcpus=2.0, guessS=8.0))
-    world.run(30)
-    slow = next(iter(world.rules.where.values())).name
-    plain = world.run_s
-    world.run_s = lambda name: plain(name) * (5 if name in world.every_machine[slow].tasks else 1)  # type: ignore
-    world.lengths = SameLength()
-    finish(world)
-    assert slow not in world.cloud.machines
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
+        cluster.clock.callLater(1.0 + 6 * number, cluster.submit, cluster.job(number, pieces=8, vcpus=2.0, guessS=8.0))
+    cluster.run(30)
+    slow = next(iter(cluster.rules.where.values())).name
+    plain = cluster.run_s
+    cluster.run_s = lambda name: plain(name) * (5 if name in cluster.every_machine[slow].tasks else 1)  # type: ignore
+    cluster.lengths = SameLength()
+    finish(cluster)
+    assert slow not in cluster.cloud.machines
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
 
 
 class SameLength(dict):
@@ -332,39 +332,39 @@
 
 
 def test_a_service_runs_until_it_is_cancelled() -> None:
-    world = World(seed=17)
-    world.submit(world.job(1, shape="standing", pieces=3, guessS=1000.0))
-    world.clock.callLater(60.0, crash_leader, world)
-    world.run(120)
-    assert len(world.rules.where) == 3
-    assert world.rules.last["j-000001"] == "running"
-    world.cancel("j-000001")
-    world.run(10)
-    assert world.rules.where == {}
-    assert world.rules.last["j-000001"] == "aborted"
-    assert world.rules.broken == []
+    cluster = SimulatedCluster(seed=17)
+    cluster.submit(cluster.job(1, shape="standing", pieces=3, guessS=1000.0))
+    cluster.clock.callLater(60.0, crash_leader, cluster)
+    cluster.run(120)
+    assert len(cluster.rules.where) == 3
+    assert cluster.rules.last["j-000001"] == "running"
+    cluster.cancel("j-000001")
+    cluster.run(10)
+    assert cluster.rules.where == {}
+    assert cluster.rules.last["j-000001"] == "aborted"
+    assert cluster.rules.broken == []
 
 
 def test_a_large_job_is_one_record_until_its_tasks_start() -> None:
-    world = World(seed=6)
-    world.submit(world.job(1, pieces=100_000, vcpus=1.0, guessS=600.0))
-    world.run(60)
-    kept = [key for key in world.state.items if key.startswith("tasks/")]
+    cluster = SimulatedCluster(seed=6)
+    cluster.submit(cluster.job(1, pieces=100_000, vcpus=1.0, guessS=600.0))
+    cluster.run(60)
+    kept = [key for key in cluster.state.items if key.startswith("tasks/")]
     assert 0 < len(kept) <= 8
-    assert world.rules.starts >= 24
-    world.cancel("j-000001")
-    world.run(20)
-    assert world.rules.where == {}
-    assert world.rules.broken == []
-    assert [key for key in world.state.items if key.startswith(("tasks/", "active/"))] == []
+    assert cluster.rules.starts >= 24
+    cluster.cancel("j-000001")
+    cluster.run(20)
+    assert cluster.rules.where == {}
+    assert cluster.rules.broken == []
+    assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
-def overloaded(jobs: int) -> World:
+def overloaded(jobs: int) -> SimulatedCluster:
     """Two machines, more pressing work for many times what they can do, and some jobs that may wait."""
-    world = World(seed=18, loss=0.0)
-    world.cloud.most = 2
+    cluster = SimulatedCluster(seed=18, loss=0.0)
+    cluster.cloud.most = 2
     for number in range(130):
-        urgent = world.job(
+        urgent = cluster.job(
             1000 + number,
             lane="quick",
             urgency="urgent",
@@ -374,46 +374,46 @@
             crew=("core", "edge")[number % 2],
             builds=["large"],
         )
-        world.clock.callLater(20.0 + 3.0 * number, world.submit, urgent)
+        cluster.clock.callLater(20.0 + 3.0 * number, cluster.submit, urgent)
     for number in range(jobs):
         lane, pieces, cpus = (("wide", 3, 16.0), ("batch", 6, 3.0))[number % 2]
-        body = world.job(number, lane=lane, pieces=pieces, vcpus=cpus, guessS=25.0, dueS=60.0, builds=["large"])
-        world.clock.callLater(40.0 + 4 * number, world.submit, body)
-    return world
+        body = cluster.job(number, lane=lane, pieces=pieces, vcpus=cpus, guessS=25.0, dueS=60.0, builds=["large"])
+        cluster.clock.callLater(40.0 + 4 * number, cluster.submit, body)
+    return cluster
 
 
 def test_old_jobs_begin_under_a_lasting_overload() -> None:
     """The widest too: their age brings them forward, and what they begin is not stopped again."""
-    world = overloaded(8)
-    world.run(400)
-    world.rules.check_served()
-    waits = [world.rules.begun_at[f"j-{n:06d}"] - world.rules.submitted_at[f"j-{n:06d}"] for n in range(8)]
+    cluster = overloaded(8)
+    cluster.run(400)
+    cluster.rules.check_served()
+    waits = [cluster.rules.begun_at[f"j-{n:06d}"] - cluster.rules.submitted_at[f"j-{n:06d}"] for n in range(8)]
     assert 100 < max(waits) < 240
     # There is far too much of the pressing work to serve half of it; nothing else may be broken.
-    assert [line for line in world.rules.broken if "quick" not in line and "team" not in line] == []
+    assert [line for line in cluster.rules.broken if "quick" not in line and "team" not in line] == []
 
 
 def test_a_crowd_of_wide_jobs_begins_after_machines_are_lost() -> None:
     """More than two machines can begin in what is left of 240 s once jobs are old: their age counts earlier."""
-    world = overloaded(36)
-    world.cloud.most = 4
+    cluster = overloaded(36)
+    cluster.cloud.most = 4
 
     def lose_half() -> None:
-        for machine in list(world.cloud.machines.values())[:2]:
+        for machine in list(cluster.cloud.machines.values())[:2]:
             machine.die()
-        world.cloud.most = 2
+        cluster.cloud.most = 2
 
-    world.clock.callLater(60.0, lose_half)
-    world.run(470)
-    waits = [world.rules.begun_at[f"j-{n:06d}"] - world.rules.submitted_at[f"j-{n:06d}"] for n in range(36)]
+    cluster.clock.callLater(60.0, lose_half)
+    cluster.run(470)
+    waits = [cluster.rules.begun_at[f"j-{n:06d}"] - cluster.rules.submitted_at[f"j-{n:06d}"] for n in range(36)]
     assert max(waits) < 240
-    assert [line for line in world.rules.broken if "not_served" not in line] == []
+    assert [line for line in cluster.rules.broken if "not_served" not in line] == []
 
 
 def test_the_checker_sees_unserved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without ageing the overload keeps old jobs out; a node that answers no question about one job forgets it."""
     monkeypatch.setattr(PendingJobs, "_is_aged", lambda *_: False)
-    world = overloaded(4)
+    cluster = overloaded(4)
 
     plain = Admission.status
 
@@ -423,48 +423,50 @@
         return await plain(admission, job)
 
     monkeypatch.setattr(Admission, "status", deaf)
-    world.run(400)
-    world.rules.check_known()
-    world.rules.check_served()
-    assert any("not_served" in line and "wide" in line for line in world.rules.broken)
-    assert any("forgotten" in line for line in world.rules.broken)
-    assert all("j-000001" in line for line in world.rules.broken if "forgotten" in line)
+    cluster.run(400)
+    cluster.rules.check_known()
+    cluster.rules.check_served()
+    assert any("not_served" in line and "wide" in line for line in cluster.rules.broken)
+    assert any("forgotten" in line for line in cluster.rules.broken)
+    assert all("j-000001" in line for line in cluster.rules.broken if "forgotten" in line)
 
 
 def test_a_machine_that_hears_nothing_gets_nothing_and_is_used_again() -> None:
     """Being heard is not being reachable."""
-    world = World(seed=19, loss=0.0)
-    world.submit(world.job(1, pieces=2, guessS=90.0))
-    world.run(40)
-    term = world.nodes[world.leader()].leader
-    name = next(task.name for task in world.cloud.machines.values() if task.up)
+    cluster = SimulatedCluster(seed=19, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=2, guessS=90.0))
+    cluster.run(40)
+    term = cluster.nodes[cluster.leader()].leader
+    name = next(task.name for task in cluster.cloud.machines.values() if task.up)
     machine = term.cluster.machines[name]
-    assert term.machine_views.is_ready(machine, world.now)
+    assert term.machine_views.is_ready(machine, cluster.now)
     # All its reports go to the leader, as often as a worker without answers can send them.
-    world.deaf[name] = world.now + 11.0
+    cluster.deaf[name] = cluster.now + 11.0
     for seconds in (5.0, 10.0):
-        world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
-    world.run(10.5)
-    assert world.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
-    assert not term.machine_views.is_ready(machine, world.now)
-    world.run(8.0)
-    assert term.machine_views.is_ready(machine, world.now)
-    assert world.rules.broken == []
+        cluster.clock.callLater(
+            seconds, lambda: cluster.deliver_report(cluster.leader(), cluster.every_machine[name].report())
+        )
+    cluster.run(10.5)
+    assert cluster.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
+    assert not term.machine_views.is_ready(machine, cluster.now)
+    cluster.run(8.0)
+    assert term.machine_views.is_ready(machine, cluster.now)
+    assert cluster.rules.broken == []
 
 
 def test_late_copies_show_no_sign_of_life() -> None:
     """A copy renews nothing, and a peer that gets one does not say that it hears the machine."""
-    world = World(seed=20, loss=0.0)
-    world.submit(world.job(1, pieces=2, guessS=60.0))
-    world.run(40)
-    leader = world.leader()
-    term = world.nodes[leader].leader
-    name = next(m.name for m in world.cloud.machines.values() if m.up)
-    body = world.every_machine[name].report()
-    world.deliver_report(leader, body)
+    cluster = SimulatedCluster(seed=20, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=2, guessS=60.0))
+    cluster.run(40)
+    leader = cluster.leader()
+    term = cluster.nodes[leader].leader
+    name = next(m.name for m in cluster.cloud.machines.values() if m.up)
+    body = cluster.every_machine[name].report()
+    cluster.deliver_report(leader, body)
     machine = term.cluster.machines[name]
-    world.cut(name, leader, 20.0)
-    world.run(3.0)
+    cluster.cut(name, leader, 20.0)
+    cluster.run(3.0)
     before = (
         machine.last_heartbeat_at,
         machine.lease_renewed_at,
@@ -473,7 +475,7 @@
         machine.sequence,
     )
     # The worker would accept an answer with our token as one that renews its lease.
-    assert world.deliver_report(leader, body).body == {"baton": 0, "orders": []}
+    assert cluster.deliver_report(leader, body).body == {"baton": 0, "orders": []}
     assert (
         machine.last_heartbeat_at,
         machine.lease_renewed_at,
@@ -481,30 +483,30 @@
         machine.epoch,
         machine.sequence,
     ) == before
-    peer = next(n for n in world.names if n != leader)
-    world.deliver_report(peer, body)
-    seen = tuple(world.nodes[peer].administration.view().machines[name])
+    peer = next(n for n in cluster.names if n != leader)
+    cluster.deliver_report(peer, body)
+    seen = tuple(cluster.nodes[peer].administration.view().machines[name])
     assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
 
 def test_a_stopped_attempt_stays_known_while_repeats_of_its_start_may_come() -> None:
-    world = World(seed=21, loss=0.0)
-    world.submit(world.job(1, pieces=1, guessS=80.0))
-    world.lengths["j-000001/0"] = 200.0
-    world.run(40)
-    term = world.nodes[world.leader()].leader
-    (name,) = {m.name for m in world.rules.where.values()}
+    cluster = SimulatedCluster(seed=21, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=1, guessS=80.0))
+    cluster.lengths["j-000001/0"] = 200.0
+    cluster.run(40)
+    term = cluster.nodes[cluster.leader()].leader
+    (name,) = {m.name for m in cluster.rules.where.values()}
     placement = next(iter(term.cluster.machines[name].placements.values()))
     commands = [StartCommand(placement.task, placement.attempt)]
     start = msgspec.to_builtins(CommandMessage(term.tokens.first, commands, epoch=1))
     term.cluster.machines[name].drain_reason = "a test"
     term.lifecycle.stop(placement, 0.0)
-    world.run(30)
-    assert world.rules.where["j-000001/0"].name != name
-    world.every_machine[name].command(start)  # a repeat of what was carried out
-    world.run(5)
-    assert world.rules.broken == []
-    assert world.rules.where["j-000001/0"].name != name
+    cluster.run(30)
+    assert cluster.rules.where["j-000001/0"].name != name
+    cluster.every_machine[name].command(start)  # a repeat of what was carried out
+    cluster.run(5)
+    assert cluster.rules.broken == []
+    assert cluster.rules.where["j-000001/0"].name != name
 
 
 def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
@@ -518,37 +520,37 @@
 def test_the_checker_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the wait for a silent machine's lease the checker must object."""
     monkeypatch.setattr(WorkerLeases, "has_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
-    world = World(seed=7)
-    load(world)
-    world.clock.callLater(35.0, hang(10.0), world)
-    finish(world, 120)
-    assert any("ran_twice" in line for line in world.rules.broken)
+    cluster = SimulatedCluster(seed=7)
+    load(cluster)
+    cluster.clock.callLater(35.0, hang(10.0), cluster)
+    finish(cluster, 120)
+    assert any("ran_twice" in line for line in cluster.rules.broken)
 
 
 def test_the_leader_hears_of_cancellations_after_a_failed_attempt_to_read_all_jobs() -> None:
     """Its watch was too old, and reading all jobs anew was refused: it used to end for good."""
-    world = World(seed=23, loss=0.0)
-    world.submit(world.job(1, guessS=100.0))
-    world.run(30)
-    name = world.leader()
-    watch = world.nodes[name].leader.watch
-    world.state.compacted = world.state.revision + 1
-    handle, until = world.state.handle, world.now + 1.0
+    cluster = SimulatedCluster(seed=23, loss=0.0)
+    cluster.submit(cluster.job(1, guessS=100.0))
+    cluster.run(30)
+    name = cluster.leader()
+    watch = cluster.nodes[name].leader.watch
+    cluster.state.compacted = cluster.state.revision + 1
+    handle, until = cluster.state.handle, cluster.now + 1.0
 
     def refusing(caller: str, method: str, path: str, body: Any) -> Any:
-        if path.startswith("/kv?under=active/") and world.now < until:
+        if path.startswith("/kv?under=active/") and cluster.now < until:
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
-    world.state.handle = refusing  # type: ignore[method-assign]
-    world.clock.callLater(1.5, setattr, world.state, "compacted", 0)
-    world.run(5)
-    assert world.leader() == name
+    cluster.state.handle = refusing  # type: ignore[method-assign]
+    cluster.clock.callLater(1.5, setattr, cluster.state, "compacted", 0)
+    cluster.run(5)
+    assert cluster.leader() == name
     assert watch.staleness_s() < 2.0
-    world.cancel("j-000001")
-    world.run(8)
-    assert not world.rules.where
-    assert world.rules.broken == []
+    cluster.cancel("j-000001")
+    cluster.run(8)
+    assert not cluster.rules.where
+    assert cluster.rules.broken == []
 
 
 class StrictLock:
@@ -567,15 +569,15 @@
 
 def test_a_job_that_is_over_before_anything_of_it_was_stored_is_let_go() -> None:
     """Nothing is to be written of it, so that its end follows at once, while the ledger still holds the lock."""
-    world = World(seed=24, loss=0.0)
-    world.run(12)
-    term = world.nodes[world.leader()].leader
+    cluster = SimulatedCluster(seed=24, loss=0.0)
+    cluster.run(12)
+    term = cluster.nodes[cluster.leader()].leader
     term.lock = StrictLock()
-    job = Job(messages.parse_job(world.job(7)), world.now, 24)
+    job = Job(messages.parse_job(cluster.job(7)), cluster.now, 24)
     job.end_phase = EndPhase.CANCELLED
     job.chunk_of(0).dirty = True
     term.cluster.jobs[job.id] = job
     term.cluster.mark_dirty(job)
     term.commit_queue.flush()
-    world.run(1)
+    cluster.run(1)
     assert job.id not in term.cluster.jobs
--- a/tests/test_settings_and_command_line.py
+++ b/tests/test_settings_and_command_line.py
@@ -4,12 +4,12 @@
 
 from stileloft import cli
 from stileloft.settings import SettingsError, parse
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 @pytest.fixture(scope="module")
 def text() -> str:
-    return World(1).settings("node-0")
+    return SimulatedCluster(1).settings("node-0")
 
 
 def test_unknown_fields_are_ignored(text: str) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -8,8 +8,8 @@
 from stileloft.scheduling.preemption_search import PreemptionSearch
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.deployment import TYPES, with_settings
-from tests.simulation.world import World
 
 MACHINES = 200
 JOBS, TASKS = 20, 40
@@ -42,8 +42,8 @@
     counted(MachineViewCache, "_build", "copies")
     counted(placement.CandidateMachines, "_score", "scored")
     counted(PreemptionSearch, "_search_machine", "tried")
-    world = World(seed, capacity=MACHINES, loss=0.0)
-    commit, handle = world.state.commit, world.cloud.handle
+    cluster = SimulatedCluster(seed, capacity=MACHINES, loss=0.0)
+    commit, handle = cluster.state.commit, cluster.cloud.handle
 
     def count_changes(body):
         counts["transactions"] += 1
@@ -56,15 +56,15 @@
         counts["releases"] += path == "/hosts/release"
         return handle(caller, method, path, body)
 
-    monkeypatch.setattr(world.state, "commit", count_changes)
-    monkeypatch.setattr(world.cloud, "handle", count_releases)
+    monkeypatch.setattr(cluster.state, "commit", count_changes)
+    monkeypatch.setattr(cluster.cloud, "handle", count_releases)
     for number in range(MACHINES):
-        machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
+        machine = cluster.cloud.add(TYPES[0], "ab"[number % 2], True)
         if not machine.up:
             machine.boot()
     for number in range(JOBS):
         # Small in processors, for the team's limit; two to a machine by memory.
-        body = world.job(
+        body = cluster.job(
             number,
             pieces=TASKS,
             vcpus=0.04,
@@ -73,10 +73,10 @@
             bundle=f"img-{number % 5}",
             crew=("core", "edge")[number % 2],
         )
-        world.clock.callLater(10.0 + 1.0 * number, world.submit, body)
-    world.run(60)
-    assert world.rules.broken == []
-    assert sum(world.rules.last.get(job) == "done" for job in world.jobs) == JOBS
+        cluster.clock.callLater(10.0 + 1.0 * number, cluster.submit, body)
+    cluster.run(60)
+    assert cluster.rules.broken == []
+    assert sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs) == JOBS
     tasks = JOBS * TASKS
     # Each machine is copied anew once a second, and when it has changed; not in each round.
     assert counts["copies"] < 0.5 * counts["rounds"] * MACHINES
@@ -86,14 +86,14 @@
     assert counts["changes"] < 0.85 * tasks
     # Machines that nobody needs go back many at a time.
     before = counts["releases"]
-    world.run(40)
-    returned = MACHINES - len([m for m in world.cloud.machines.values() if m.name < f"n-{MACHINES:06d}"])
+    cluster.run(40)
+    returned = MACHINES - len([m for m in cluster.cloud.machines.values() if m.name < f"n-{MACHINES:06d}"])
     assert returned > 100
     assert counts["releases"] - before < returned / 4
     return counts
 
 
-class LargeWorld(World):
+class LargeCluster(SimulatedCluster):
     """The settings of a large fleet: more machines than half of the sockets."""
 
     SOCKETS, CLOUD_RPS, WRITE_RPS = 1950, 9.0, 50.0
@@ -116,27 +116,27 @@
     machines = 942
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
-    world = LargeWorld(seed=24, capacity=machines, loss=0.0)
+    cluster = LargeCluster(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
-        machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
+        machine = cluster.cloud.add(TYPES[0], "ab"[number % 2], True)
         if not machine.up:
             machine.boot()
     asked: dict[int, int] = {}
     changed: dict[int, int] = {}
-    handle, commit = world.cloud.handle, world.state.commit
+    handle, commit = cluster.cloud.handle, cluster.state.commit
 
     def count_asked(caller, method, path, body):
-        asked[int(world.now)] = asked.get(int(world.now), 0) + 1
+        asked[int(cluster.now)] = asked.get(int(cluster.now), 0) + 1
         return handle(caller, method, path, body)
 
     def count_changes(body):
-        changed[int(world.now)] = changed.get(int(world.now), 0) + len(body["writes"])
+        changed[int(cluster.now)] = changed.get(int(cluster.now), 0) + len(body["writes"])
         return commit(body)
 
-    monkeypatch.setattr(world.cloud, "handle", count_asked)
-    monkeypatch.setattr(world.state, "commit", count_changes)
+    monkeypatch.setattr(cluster.cloud, "handle", count_asked)
+    monkeypatch.setattr(cluster.state, "commit", count_changes)
     for number in range(40):
-        body = world.job(
+        body = cluster.job(
             number,
             pieces=30,
             vcpus=0.03,
@@ -145,29 +145,29 @@
             bundle=f"img-{number % 5}",
             crew=("core", "edge")[number % 2],
         )
-        world.clock.callLater(5.0 + 0.1 * number, world.submit, body)
+        cluster.clock.callLater(5.0 + 0.1 * number, cluster.submit, body)
 
     def lose_half() -> None:
-        for machine in [m for m in world.cloud.machines.values() if m.up][::2]:
+        for machine in [m for m in cluster.cloud.machines.values() if m.up][::2]:
             machine.die()
 
-    world.clock.callLater(18.0, lose_half)
-    for name in world.names:
-        world.clock.callLater(19.0, world.kill, name, 0.3)
+    cluster.clock.callLater(18.0, lose_half)
+    for name in cluster.names:
+        cluster.clock.callLater(19.0, cluster.kill, name, 0.3)
     most = 0
     for _ in range(150):
-        world.run(0.5)
-        most = max(most, *(world.sockets(name) for name in world.names))
-    world.rules.check_cancelled()
-    assert world.rules.broken == []
+        cluster.run(0.5)
+        most = max(most, *(cluster.sockets(name) for name in cluster.names))
+    cluster.rules.check_cancelled()
+    assert cluster.rules.broken == []
     # The workers' reports alone take half; the rest is for commands, users, peers and the state service.
-    assert (most > KEEP_USERS_SHARE * world.SOCKETS) == keeps
+    assert (most > KEEP_USERS_SHARE * cluster.SOCKETS) == keeps
     if keeps:
         return
-    assert sum(world.rules.last.get(job) == "done" for job in world.jobs) == 40
+    assert sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs) == 40
     # The platform allows bursts of two seconds' worth of requests to the cloud, and of one of changes.
-    assert max(asked.values()) <= 2 * world.CLOUD_RPS
-    assert max(changed.values()) <= 2 * world.WRITE_RPS
+    assert max(asked.values()) <= 2 * cluster.CLOUD_RPS
+    assert max(changed.values()) <= 2 * cluster.WRITE_RPS
     # Those that were lost went back many at a time.
-    assert len(world.cloud.machines) < machines
+    assert len(cluster.cloud.machines) < machines
     assert sum(asked.values()) < 5 * 75
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -7,41 +7,41 @@
 from stileloft.store.commit_queue import REFUSED_BACKOFF_S
 from stileloft.transport.client import Reply
 from stileloft.transport.rate_limit import TokenBucket
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 def test_a_blind_leader_keeps_tasks_alive_for_its_grace_and_starts_nothing() -> None:
-    world = World(8, loss=0.0)
-    world.submit(world.job(1, pieces=2, guessS=120.0))
-    world.run(40)
-    assert world.rules.starts == 2
-    world.state.outage(24.0)
-    world.submit(world.job(2, pieces=2))
-    world.run(23)
+    cluster = SimulatedCluster(8, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=2, guessS=120.0))
+    cluster.run(40)
+    assert cluster.rules.starts == 2
+    cluster.state.outage(24.0)
+    cluster.submit(cluster.job(2, pieces=2))
+    cluster.run(23)
     # The outage is longer than the workers' lease, and no task was lost to it.
-    assert len([t for t in world.rules.where if t.startswith("j-000001/")]) == 2
-    assert world.rules.starts == 2
-    world.run(240)
-    assert world.rules.last == {"j-000001": "done", "j-000002": "done"}
-    assert world.rules.broken == []
+    assert len([t for t in cluster.rules.where if t.startswith("j-000001/")]) == 2
+    assert cluster.rules.starts == 2
+    cluster.run(240)
+    assert cluster.rules.last == {"j-000001": "done", "j-000002": "done"}
+    assert cluster.rules.broken == []
 
 
 def test_repeats_during_an_outage_leave_room_for_those_after_it() -> None:
-    world = World(11, loss=0.0)
-    world.run(5)
-    admission = world.nodes["node-1"].admission
-    world.state.outage(10.0)
+    cluster = SimulatedCluster(11, loss=0.0)
+    cluster.run(5)
+    admission = cluster.nodes["node-1"].admission
+    cluster.state.outage(10.0)
     failures: list = []
     for number in range(100):
-        spec = messages.parse_job(world.job(number))
-        world.jobs[spec.id] = world.job(number)
+        spec = messages.parse_job(cluster.job(number))
+        cluster.jobs[spec.id] = cluster.job(number)
         defer.ensureDeferred(admission.submit(spec)).addErrback(failures.append)
-        world.run(0.05)
-    world.run(6)
+        cluster.run(0.05)
+    cluster.run(6)
     assert len(failures) == 100
     accepted: list = []
-    defer.ensureDeferred(admission.submit(messages.parse_job(world.job(1)))).addCallback(accepted.append)
-    world.run(0.5)
+    defer.ensureDeferred(admission.submit(messages.parse_job(cluster.job(1)))).addCallback(accepted.append)
+    cluster.run(0.5)
     assert accepted
     assert accepted[0][0]
 
@@ -60,40 +60,40 @@
 
 def test_a_store_that_executes_nothing_is_not_asked_with_each_report() -> None:
     """Reports come many times a second; so did commits, which used up what was wanted after the outage."""
-    world = World(seed=25, loss=0.0)
+    cluster = SimulatedCluster(seed=25, loss=0.0)
     for number in range(6):
-        world.submit(world.job(number, pieces=6, vcpus=1.0, guessS=4.0))
-    while not world.rules.where:
-        world.run(1)
-    commits, handle = [], world.state.handle
+        cluster.submit(cluster.job(number, pieces=6, vcpus=1.0, guessS=4.0))
+    while not cluster.rules.where:
+        cluster.run(1)
+    commits, handle = [], cluster.state.handle
 
     def counted(caller, method, path, body):
-        if path == "/commit" and world.now < until:
+        if path == "/commit" and cluster.now < until:
             if any(write.get("set", "").startswith(("tasks/", "active/")) for write in body["writes"]):
-                commits.append(world.now)  # rentals and images are recorded at their own pace
+                commits.append(cluster.now)  # rentals and images are recorded at their own pace
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
-    until = world.now + 10.0
-    world.state.handle = counted  # type: ignore[method-assign]
-    term = world.nodes[world.leader()].leader
-    world.run(9.9)
+    until = cluster.now + 10.0
+    cluster.state.handle = counted  # type: ignore[method-assign]
+    term = cluster.nodes[cluster.leader()].leader
+    cluster.run(9.9)
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_BACKOFF_S
     assert term.store.write_budget.level() > term.store.write_budget.rate_per_s - 1
-    world.run(60)
-    assert set(world.rules.last.values()) == {"done"}
-    assert world.rules.broken == []
+    cluster.run(60)
+    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.rules.broken == []
 
 
 def test_a_node_that_alone_is_refused_sends_users_away_but_not_in_an_outage_for_all() -> None:
-    world = World(12, loss=0.0)
-    world.run(10)
-    standby = next(name for name in world.names if name != world.leader())
-    world.state.refuses[standby] = world.now + 20.0
-    world.run(8)
-    assert {name: node.healthy() for name, node in world.nodes.items()} == {n: n != standby for n in world.names}
-    world.run(20)
-    assert all(node.healthy() for node in world.nodes.values())
-    world.state.outage(10.0)
-    world.run(9)
-    assert all(node.healthy() for node in world.nodes.values())
+    cluster = SimulatedCluster(12, loss=0.0)
+    cluster.run(10)
+    standby = next(name for name in cluster.names if name != cluster.leader())
+    cluster.state.refuses[standby] = cluster.now + 20.0
+    cluster.run(8)
+    assert {name: node.healthy() for name, node in cluster.nodes.items()} == {n: n != standby for n in cluster.names}
+    cluster.run(20)
+    assert all(node.healthy() for node in cluster.nodes.values())
+    cluster.state.outage(10.0)
+    cluster.run(9)
+    assert all(node.healthy() for node in cluster.nodes.values())
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -2,7 +2,7 @@
 
 from stileloft.model import records
 from stileloft.protocol import messages
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 
 
 def test_ranges_and_keys() -> None:
@@ -23,7 +23,7 @@
 
     for value_kb in (4.0, 16.0):
         size = records.chunk_size(value_kb)
-        spec = messages.parse_job(World(1).job(1) | {"nameId": "j-1"} | {"pieces": size, "crew": "t" * 60})
+        spec = messages.parse_job(SimulatedCluster(1).job(1) | {"nameId": "j-1"} | {"pieces": size, "crew": "t" * 60})
         held = Job(spec, 0.0, size)
         for index in range(size):
             held.add_placement(Placement(spec.id, index, 123456, "n-" + "9" * 18, "zone-of-a-long-name-1", True))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 from stileloft.protocol.peers import PeerView
 from stileloft.settings import State, parse
 from stileloft.store.limits import StoreLimits
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
 from tests.test_gangs import gang, gang_load
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
 from tests.versions import LAST_LEGACY, NEW, Version, from_history, production
@@ -62,22 +62,22 @@
     return found
 
 
-def play_day(version: Version, **more: Any) -> World:
+def play_day(version: Version, **more: Any) -> SimulatedCluster:
     """A day of arrays, with one job of many tasks, on controllers of one version."""
-    world = World(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
-    load(world, jobs=12, every=2.0)
-    world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
-    return world
+    cluster = SimulatedCluster(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
+    load(cluster, jobs=12, every=2.0)
+    cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
+    return cluster
 
 
 def write_production_day() -> None:
     """Run once: `PYTHONPATH=.:target/deps python3 -c "from tests.test_upgrade import *; write_production_day()"`."""
     version = production()
     assert version is not None
-    world = play_day(version)
-    world.run(48)
-    items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    views = [msgspec.to_builtins(version.peer_resources(node).view()) for node in world.nodes.values()]
+    cluster = play_day(version)
+    cluster.run(48)
+    items = {key: value for key, (value, _, _) in sorted(cluster.state.items.items())}
+    views = [msgspec.to_builtins(version.peer_resources(node).view()) for node in cluster.nodes.values()]
     PRODUCTION_DAY.write_text(
         json.dumps({"items": items, "contents": read_jobs(version, items, 16.0), "views": views}, indent=1) + "\n"
     )
@@ -87,13 +87,13 @@
     """Run once: a day with records of all kinds; the limit of a value becomes lower without notice."""
     version = from_history(LAST_LEGACY)
     assert version is not None
-    world = play_day(version)
-    world.submit(world.job(701, pieces=300, vcpus=0.25, memGb=0.1, guessS=8.0, crew="guest"))
-    world.submit(world.job(702, pieces=90, vcpus=0.25, memGb=0.1, guessS=60.0, crew="edge"))
-    world.run(30)
-    world.state.value_bytes = 2048
-    world.run(6)
-    items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
+    cluster = play_day(version)
+    cluster.submit(cluster.job(701, pieces=300, vcpus=0.25, memGb=0.1, guessS=8.0, crew="guest"))
+    cluster.submit(cluster.job(702, pieces=90, vcpus=0.25, memGb=0.1, guessS=60.0, crew="edge"))
+    cluster.run(30)
+    cluster.state.value_bytes = 2048
+    cluster.run(6)
+    items = {key: value for key, (value, _, _) in sorted(cluster.state.items.items())}
     LAST_LEGACY_DAY.write_text(
         json.dumps({"items": items, "contents": read_jobs(version, items, 16.0)}, separators=(",", ":")) + "\n"
     )
@@ -138,152 +138,154 @@
 
 def test_before_the_change_of_format_records_look_as_production_writes_them() -> None:
     """One node is missing, so nobody knows which version it is: production's form is kept, and its limits."""
-    world = play_day(NEW, coming=LOWER_LIMITS)
-    world.kill("node-2", None)
-    world.lower_limits()
-    world.run(60)
-    items = {key: value for key, (value, _, _) in sorted(world.state.items.items())}
-    assert all(node is None or node.record_format.number == 0 for node in world.nodes.values())
+    cluster = play_day(NEW, coming=LOWER_LIMITS)
+    cluster.kill("node-2", None)
+    cluster.lower_limits()
+    cluster.run(60)
+    items = {key: value for key, (value, _, _) in sorted(cluster.state.items.items())}
+    assert all(node is None or node.record_format.number == 0 for node in cluster.nodes.values())
     assert records.FORMAT not in items
     expected = record_kinds(json.loads(PRODUCTION_DAY.read_text())["items"])
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
     assert record_kinds(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
-    assert world.state.refused_sizes == 0
+    assert cluster.state.refused_sizes == 0
     read = read_jobs(NEW, items, 16.0)
     assert sum(len(job["placed"]) for job in read.values()) > 20
     version = production()
     if version is not None:
         assert read_jobs(version, items, 16.0) == read
-    finish(world)
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
 
 
 @needs_history
 @pytest.mark.parametrize("seed", [1, 2])
 def test_old_and_new_lead_in_turn(seed: int) -> None:
     """Take-overs in the middle of placements, stops and completions; then all are new, and the limits come."""
-    world = World(seed=70 + seed, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
-    load(world, jobs=30)
-    world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
+    cluster = SimulatedCluster(
+        seed=70 + seed, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW
+    )
+    load(cluster, jobs=30)
+    cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
     wanted = [True, False, True, False]
     leaders: list[bool] = []
 
     def turn() -> None:
         """All of the other kind die while one of them leads, until one of this kind does; then the next is wanted."""
-        name = world.leader()
-        new = name is not None and world.versions[name] is NEW
+        name = cluster.leader()
+        new = name is not None and cluster.versions[name] is NEW
         if name is not None and new is wanted[len(leaders)]:
             leaders.append(new)
         elif name is not None:
-            for other in world.names:
-                if (world.versions[other] is NEW) is new and world.nodes[other] is not None:
-                    world.kill(other, 2.5)
+            for other in cluster.names:
+                if (cluster.versions[other] is NEW) is new and cluster.nodes[other] is not None:
+                    cluster.kill(other, 2.5)
         if len(leaders) < len(wanted):
-            world.clock.callLater(3.0 if leaders and name and new is leaders[-1] else 0.5, turn)
+            cluster.clock.callLater(3.0 if leaders and name and new is leaders[-1] else 0.5, turn)
 
-    world.clock.callLater(24.0, world.kill, "node-0", 0.5, NEW)
-    world.clock.callLater(28.0, turn)
-    world.clock.callLater(33.0, spot_wave, world)
-    world.clock.callLater(46.0, machines_die, world)
+    cluster.clock.callLater(24.0, cluster.kill, "node-0", 0.5, NEW)
+    cluster.clock.callLater(28.0, turn)
+    cluster.clock.callLater(33.0, spot_wave, cluster)
+    cluster.clock.callLater(46.0, machines_die, cluster)
     for number in (2, 8, 15):
-        world.clock.callLater(34.0 + number, world.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(34.0 + number, cluster.cancel, f"j-{number:06d}")
     # One dies and comes back old before its turn, then the rest of the roll.
-    world.clock.callLater(58.0, world.kill, "node-1", 0.3)
-    world.clock.callLater(62.0, world.kill, "node-1", 2.0, NEW)
-    world.run(64)
+    cluster.clock.callLater(58.0, cluster.kill, "node-1", 0.3)
+    cluster.clock.callLater(62.0, cluster.kill, "node-1", 2.0, NEW)
+    cluster.run(64)
     assert leaders == wanted
-    assert records.FORMAT not in world.state.items
-    world.clock.callLater(4.0, world.kill, "node-2", 2.0, NEW)
-    world.run(12)
-    assert records.FORMAT in world.state.items
-    world.lower_limits()
-    gang_load(world, count=6)
-    world.clock.callLater(15.0, crash_leader, world)
-    world.rules.troubled_until = world.now + 20.0
-    finish(world)
-    assert world.rules.broken == []
-    assert world.state.refused_sizes == 0
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+    assert records.FORMAT not in cluster.state.items
+    cluster.clock.callLater(4.0, cluster.kill, "node-2", 2.0, NEW)
+    cluster.run(12)
+    assert records.FORMAT in cluster.state.items
+    cluster.lower_limits()
+    gang_load(cluster, count=6)
+    cluster.clock.callLater(15.0, crash_leader, cluster)
+    cluster.rules.troubled_until = cluster.now + 20.0
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert cluster.state.refused_sizes == 0
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
 
 
 @needs_history
 def test_large_records_of_production_are_brought_into_small_pieces() -> None:
     """Its leader had stored more placements in one value than the limit to come allows."""
-    world = World(seed=81, loss=0.0, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
-    world.submit(world.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
-    world.submit(world.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
-    while len(world.rules.where) < 160:
-        world.run(1)
-    large = [key for key, item in world.state.items.items() if len(json.dumps(item[0])) > 2048]
+    cluster = SimulatedCluster(seed=81, loss=0.0, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
+    cluster.submit(cluster.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
+    cluster.submit(cluster.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
+    while len(cluster.rules.where) < 160:
+        cluster.run(1)
+    large = [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048]
     assert len(large) == 2
-    for number, name in enumerate(world.names):
-        world.clock.callLater(2.0 * number, world.kill, name, 0.5, NEW)
-    world.run(20)
-    world.lower_limits()
-    assert [key for key, item in world.state.items.items() if len(json.dumps(item[0])) > 2048] == []
-    world.run(5)
-    crash_leader(world)
-    world.cancel("j-000701")
-    finish(world, 400)
-    assert world.rules.broken == []
-    assert world.state.refused_sizes == 0
-    assert world.rules.last == {"j-000700": "done", "j-000701": "aborted"}
-    world.run(20)
-    assert [key for key in world.state.items if key.startswith(("tasks/", "active/"))] == []
+    for number, name in enumerate(cluster.names):
+        cluster.clock.callLater(2.0 * number, cluster.kill, name, 0.5, NEW)
+    cluster.run(20)
+    cluster.lower_limits()
+    assert [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048] == []
+    cluster.run(5)
+    crash_leader(cluster)
+    cluster.cancel("j-000701")
+    finish(cluster, 400)
+    assert cluster.rules.broken == []
+    assert cluster.state.refused_sizes == 0
+    assert cluster.rules.last == {"j-000700": "done", "j-000701": "aborted"}
+    cluster.run(20)
+    assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
 def test_the_format_changes_when_all_say_so_and_not_from_silence() -> None:
-    world = World(seed=91, loss=0.0)
-    world.kill("node-1", None)
-    world.run(20)
-    assert records.FORMAT not in world.state.items
-    world.start("node-1")
-    world.run(5)
-    assert world.state.items[records.FORMAT][0]["members"] == world.names
-    assert [node.record_format.number for node in world.nodes.values()] == [2, 2, 2]
+    cluster = SimulatedCluster(seed=91, loss=0.0)
+    cluster.kill("node-1", None)
+    cluster.run(20)
+    assert records.FORMAT not in cluster.state.items
+    cluster.start("node-1")
+    cluster.run(5)
+    assert cluster.state.items[records.FORMAT][0]["members"] == cluster.names
+    assert [node.record_format.number for node in cluster.nodes.values()] == [2, 2, 2]
     # Jobs say from now on how long their chunks are; another limit in the settings does not change that.
-    world.submit(world.job(1, pieces=30, vcpus=0.5))
-    world.run(20)
-    record = world.state.items["active/j-000001"][0]
+    cluster.submit(cluster.job(1, pieces=30, vcpus=0.5))
+    cluster.run(20)
+    record = cluster.state.items["active/j-000001"][0]
     assert record["n"] == 65
     assert job_from_record(record, 1, 5).chunk_size == 65
 
 
 def test_a_day_under_limits_that_come_without_notice() -> None:
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
-    world = World(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
-    load(world, jobs=18)
-    gang_load(world, count=8)
-    world.submit(world.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
-    world.submit(gang(world, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
-    world.clock.callLater(30.0, world.lower_limits)
+    cluster = SimulatedCluster(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
+    load(cluster, jobs=18)
+    gang_load(cluster, count=8)
+    cluster.submit(cluster.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
+    cluster.submit(gang(cluster, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
+    cluster.clock.callLater(30.0, cluster.lower_limits)
     for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, machines_die), (80.0, crash_leader)):
-        world.clock.callLater(at, trouble, world)
+        cluster.clock.callLater(at, trouble, cluster)
     for number in (2, 8, 15):
-        world.clock.callLater(45.0 + number, world.cancel, f"j-{number:06d}")
-    world.rules.troubled_until = 110.0
-    finish(world)
-    assert world.rules.broken == []
-    assert world.state.refused_sizes == 0
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+        cluster.clock.callLater(45.0 + number, cluster.cancel, f"j-{number:06d}")
+    cluster.rules.troubled_until = 110.0
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert cluster.state.refused_sizes == 0
+    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
 
 
 def test_a_change_that_is_refused_for_its_size_is_split_and_repeated() -> None:
     """The limits become lower than was announced."""
-    world = World(seed=93, loss=0.0, value_kb=16.0)
-    load(world, jobs=12)
-    world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
-    world.coming = LOWER_LIMITS
-    world.clock.callLater(30.0, world.lower_limits)
-    finish(world)
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
-    assert 0 < world.state.refused_sizes < 20
+    cluster = SimulatedCluster(seed=93, loss=0.0, value_kb=16.0)
+    load(cluster, jobs=12)
+    cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
+    cluster.coming = LOWER_LIMITS
+    cluster.clock.callLater(30.0, cluster.lower_limits)
+    finish(cluster)
+    assert cluster.rules.broken == []
+    assert set(cluster.rules.last.values()) == {"done"}
+    assert 0 < cluster.state.refused_sizes < 20
 
 
 def test_limits_are_the_least_known_and_go_down_when_refused() -> None:
-    state = parse(World(1, coming=LOWER_LIMITS).settings("node-0")).deployment.state
+    state = parse(SimulatedCluster(1, coming=LOWER_LIMITS).settings("node-0")).deployment.state
     assert (state.least().txn_ops, state.least().value_bytes, state.least().write_rps, state.least().rps) == (
         4,
         2048,
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -31,8 +31,8 @@
 from tests import test_rules as single
 from tests.held_starts import cloud_out, freeze_leader
 from tests.simulation.clients import Connection
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import Hold
-from tests.simulation.world import World
 from tests.test_gangs import gang, gang_load
 from tests.versions import NEW, production
 
@@ -41,17 +41,17 @@
 DAY_S = 110.0
 FAULTS_FROM_S, FAULTS_UNTIL_S = 18.0, 80.0
 
-Fault = Callable[[World], None]
+Fault = Callable[[SimulatedCluster], None]
 
 
-def hold_starts(world: World) -> None:
+def hold_starts(cluster: SimulatedCluster) -> None:
     """Start commands stay on their way for longer than a cancellation may take."""
-    world.holds.append(Hold(world.now + 8.0, 20.0, 60.0, verb="launch"))
+    cluster.holds.append(Hold(cluster.now + 8.0, 20.0, 60.0, verb="launch"))
 
 
-def hold_answers(world: World) -> None:
+def hold_answers(cluster: SimulatedCluster) -> None:
     """Commands are executed in time, and their answers come late."""
-    world.holds.append(Hold(world.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
+    cluster.holds.append(Hold(cluster.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
 
 
 FAULTS: tuple[Fault, ...] = (
@@ -117,19 +117,19 @@
 class StoredChanges(list[tuple[str, Any, int]]):
     """The store's changes; each that is added is traced."""
 
-    def __init__(self, world: "TracedWorld") -> None:
+    def __init__(self, cluster: "TracedCluster") -> None:
         super().__init__()
-        self._world = world
+        self._cluster = cluster
 
     def append(self, change: tuple[str, Any, int]) -> None:
-        self._world.trace.add("stored", self._world.now, *change)
+        self._cluster.trace.add("stored", self._cluster.now, *change)
         super().append(change)
 
 
 class TracedConnection(Connection):
     """A controller's client whose requests and answers are traced."""
 
-    world: "TracedWorld"
+    cluster: "TracedCluster"
 
     async def request(
         self,
@@ -140,41 +140,43 @@
         timeout_s: float,
         is_wanted: Callable[[], bool] = lambda: True,
     ) -> Reply:
-        world, sender = self.world, f"{self.name}#{self.process}"
+        cluster, sender = self.cluster, f"{self.name}#{self.process}"
         encoded = None if body is None else messages.encode(body)
-        world.trace.add("request", world.now, sender, method, address, path, body, encoded, timeout_s)
+        cluster.trace.add("request", cluster.now, sender, method, address, path, body, encoded, timeout_s)
         try:
             reply = await super().request(method, address, path, body, timeout_s, is_wanted)
         except Exception as error:
-            version = world.versions[self.name]
+            version = cluster.versions[self.name]
             kinds = {version.connection_failed: "connection failed", version.no_response: "no response"}
-            world.trace.add("failed", world.now, sender, address, path, kinds.get(type(error)), str(error))
+            cluster.trace.add("failed", cluster.now, sender, address, path, kinds.get(type(error)), str(error))
             raise
-        world.trace.add("answered", world.now, sender, address, path, reply.status, reply.body)
+        cluster.trace.add("answered", cluster.now, sender, address, path, reply.status, reply.body)
         return reply
 
 
 class TracedQuestion:
     """What a user asks a controller, with its answer traced."""
 
-    def __init__(self, world: "TracedWorld", ask: Callable[[Any], Any], job: str) -> None:
-        self._world, self._ask, self._job = world, ask, job
+    def __init__(self, cluster: "TracedCluster", ask: Callable[[Any], Any], job: str) -> None:
+        self._cluster, self._ask, self._job = cluster, ask, job
 
     def __call__(self, node: Any) -> Any:
         asked: defer.Deferred[Any] = defer.ensureDeferred(self._ask(node))
         return asked.addCallbacks(self._answered, self._refused)
 
     def _answered(self, answer: Any) -> Any:
-        self._world.trace.add("told", self._world.now, self._job, answer)
+        self._cluster.trace.add("told", self._cluster.now, self._job, answer)
         return answer
 
     def _refused(self, failure: Any) -> Any:
         error = failure.value
-        self._world.trace.add("refused", self._world.now, self._job, str(error), getattr(error, "retry_after_s", None))
+        self._cluster.trace.add(
+            "refused", self._cluster.now, self._job, str(error), getattr(error, "retry_after_s", None)
+        )
         return failure
 
 
-class TracedWorld(World):
+class TracedCluster(SimulatedCluster):
     """A simulated cluster of which every message and stored record is traced."""
 
     CONNECTION = TracedConnection
@@ -211,21 +213,21 @@
     broken: list[str]
 
 
-def _submit_jobs(world: World) -> None:
+def _submit_jobs(cluster: SimulatedCluster) -> None:
     """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
-    single.load(world, jobs=14, every=2.5)
-    gang_load(world, count=5, every=7.0)
-    world.clock.callLater(6.0, world.submit, gang(world, 300, pieces=3, loaner=True))
-    world.clock.callLater(9.0, world.submit, world.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
-    world.clock.callLater(
-        12.0, world.submit, world.job(500, pieces=90, vcpus=0.25, memGb=0.2, guessS=12.0, crew="guest")
+    single.load(cluster, jobs=14, every=2.5)
+    gang_load(cluster, count=5, every=7.0)
+    cluster.clock.callLater(6.0, cluster.submit, gang(cluster, 300, pieces=3, loaner=True))
+    cluster.clock.callLater(9.0, cluster.submit, cluster.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
+    cluster.clock.callLater(
+        12.0, cluster.submit, cluster.job(500, pieces=90, vcpus=0.25, memGb=0.2, guessS=12.0, crew="guest")
     )
 
 
-def _replace_old_version(world: World, dice: random.Random) -> None:
+def _replace_old_version(cluster: SimulatedCluster, dice: random.Random) -> None:
     """The processes of the version in production are replaced one after the other."""
-    for number, name in enumerate(dice.sample(world.names, 3)):
-        world.clock.callLater(26.0 + 16.0 * number, world.kill, name, 1.5, NEW)
+    for number, name in enumerate(dice.sample(cluster.names, 3)):
+        cluster.clock.callLater(26.0 + 16.0 * number, cluster.kill, name, 1.5, NEW)
 
 
 def _options(seed: int, dice: random.Random) -> dict[str, Any]:
@@ -259,21 +261,21 @@
     dice = random.Random(f"day {seed}")
     options = _options(seed, dice)
     trace = Trace(lines)
-    world = TracedWorld(trace, **options)
-    _submit_jobs(world)
+    cluster = TracedCluster(trace, **options)
+    _submit_jobs(cluster)
     for fault in dice.sample(FAULTS, 4):
-        world.clock.callLater(dice.uniform(FAULTS_FROM_S, FAULTS_UNTIL_S), fault, world)
+        cluster.clock.callLater(dice.uniform(FAULTS_FROM_S, FAULTS_UNTIL_S), fault, cluster)
     for job in ("j-000001", "j-000006", "j-000101", "j-000400", "j-000500"):
-        world.clock.callLater(dice.uniform(15.0, 90.0), world.cancel, job)
+        cluster.clock.callLater(dice.uniform(15.0, 90.0), cluster.cancel, job)
     if "version" in options:
-        _replace_old_version(world, dice)
+        _replace_old_version(cluster, dice)
     if "features" in options and seed % 2:
-        world.clock.callLater(45.0, world.state.wipe)
+        cluster.clock.callLater(45.0, cluster.state.wipe)
     if "coming" in options:
-        world.clock.callLater(50.0, world.lower_limits)
-    world.run(DAY_S)
-    trace.add("end", sorted(world.state.items.items()), world.rules.broken)
-    return DayDigest(trace.count, trace.digest(), world.rules.broken)
+        cluster.clock.callLater(50.0, cluster.lower_limits)
+    cluster.run(DAY_S)
+    trace.add("end", sorted(cluster.state.items.items()), cluster.rules.broken)
+    return DayDigest(trace.count, trace.digest(), cluster.rules.broken)
 
 
 def read_digests() -> dict[int, DayDigest]:
