--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -62,7 +62,7 @@
             cluster.job(number, pieces=3, vcpus=3.0, guessS=600.0, crew=("core", "edge")[number % 2]),
         )
     cluster.run(40)
-    assert len(cluster.rules.where) > 15
+    assert len(cluster.checker.machine_by_task) > 15
     return cluster
 
 
@@ -90,7 +90,7 @@
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.run(0.25)
-        cluster.rules.check_cancelled()
+        cluster.checker.check_cancelled()
 
 
 def play(scenario: Scenario, seed: int) -> tuple[SimulatedCluster, Outcome]:
@@ -103,15 +103,15 @@
     for job in jobs:
         cluster.clock.callLater(CANCEL_AT_S, cluster.cancel, job)
     run_watched(cluster, WATCHED_S)
-    rules = cluster.rules
+    checker = cluster.checker
     long_tasks = [f"j-{number:06d}/{index}" for number in range(LONG_JOBS) for index in range(3)]
     outcome = Outcome(
-        tuple(rules.broken),
-        len(rules.cancelled_at),
-        rules.longest_after_cancel_s / cluster.CANCEL_S,
-        rules.refused_starts["token"],
-        rules.refused_starts["session"],
-        sum(max(0, rules.starts_by_task.get(task, 0) - 1) for task in long_tasks),
+        tuple(checker.violations),
+        len(checker.cancelled_at),
+        checker.longest_after_cancel_s / cluster.CANCEL_S,
+        checker.refused_starts["token"],
+        checker.refused_starts["epoch"],
+        sum(max(0, checker.starts_by_task.get(task, 0) - 1) for task in long_tasks),
     )
     return cluster, outcome
 
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -27,7 +27,7 @@
 from stileloft.protocol import messages
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
-from tests.rules import Rules
+from tests.rules import RuleChecker
 from tests.simulation.cloud import Cloud
 from tests.simulation.deployment import SETTINGS, with_settings
 from tests.simulation.gangs import Gang
@@ -162,7 +162,7 @@
         self.mistaken: set[str] = set()
         self.faulty: set[str] = set()
         self.every_machine: dict[str, Machine] = {}
-        self.rules = Rules(self)
+        self.checker = RuleChecker(self)
         self.state = StateService(self)
         self.cloud = LoopbackCloud(self, capacity=8)
         self.cloud.boot_s, self.cloud.never_up = 0.5, 0.0
@@ -258,7 +258,7 @@
         method, path, body = ask
         while True:
             asked_at = self.now
-            self.rules.asked(job)
+            self.checker.request_sent(job)
             try:
                 address = self.public[self.random.choice(self.names)]
                 reply = await self.client.request(method, address, path, body, 2.0)
@@ -266,8 +266,8 @@
                 reply = Reply(503, None)
             if reply.status in (200, 201, 404):
                 answer = reply.body if reply.status != 404 else None
-                self.rules.told(job, answer, asked_at)
-                self.rules.answered(job)
+                self.checker.observe_status(job, answer, asked_at)
+                self.checker.request_answered(job)
                 told(job, answer)
                 return
             await self.sleep(POLL_S)
@@ -283,7 +283,7 @@
         self._poll(job)
 
     def _poll(self, job: str) -> None:
-        if not self.rules.is_final(job):
+        if not self.checker.is_final(job):
             self.clock.callLater(POLL_S, self._ask, self._question(job), lambda other, _: self._poll(other), job)
 
     @staticmethod
@@ -294,7 +294,7 @@
         return "POST", "/v2/runs", body
 
     def cancel(self, job: str) -> None:
-        self.rules.cancelling(job)
+        self.checker.cancel_requested(job)
         self._ask(("POST", f"/v2/runs/{job}/cancel", {}), lambda *_: None, job)
 
     # -- the batch -------------------------------------------------------------------------
@@ -331,7 +331,7 @@
 
     def lose_state(self) -> None:
         self.wiped_at = self.now
-        self.starts_at_wipe = self.rules.starts
+        self.starts_at_wipe = self.checker.starts
         leader = self.leader()
         self.state.wipe()
         if self.options.kill_leader:
@@ -341,12 +341,12 @@
 
     def look(self) -> None:
         """Ends the run when all jobs have, or it takes too long."""
-        self.rules.check_cancelled()
+        self.checker.check_cancelled()
         awaited = self.wiped_at is not None and self.outcome.first_start_after_s is None
-        if awaited and self.rules.starts > self.starts_at_wipe:
+        if awaited and self.checker.starts > self.starts_at_wipe:
             self.outcome.first_start_after_s = round(self.now - self.wiped_at, 2)
         all_there = len(self.jobs) == self.options.jobs
-        if (all_there and all(self.rules.is_final(job) for job in self.jobs)) or self.now > self.options.longest_s:
+        if (all_there and all(self.checker.is_final(job) for job in self.jobs)) or self.now > self.options.longest_s:
             self.finish()
         else:
             self.clock.callLater(0.1, self.look)
@@ -356,9 +356,13 @@
             process.kill()
             process.wait()
         outcome = self.outcome
-        outcome.answers = {job: self.rules.last.get(job, "unanswered") for job in sorted(self.jobs)}
-        outcome.broken, outcome.starts, outcome.took_s = self.rules.broken, self.rules.starts, round(self.now, 1)
-        outcome.repeated = sorted(task for task, times in self.rules.starts_by_task.items() if times > 1)
+        outcome.answers = {job: self.checker.last_phase.get(job, "unanswered") for job in sorted(self.jobs)}
+        outcome.broken, outcome.starts, outcome.took_s = (
+            self.checker.violations,
+            self.checker.starts,
+            round(self.now, 1),
+        )
+        outcome.repeated = sorted(task for task, times in self.checker.starts_by_task.items() if times > 1)
         for name in self.names:
             text = (self.folder / f"{name}.log").read_text(errors="replace")
             outcome.rebuilt += [(float(s), int(n)) for s, n in REBUILT.findall(text)]
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -68,8 +68,8 @@
     cluster.state.wipe()
     while not lines.lines and cluster.now < wiped_at + LONGEST_S:
         cluster.run(0.05)
-    rebuilt_s, starts = cluster.now - wiped_at, cluster.rules.starts
-    while cluster.rules.starts == starts and cluster.now < wiped_at + LONGEST_S:
+    rebuilt_s, starts = cluster.now - wiped_at, cluster.checker.starts
+    while cluster.checker.starts == starts and cluster.now < wiped_at + LONGEST_S:
         cluster.run(0.05)
     print(f"  {lines.lines[0] if lines.lines else 'not rebuilt'}")
     print(f"  simulated: all records after {rebuilt_s:.1f} s, the next start after {cluster.now - wiped_at:.1f} s")
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -7,7 +7,7 @@
 from stileloft.controller.controller import Controller
 from stileloft.features import Features
 from stileloft.model.records import split_task
-from tests.rules import Rules
+from tests.rules import RuleChecker
 from tests.simulation.cloud import Cloud
 from tests.simulation.controllers import Controllers
 from tests.simulation.gangs import Gang
@@ -86,7 +86,7 @@
         self.begin_untroubled()
         self.processes = {name: 0 for name in self.names}
         self.nodes: dict[str, Controller | None] = dict.fromkeys(self.names)
-        self.rules = Rules(self)
+        self.checker = RuleChecker(self)
         self.state = StateService(self)
         self.cloud = Cloud(self, capacity)
         for name in self.names:
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -36,7 +36,7 @@
         here = [other for other in self.members if self.present(other)]
         if self.running_since is None and len(here) == self.job["pieces"]:
             self.running_since = self.cluster.now
-            self.cluster.rules.begun_at.setdefault(self.job["nameId"], self.cluster.now)
+            self.cluster.checker.started_at.setdefault(self.job["nameId"], self.cluster.now)
             for member, member_state in self.members.values():
                 member_state["phase"] = "running"
                 member.send_report()
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -39,15 +39,15 @@
     def submit(self, body: dict[str, Any]) -> None:
         """A user who submits until accepted, then polls until the end."""
         self.jobs[body["nameId"]] = body
-        self.rules.submitted_at[body["nameId"]] = self.now
+        self.checker.submitted_at[body["nameId"]] = self.now
         self._ask(self._submission(body), self._accepted, body["nameId"])
 
     def cancel(self, job: str) -> None:
-        self.rules.cancelling(job)
+        self.checker.cancel_requested(job)
         self._ask(lambda node: node.admission.cancel(job), self._told, job)
 
     def _ask(self, ask: Callable[[Controller], Any], told: Callable[[str, Any], None], job: str) -> None:
-        self.rules.asked(job)
+        self.checker.request_sent(job)
         name = self.random.choice(self.names)
         node = self.nodes[name]
         again = self.clock.callLater(1.5, self._ask, ask, told, job)
@@ -60,10 +60,10 @@
             if self.processes[name] != number:
                 return
             # An answer counts for what it says also if its user has asked again meanwhile.
-            self.rules.told(job, result[1] if isinstance(result, tuple) else result, asked_at)
+            self.checker.observe_status(job, result[1] if isinstance(result, tuple) else result, asked_at)
             if again.active():
                 again.cancel()
-                self.rules.answered(job)
+                self.checker.request_answered(job)
                 told(job, result)
 
         self.awake(name, lambda: defer.ensureDeferred(ask(node)).addCallbacks(answer, lambda _: None))
@@ -73,7 +73,7 @@
         self._poll(job)
 
     def _poll(self, job: str) -> None:
-        if not self.rules.is_final(job):
+        if not self.checker.is_final(job):
             self.clock.callLater(3.0, self._poll, job)
         self._ask(self._question(job), self._told, job)
 
@@ -89,7 +89,7 @@
             name = self.names[number % 3]
             ask = self._submission(self.jobs[job]) if number % 4 == 3 else self._question(job)
             self.clock.callLater(self.random.uniform(0.0, 0.05), self._look, name, ask, job)
-        if self.random.random() < 0.2 and not self.rules.is_final(job):
+        if self.random.random() < 0.2 and not self.checker.is_final(job):
             self.clock.callLater(self.random.uniform(0.0, 0.05), self.cancel, job)
 
     def _look(self, name: str, ask: Callable[[Controller], Any], job: str) -> None:
@@ -99,7 +99,7 @@
 
         def answer(result: Any) -> None:
             if self.processes[name] == number:
-                self.rules.told(job, result[1] if isinstance(result, tuple) else result, asked_at)
+                self.checker.observe_status(job, result[1] if isinstance(result, tuple) else result, asked_at)
 
         self.awake(name, lambda: defer.ensureDeferred(ask(node)).addCallbacks(answer, lambda _: None))
 
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -169,8 +169,8 @@
 
     def refuse(self, body: Any) -> None:
         """Counts starts that came under a token, or for a session, that is over."""
-        reason = "token" if body["baton"] < self.token else "session"
-        self.cluster.rules.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
+        reason = "token" if body["baton"] < self.token else "epoch"
+        self.cluster.checker.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -216,11 +216,11 @@
             return
         job = self.cluster.jobs[split_task(name)[0]]
         self.images.add(job["bundle"])
-        if name in self.cluster.rules.done:  # its result is kept
+        if name in self.cluster.checker.completed_tasks:  # its result is kept
             state.update(phase="exited", cause="done")
             self.send_report()
             return
-        self.cluster.rules.started(name, self, self.cluster.now)
+        self.cluster.checker.task_started(name, self, self.cluster.now)
         if job["shape"] == "gang":
             state["phase"] = "gathering"
             gang = self.cluster.gangs.setdefault((job["nameId"], state["try"]), Gang(self.cluster, job))
@@ -244,12 +244,12 @@
         self.leave(name)
         self.tasks[name].update(phase="exited", cause=why)
         if why == "done":
-            self.cluster.rules.completed(name)
+            self.cluster.checker.task_completed(name)
         self.cluster.clock.callLater(0.01, self.send_report)
 
     def leave(self, name: str) -> None:
         if self.tasks[name]["phase"] in ("running", "gathering", "flushing"):
-            self.cluster.rules.ended(name, self)
+            self.cluster.checker.task_ended(name, self)
 
     def restart(self) -> None:
         """Back at once with nothing on it; its counters begin anew."""
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -209,7 +209,7 @@
         jobs = list(self.jobs)
         for job in self.random.sample(jobs, min(3, len(jobs))):
             asks = [self._question(job), self._question(job), self._submission(self.jobs[job])]
-            if job in self.rules.cancels:
+            if job in self.checker.cancel_requests:
                 asks.append(("POST", f"/v2/runs/{job}/cancel", {}))
             for name in self.names:
                 defer.ensureDeferred(self._look_once(name, self.random.choice(asks), job))
@@ -221,35 +221,36 @@
         except (ConnectionFailedError, NoResponseError):
             return
         if reply.status in (200, 201, 404):
-            self.rules.told(job, reply.body if reply.status != 404 else None, asked_at)
+            self.checker.observe_status(job, reply.body if reply.status != 404 else None, asked_at)
         elif reply.status in (400, 422):
             self.fail(f"{name} answers {reply.status} about {job}")
 
     def told_cancelled(self) -> None:
         """Counts what was confirmed while something was wrong."""
-        self.result.cancelled = len(self.rules.cancelled_at)
+        self.result.cancelled = len(self.checker.cancelled_at)
         until = self.began_at + self.troubled_until
-        self.result.cancelled_in_trouble = sum(1 for at in self.rules.cancelled_at.values() if at < until)
+        self.result.cancelled_in_trouble = sum(1 for at in self.checker.cancelled_at.values() if at < until)
 
     def _look_after(self) -> None:
         """Checks the rules, and ends the run when all jobs have ended, or it takes too long."""
-        self.rules.check_cancelled()
+        self.checker.check_cancelled()
         for name, process in self.processes.items():
             if process.poll() is not None and name not in self.ended_by_us:
                 self.fail(f"{name} ended by itself, code {process.returncode}")
         elapsed = self.now - self.began_at
-        self.rules.troubled_until = self.began_at + max(self.plan.ends_s, self.troubled_until)
-        self.rules.check_known()
+        self.checker.faults_until = self.began_at + max(self.plan.ends_s, self.troubled_until)
+        self.checker.check_answered()
         if elapsed > self.plan.ends_s + 1.0:
             self._end_long_jobs()
-            left = [job for job in self.jobs if not self.rules.is_final(job)]
+            left = [job for job in self.jobs if not self.checker.is_final(job)]
             if not left and elapsed > min(self.troubled_until, self.plan.ends_s + self.plan.settle_s):
                 self.finish()
                 return
             if elapsed > self.plan.ends_s + self.plan.settle_s:
                 if left:
                     self.fail(
-                        f"{len(left)} jobs have not ended: {[(job, self.rules.last.get(job)) for job in left[:5]]}"
+                        f"{len(left)} jobs have not ended: "
+                        f"{[(job, self.checker.last_phase.get(job)) for job in left[:5]]}"
                     )
                 self.finish()
                 return
@@ -257,7 +258,7 @@
 
     def _end_long_jobs(self) -> None:
         for job, body in list(self.jobs.items()):
-            if body["guessS"] == LONG_S and job not in self.rules.cancels:
+            if body["guessS"] == LONG_S and job not in self.checker.cancel_requests:
                 self.cancel(job)
 
     def fail(self, what: str) -> None:
@@ -269,14 +270,14 @@
         for process in self.processes.values():
             process.kill()
             process.wait()
-        result, rules = self.result, self.rules
+        result, checker = self.result, self.checker
         self.told_cancelled()
-        result.failures += rules.broken[:20]
-        result.jobs, result.starts, result.took_s = len(self.jobs), rules.starts, round(self.now, 1)
-        result.longest_part = round(rules.longest_after_cancel_s / self.CANCEL_S, 3)
+        result.failures += checker.violations[:20]
+        result.jobs, result.starts, result.took_s = len(self.jobs), checker.starts, round(self.now, 1)
+        result.longest_part = round(checker.longest_after_cancel_s / self.CANCEL_S, 3)
         result.refused_by_token, result.refused_by_session = (
-            rules.refused_starts["token"],
-            rules.refused_starts["session"],
+            checker.refused_starts["token"],
+            checker.refused_starts["epoch"],
         )
         result.sessions_lost, result.messages_hit = self.sessions_lost, self.links.hit
         result.folder = str(self.folder)
@@ -405,7 +406,7 @@
         machine.die()
 
     def _cancel_running(self, trouble: Trouble) -> None:
-        running = list(dict.fromkeys(records.split_task(task)[0] for task in self.rules.where))
+        running = list(dict.fromkeys(records.split_task(task)[0] for task in self.checker.machine_by_task))
         for job in self.random.sample(running, min(trouble.count, len(running))):
             self.cancel(job)
 
--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -74,13 +74,13 @@
         end = self.cluster.now + seconds
         while self.cluster.now < end:
             self.cluster.run(0.25)
-            self.cluster.rules.check_cancelled()
-        assert self.cluster.rules.broken == []
+            self.cluster.checker.check_cancelled()
+        assert self.cluster.checker.violations == []
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
             finish(self.cluster)
-            assert self.cluster.rules.broken == []
+            assert self.cluster.checker.violations == []
 
 
 TestHistories = Histories.TestCase
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -125,7 +125,7 @@
     cluster.submit(cluster.job(1, pieces=1, guessS=400.0))
     cluster.run(40)
     leader = leading(cluster)
-    (name,) = {machine.name for machine in cluster.rules.where.values()}
+    (name,) = {machine.name for machine in cluster.checker.machine_by_task.values()}
     machine, worker = leader.cluster.machines[name], cluster.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
@@ -141,11 +141,11 @@
     cluster.run(4 * cluster.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
     assert worker.token > token, "it was forgotten under a higher token than its start had"
-    starts = cluster.rules.starts
+    starts = cluster.checker.starts
     assert worker.command(late).status == 409
     cluster.run(5)
-    assert cluster.rules.starts == starts
-    assert cluster.rules.broken == []
+    assert cluster.checker.starts == starts
+    assert cluster.checker.violations == []
 
 
 def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
@@ -174,8 +174,8 @@
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
-    assert cluster.rules.broken == []
-    assert cluster.rules.where == {}
+    assert cluster.checker.violations == []
+    assert cluster.checker.machine_by_task == {}
 
 
 def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
@@ -187,9 +187,9 @@
     assert max(len(machine.tasks) for machine in cluster.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
     cluster.cancel("j-000001")
     run_watched(cluster, 0.6 * SimulatedCluster.LEASE_S)
-    assert set(cluster.rules.where) == {"j-000002/0"}
+    assert set(cluster.checker.machine_by_task) == {"j-000002/0"}
     assert cluster.sessions_lost == 0
-    assert cluster.rules.starts_by_task["j-000002/0"] == 1
+    assert cluster.checker.starts_by_task["j-000002/0"] == 1
 
 
 def test_a_start_is_asked_for_again_when_its_connection_is_there() -> None:
@@ -294,7 +294,7 @@
         return keep(job_id, value)
 
     admission.outcomes.record = keeping  # type: ignore[method-assign]
-    cluster.rules.cancelling("j-000001")
+    cluster.checker.cancel_requested("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     cluster.run(1.0)
     assert seen
@@ -311,7 +311,7 @@
     leader.tokens._spares.clear()  # as if its machine's token had been raised to the newest
     cluster.run(20)
     assert leader.commit_queue.commits > commits
-    assert "j-000200/0" in cluster.rules.done
+    assert "j-000200/0" in cluster.checker.completed_tasks
     assert leader.fencing.machines_awaiting_token == {}
 
 
@@ -367,21 +367,21 @@
     leader = cluster.leader()
     assert leader is not None
     assert cluster.nodes[leader].election.token > raised
-    assert cluster.rules.broken == []
-    assert cluster.rules.refused_starts["token"] > 0
+    assert cluster.checker.violations == []
+    assert cluster.checker.refused_starts["token"] > 0
 
 
 def test_a_store_that_is_lost_after_tokens_were_raised_is_rebuilt() -> None:
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
     cluster = busy_cluster(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
     cancel_held(cluster)
-    running, tokens = set(cluster.rules.where), leading_controller(cluster).rebuild.tokens
+    running, tokens = set(cluster.checker.machine_by_task), leading_controller(cluster).rebuild.tokens
     assert tokens.last_term_token == leading(cluster).tokens.highest_issued == tokens.highest
     cluster.state.wipe()
     run_watched(cluster, 100.0)
     assert leading(cluster).tokens.first > tokens.last_term_token - 1
-    assert cluster.rules.broken == []
-    assert running <= set(cluster.rules.where), "what ran goes on"
+    assert cluster.checker.violations == []
+    assert running <= set(cluster.checker.machine_by_task), "what ran goes on"
 
 
 # -- invariants -------------------------------------------------------------------------------------------------------
@@ -396,7 +396,7 @@
     hold_and_cancel(cluster)
     run_watched(cluster, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     assert cluster.sessions_lost > 0
     assert leading_controller(cluster).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
@@ -415,7 +415,7 @@
     hold_and_cancel(cluster)
     run_watched(cluster, 60.0)
     assert Invariant.NO_START_AFTER_END.name in {line.partition(":")[0] for line in no_violations}
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     no_violations.clear()
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -15,7 +15,7 @@
 
 
 def finished_jobs(cluster: SimulatedCluster) -> int:
-    return sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs)
+    return sum(cluster.checker.last_phase.get(job) == "done" for job in cluster.jobs)
 
 
 def known_machines(cluster: SimulatedCluster) -> int:
@@ -28,8 +28,8 @@
     end = cluster.now + longest_s
     while cluster.now < end and finished_jobs(cluster) < JOBS:
         cluster.run(5)
-    cluster.rules.check_cancelled()
-    assert cluster.rules.broken == []
+    cluster.checker.check_cancelled()
+    assert cluster.checker.violations == []
     assert finished_jobs(cluster) == JOBS
     assert cluster.cloud.refused_rates == 0
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -86,7 +86,7 @@
 
 
 def done_on_one(g: Gang) -> bool:
-    return g.over and any(f"{name}" in g.cluster.rules.done for name in g.members)
+    return g.over and any(f"{name}" in g.cluster.checker.completed_tasks for name in g.members)
 
 
 def die_one(g: Gang) -> None:
@@ -123,8 +123,8 @@
     met = when(cluster, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
     finish(cluster, 300)
     assert met
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
@@ -155,8 +155,8 @@
         cluster.run(0.5)
     assert {len(launches), len(cluster.gangs)} == {0} or stored != "in part"
     finish(cluster, 200)
-    assert cluster.rules.broken == []
-    assert cluster.rules.last["j-000001"] == "done"
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase["j-000001"] == "done"
     # Taken back: a second attempt. Started in part: the first goes on.
     assert sorted(attempt for _, attempt in cluster.gangs) == ([2] if stored == "in part" else [1])
 
@@ -167,8 +167,8 @@
     cluster.submit(cluster.job(1, pieces=6, guessS=600.0))
     cluster.submit(gang(cluster, 2, guessS=600.0))
     cluster.run(60)
-    assert len(cluster.rules.where) >= 6
-    before = dict(cluster.rules.where)
+    assert len(cluster.checker.machine_by_task) >= 6
+    before = dict(cluster.checker.machine_by_task)
     handle = cluster.state.handle
 
     def slow(caller: str, method: str, path: str, body: object) -> object:
@@ -187,8 +187,8 @@
         machine.target = leader
     cluster.run(6)
     assert cluster.leader() is not None
-    assert cluster.rules.broken == []
-    assert {task: cluster.rules.where.get(task) for task in before} == before
+    assert cluster.checker.violations == []
+    assert {task: cluster.checker.machine_by_task.get(task) for task in before} == before
 
 
 TROUBLES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
@@ -213,10 +213,10 @@
         cluster.clock.callLater(33.0 + 9.0 * number, trouble, cluster)
     cluster.clock.callLater(34.0, cluster.cancel, "j-000101")
     cluster.clock.callLater(45.0, cluster.cancel, "j-000104")
-    cluster.rules.troubled_until = 110.0
+    cluster.checker.faults_until = 110.0
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 def test_a_stopped_gang_saves_together_and_goes_on_from_there() -> None:
@@ -230,12 +230,12 @@
     assert [g.running_since is not None for g in cluster.gangs.values()] == [True]
     cluster.submit(cluster.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
     finish(cluster, 250)
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
     assert cluster.lost_gangs == 0
     assert cluster.saved["j-000001"] > 4.0
     assert len(cluster.gangs) == 2
-    assert cluster.rules.final_at["j-000002"] < cluster.rules.final_at["j-000001"]
+    assert cluster.checker.final_at["j-000002"] < cluster.checker.final_at["j-000001"]
 
 
 def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
@@ -253,11 +253,11 @@
         )
     wide = gang(cluster, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
     cluster.clock.callLater(40.0, cluster.submit, wide)
-    while cluster.now < 300 and not cluster.rules.is_final("j-000001"):
+    while cluster.now < 300 and not cluster.checker.is_final("j-000001"):
         cluster.run(2.0)
-    assert cluster.rules.begun_at["j-000001"] - cluster.rules.submitted_at["j-000001"] < 240
+    assert cluster.checker.started_at["j-000001"] - cluster.checker.submitted_at["j-000001"] < 240
     (only,) = cluster.gangs.values()
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     assert max(only.gathered) - min(only.gathered) < 3.0
 
 
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -17,8 +17,8 @@
     cluster = busy_cluster(seed)
     jobs = hold_and_cancel(cluster, 45.0, 80.0)
     run_watched(cluster, 100.0)
-    assert set(jobs) <= cluster.rules.cancelled_at.keys()
-    assert cluster.rules.broken == []
+    assert set(jobs) <= cluster.checker.cancelled_at.keys()
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -28,7 +28,7 @@
     assert outcome.broken == ()
     assert outcome.cancelled == SMALL_JOBS
     assert outcome.longest_part <= 1.0
-    assert cluster.rules.started_after == []
+    assert cluster.checker.late_starts == []
     if name in HELD:
         assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
 
@@ -56,9 +56,9 @@
     hold_and_cancel(cluster, 7200.0, 7200.0)
     run_watched(cluster, 60.0)
     assert held, "nothing was held"
-    starts, refused = cluster.rules.starts, cluster.rules.refused_starts["token"]
+    starts, refused = cluster.checker.starts, cluster.checker.refused_starts["token"]
     for arrive in held:
         arrive()  # no matter when: the worker knows a higher token for good
     run_watched(cluster, 10.0)
-    assert cluster.rules.starts == starts
-    assert cluster.rules.refused_starts["token"] > refused
+    assert cluster.checker.starts == starts
+    assert cluster.checker.refused_starts["token"] > refused
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -50,7 +50,7 @@
 
 def run_until_started(cluster: SimulatedCluster, tasks: int) -> None:
     for _ in range(120):
-        if len(cluster.rules.where) >= tasks:
+        if len(cluster.checker.machine_by_task) >= tasks:
             return
         cluster.run(1)
     raise AssertionError("the tasks did not start")
@@ -64,8 +64,8 @@
         cluster.clock.callLater(number * 1.0, cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=8.0))
     finish(cluster)
     jobs = {kind: count for kind, count in counted.items() if "active" in kind or "final" in kind or "tasks" in kind}
-    assert set(cluster.rules.last.values()) == {"done"}
-    assert cluster.rules.broken == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
+    assert cluster.checker.violations == []
     assert jobs["set final"] == jobs["delete active"] == 30
     assert jobs["set active"] <= 3 * 30
     assert set(jobs) == {"set active", "set final", "delete active"}
@@ -82,7 +82,7 @@
     # The leader hears nothing of it, and ends before it could.
     cluster.state.refuses[leader] = cluster.now + 60.0
     cluster.cancel("j-000001")
-    while cluster.rules.last.get("j-000001") != "aborted":
+    while cluster.checker.last_phase.get("j-000001") != "aborted":
         cluster.run(0.1)
     kept = cluster.state.items[records.chunk_key("j-000001", 0)][0]
     assert len(kept["p"]) == 3
@@ -91,8 +91,8 @@
     # Well within a worker's lease: they are stopped by a successor that found them, and have not merely lapsed.
     cluster.run(7)
     assert cluster.leader() not in (None, leader)
-    assert cluster.rules.where == {}
-    assert cluster.rules.broken == []
+    assert cluster.checker.machine_by_task == {}
+    assert cluster.checker.violations == []
     cluster.run(20)
     assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
@@ -105,7 +105,7 @@
     counted = count_changes(cluster)
     cluster.cancel("j-000001")
     cluster.run(4)
-    assert cluster.rules.last["j-000001"] == "aborted"
+    assert cluster.checker.last_phase["j-000001"] == "aborted"
     assert {kind: n for kind, n in counted.items() if "rented" not in kind} == {"set final": 1, "delete active": 1}
 
 
@@ -114,14 +114,14 @@
     for number in range(4):
         cluster.submit(cluster.job(number, pieces=3, vcpus=1.0, guessS=60.0))
     run_until_started(cluster, 12)
-    starts = cluster.rules.starts
+    starts = cluster.checker.starts
     crash_leader(cluster)
     cluster.run(8)
-    assert cluster.rules.starts == starts
-    assert len(cluster.rules.where) == 12
+    assert cluster.checker.starts == starts
+    assert len(cluster.checker.machine_by_task) == 12
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
@@ -132,8 +132,8 @@
     assert records.INLINE_CHUNK in cluster.state.items["active/j-000001"][0]
     cluster.state.value_bytes = 1024
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert cluster.rules.last == {"j-000001": "done"}
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase == {"j-000001": "done"}
     cluster.run(20)
     assert [key for key in cluster.state.items if key.startswith(("active/", "tasks/"))] == []
 
@@ -162,10 +162,10 @@
     assert cluster.state.items[records.FORMAT][0]["format"] == 2
     cluster.clock.callLater(3.0, crash_leader, cluster)
     cluster.clock.callLater(14.0, outage, cluster)
-    cluster.rules.troubled_until = cluster.now + 40.0
+    cluster.checker.faults_until = cluster.now + 40.0
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 def test_an_inline_chunk_is_read_as_it_was_written() -> None:
@@ -214,7 +214,7 @@
     assert leader is not None
     assert cluster.nodes[leader].record_format.number == 0
     cluster.submit(cluster.job(2, pieces=2))  # some change of the first job is written too: its counts
-    for machine in list({m.name: m for task, m in cluster.rules.where.items()}.values())[:1]:
+    for machine in list({m.name: m for task, m in cluster.checker.machine_by_task.items()}.values())[:1]:
         machine.die()
     while records.chunk_key("j-000001", 0) not in cluster.state.items and cluster.now < until:
         cluster.run(0.1)
@@ -224,8 +224,8 @@
     crash_leader(cluster)
     finish(cluster)
     cluster.run(30)
-    assert cluster.rules.where == {}
-    assert cluster.rules.broken == []
+    assert cluster.checker.machine_by_task == {}
+    assert cluster.checker.violations == []
     assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -54,19 +54,19 @@
 def lost_to_a_deaf_leader(seed: int) -> int:
     cluster = SimulatedCluster(seed, loss=0.0)
     cluster.submit(cluster.job(1, pieces=8, guessS=100.0))
-    while len(cluster.rules.where) < 8:
+    while len(cluster.checker.machine_by_task) < 8:
         cluster.run(1)
-    before, running = cluster.leader(), set(cluster.rules.where)
+    before, running = cluster.leader(), set(cluster.checker.machine_by_task)
     assert before is not None
     assert len(running) == 8
     for machine in cluster.cloud.machines:
         cluster.cut(before, machine, 30.0, hold=True)
     cluster.run(14)
     assert cluster.leader() not in (None, before)
-    lost = len(running - set(cluster.rules.where))
+    lost = len(running - set(cluster.checker.machine_by_task))
     cluster.run(240)  # what was lost begins again, and takes up to 150 s
-    assert cluster.rules.broken == []
-    assert cluster.rules.last["j-000001"] == "done"
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase["j-000001"] == "done"
     return lost
 
 
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -121,7 +121,7 @@
     load(cluster, jobs=18)
     for at, trouble in DAYS[name]:
         cluster.clock.callLater(35.0 + at, trouble, cluster)
-    cluster.rules.troubled_until = 35.0 + 100.0
+    cluster.checker.faults_until = 35.0 + 100.0
     finish(cluster)
     return cluster
 
@@ -129,8 +129,8 @@
 @pytest.mark.parametrize("name", DAYS)
 def test_day(name: str) -> None:
     cluster = play(name, seed=len(name))
-    assert cluster.rules.broken == []
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 def test_guests_take_little_from_the_others() -> None:
@@ -142,9 +142,11 @@
         for at, start in trouble:
             cluster.clock.callLater(20.0 + at, start, cluster)
         finish(cluster)
-        assert cluster.rules.broken == []
+        assert cluster.checker.violations == []
         others = [job for job in cluster.jobs if cluster.jobs[job]["crew"] != "guest"]
-        taken.append(sum(cluster.rules.final_at[job] - cluster.rules.submitted_at[job] for job in others) / len(others))
+        taken.append(
+            sum(cluster.checker.final_at[job] - cluster.checker.submitted_at[job] for job in others) / len(others)
+        )
     assert taken[1] < 1.25 * taken[0]
 
 
@@ -156,9 +158,9 @@
     cluster.submit(cluster.job(900, pieces=50, vcpus=1.0, guessS=2.0))
     cluster.run(30)
     counted = count_changes(cluster)
-    before = cluster.rules.starts
+    before = cluster.checker.starts
     cluster.run(120)
-    tries = cluster.rules.starts - before
+    tries = cluster.checker.starts - before
     assert 1 <= tries <= 8
     changes = sum(count for kind, count in counted.items() if "active" in kind or "tasks" in kind)
     assert changes <= 6 * tries
@@ -166,8 +168,8 @@
     assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
     cluster.cancel("j-000900")
     finish(cluster, 60)
-    assert cluster.rules.last["j-000900"] == "aborted"
-    assert cluster.rules.broken == []
+    assert cluster.checker.last_phase["j-000900"] == "aborted"
+    assert cluster.checker.violations == []
 
 
 def test_polls_do_not_starve_the_leader_or_submissions() -> None:
@@ -182,10 +184,10 @@
         )
     cluster.run(40)
     late = [f"j-{n:06d}" for n in range(100, 110)]
-    assert all(cluster.rules.accepted_at[job] - cluster.rules.submitted_at[job] < 2.0 for job in late)
-    assert all(cluster.rules.begun_at[job] - cluster.rules.submitted_at[job] < 20.0 for job in late)
+    assert all(cluster.checker.accepted_at[job] - cluster.checker.submitted_at[job] < 2.0 for job in late)
+    assert all(cluster.checker.started_at[job] - cluster.checker.submitted_at[job] < 20.0 for job in late)
     finish(cluster)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_leader_that_stood_still_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -214,5 +216,5 @@
     assert not term.lease.active
     assert sent == []
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert cluster.rules.last == {"j-000001": "done"}
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase == {"j-000001": "done"}
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -49,7 +49,7 @@
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.run(0.25)
-        cluster.rules.check_cancelled()
+        cluster.checker.check_cancelled()
 
 
 def outage(seconds: float) -> Trouble:
@@ -125,11 +125,13 @@
     """Users call off jobs that run, within a fifth of a second; some of their machines hang."""
 
     def start(cluster: SimulatedCluster) -> None:
-        running = list(dict.fromkeys(task.rpartition("/")[0] for task in cluster.rules.where))[:count]
+        running = list(dict.fromkeys(task.rpartition("/")[0] for task in cluster.checker.machine_by_task))[:count]
         for job in running:
             cluster.clock.callLater(cluster.random.uniform(0.0, 0.2), cluster.cancel, job)
         if hang_s:
-            machines = {m.name: m for task, m in cluster.rules.where.items() if task.rpartition("/")[0] in running}
+            machines = {
+                m.name: m for task, m in cluster.checker.machine_by_task.items() if task.rpartition("/")[0] in running
+            }
             hang_machines(list(machines.values())[:8], hang_s)
 
     return start
@@ -137,17 +139,17 @@
 
 def cancel_at_end(cluster: SimulatedCluster) -> None:
     """For a minute, jobs are called off at the moment at which their last task ends."""
-    completed = cluster.rules.completed
+    completed = cluster.checker.task_completed
 
     def ends(task: str) -> None:
         completed(task)
         job = task.rpartition("/")[0]
-        left = [i for i in range(cluster.jobs[job]["pieces"]) if f"{job}/{i}" not in cluster.rules.done]
+        left = [i for i in range(cluster.jobs[job]["pieces"]) if f"{job}/{i}" not in cluster.checker.completed_tasks]
         if not left and cluster.random.random() < 0.7:
             cluster.clock.callLater(cluster.random.uniform(0.0, 0.03), cluster.cancel, job)
 
-    cluster.rules.completed = ends  # type: ignore[method-assign]
-    cluster.clock.callLater(60.0, setattr, cluster.rules, "completed", completed)
+    cluster.checker.task_completed = ends  # type: ignore[method-assign]
+    cluster.clock.callLater(60.0, setattr, cluster.checker, "task_completed", completed)
 
 
 def hand_over(times: int, apart_s: float) -> Trouble:
@@ -251,12 +253,12 @@
     ]
     for number, changes in enumerate(odd):
         body = cluster.job(800 + number, **changes)
-        cluster.rules.impossible.add(body["nameId"])
+        cluster.checker.infeasible_jobs.add(body["nameId"])
         cluster.jobs[body["nameId"]] = body
         for name in cluster.names:
             cluster.clock.callLater(0.1 * number, cluster._look, name, cluster._submission(body), body["nameId"])
     for job in list(cluster.jobs)[:12]:
-        if job not in cluster.rules.impossible:
+        if job not in cluster.checker.infeasible_jobs:
             for name in cluster.names:
                 cluster.clock.callLater(0.3, cluster._look, name, cluster._submission(cluster.jobs[job]), job)
 
@@ -277,7 +279,7 @@
     cluster = SimulatedCluster(seed=seed, loss=0.002)
     long_jobs(cluster)
     cluster.run(40)
-    assert len(cluster.rules.where) > 15
+    assert len(cluster.checker.machine_by_task) > 15
     for first in (0,) if not twice else (0, 4):
         refuse_leader(cluster)
         trouble(cluster)
@@ -297,14 +299,14 @@
 def test_the_gap(apart_s: float, trouble: Trouble) -> None:
     """What users were told is cancelled is gone in time, though its leader never hears of it while it answers."""
     cluster = gap(int(apart_s * 10), apart_s, trouble)
-    assert cluster.rules.cancelled_at
-    assert cluster.rules.broken == []
+    assert cluster.checker.cancelled_at
+    assert cluster.checker.violations == []
 
 
 def test_the_gap_twice_in_a_row() -> None:
     cluster = gap(5, 1.0, nothing, twice=True)
-    assert len(cluster.rules.cancelled_at) >= 4
-    assert cluster.rules.broken == []
+    assert len(cluster.checker.cancelled_at) >= 4
+    assert cluster.checker.violations == []
 
 
 def graces_in_a_row(seed: int, wait_s: float) -> SimulatedCluster:
@@ -335,8 +337,8 @@
 def test_graces_are_not_added_up(seed: int, wait_s: float) -> None:
     """The last has read the store or not; workers go from one leader that can't ask to another."""
     cluster = graces_in_a_row(seed, wait_s)
-    assert len(cluster.rules.cancelled_at) == 4
-    assert cluster.rules.broken == []
+    assert len(cluster.checker.cancelled_at) == 4
+    assert cluster.checker.violations == []
 
 
 def test_a_leader_whose_watch_fails_answers_no_longer_than_its_grace() -> None:
@@ -356,13 +358,13 @@
     for number in range(4):
         cluster.cancel(f"j-{number:06d}")
     watch_over_cancellations(cluster, CANCEL_S + 30.0)
-    assert len(cluster.rules.cancelled_at) == 4
-    assert cluster.rules.broken == []
+    assert len(cluster.checker.cancelled_at) == 4
+    assert cluster.checker.violations == []
 
 
 def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Leader, "may_renew_worker_leases", lambda _: True)
-    broken = [line for seed in (1, 2, 3) for line in graces_in_a_row(seed, 0.012).rules.broken]
+    broken = [line for seed in (1, 2, 3) for line in graces_in_a_row(seed, 0.012).checker.violations]
     assert any("ran_cancelled" in line for line in broken)
 
 
@@ -549,7 +551,7 @@
     load(cluster)
     for seconds, trouble in troubles:
         cluster.clock.callLater(34.0 + seconds, trouble, cluster)
-    cluster.rules.troubled_until = 34.0 + over_s
+    cluster.checker.faults_until = 34.0 + over_s
     finish(cluster)
     return cluster
 
@@ -563,9 +565,9 @@
 @pytest.mark.parametrize(("name", "seed"), SEEDS)
 def test_overlapping_faults(name: str, seed: int) -> None:
     cluster = play(name, seed)
-    assert cluster.rules.broken == []
-    wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
-    assert [job for job in wanted if not cluster.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+    assert [job for job in wanted if not cluster.checker.is_final(job)] == []
 
 
 # -- close looks ---------------------------------------------------------------------------------------------------
@@ -577,7 +579,7 @@
     load(cluster, jobs=12, every=0.5)
     cluster.run(20)
     ask, asked, answers = cluster.state.ask, [0], []
-    told = cluster.rules.told
+    told = cluster.checker.observe_status
 
     def count(caller: str, method: str, path: str, body: object) -> object:
         asked[0] += 1
@@ -588,7 +590,7 @@
         told(job, answer, asked_at)
 
     cluster.state.ask = count  # type: ignore[method-assign]
-    cluster.rules.told = note  # type: ignore[method-assign]
+    cluster.checker.observe_status = note  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
         cluster.clock.callLater(number / 200, cluster._look, cluster.names[number % 3], cluster._question(job), job)
@@ -596,7 +598,7 @@
     assert len(answers) >= 0.99 * 2000
     assert cluster.state.refused_rates == 0
     assert asked[0] < 11 * 0.75 * cluster.state.rps
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("inline", [True, False])
@@ -633,8 +635,8 @@
     # It has been read again; were it carried out now, its placements would come on top of what follows.
     assert handle(*late[0]).status == 409
     finish(cluster, 120)
-    assert cluster.rules.broken == []
-    assert cluster.rules.last["j-000001"] == "done"
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase["j-000001"] == "done"
 
 
 # -- old reports and a new leader ------------------------------------------------------------------------------------
@@ -645,7 +647,7 @@
     cluster = SimulatedCluster(seed=8, loss=0.0)
     long_jobs(cluster)
     cluster.run(40)
-    machine = next(iter(cluster.rules.where.values()))
+    machine = next(iter(cluster.checker.machine_by_task.values()))
     old = [machine.report() for _ in range(2)]
     for name in cluster.names:
         cluster.cut(name, machine.name, 90.0)
@@ -669,7 +671,7 @@
     cluster = SimulatedCluster(seed=8, loss=0.0)
     long_jobs(cluster)
     cluster.run(40)
-    machine = next(iter(cluster.rules.where.values()))
+    machine = next(iter(cluster.checker.machine_by_task.values()))
     term = cluster.nodes[cluster.leader()].leader
     known = term.cluster.machines[machine.name]
     for name in cluster.names:
@@ -685,7 +687,7 @@
     cluster = SimulatedCluster(seed=8, loss=0.0)
     long_jobs(cluster)
     cluster.run(40)
-    machine = next(iter(cluster.rules.where.values()))
+    machine = next(iter(cluster.checker.machine_by_task.values()))
     scan = cluster.state.handle
 
     def unread(caller: str, method: str, path: str, body: object) -> object:
@@ -710,7 +712,7 @@
     cluster = SimulatedCluster(seed=8, loss=0.0)
     long_jobs(cluster)
     cluster.run(40)
-    (task, machine), *_ = cluster.rules.where.items()
+    (task, machine), *_ = cluster.checker.machine_by_task.items()
     job = task.rpartition("/")[0]
     cluster.deaf[machine.name] = cluster.now + 30.0
     cluster.kill(cluster.leader(), None)
@@ -726,7 +728,7 @@
     assert not term.cluster.machines[machine.name].claimed
     told = cluster.deliver_report(leader, machine.report()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
-        name for name, on in cluster.rules.where.items() if on is machine and name.startswith(job)
+        name for name, on in cluster.checker.machine_by_task.items() if on is machine and name.startswith(job)
     }
 
 
@@ -741,15 +743,15 @@
 
 def test_the_checker_sees_an_older_answer_of_another_node() -> None:
     """Asked after a node had told the end, or that the job is known; what was asked before may be answered older."""
-    rules = observed_cluster().rules
-    rules.cancelling("j-000001")
-    rules.told("j-000001", {"phase": "aborted"}, -1.0)
-    rules.told("j-000001", {"phase": "running"}, -0.5)
-    rules.told("j-000001", None, -0.5)
-    assert rules.broken == []
-    rules.told("j-000001", {"phase": "running"}, 0.5)
-    rules.told("j-000001", None, 0.5)
-    assert [line.split()[1] for line in rules.broken] == ["went_back:", "forgotten:"]
+    checker = observed_cluster().checker
+    checker.cancel_requested("j-000001")
+    checker.observe_status("j-000001", {"phase": "aborted"}, -1.0)
+    checker.observe_status("j-000001", {"phase": "running"}, -0.5)
+    checker.observe_status("j-000001", None, -0.5)
+    assert checker.violations == []
+    checker.observe_status("j-000001", {"phase": "running"}, 0.5)
+    checker.observe_status("j-000001", None, 0.5)
+    assert [line.split()[1] for line in checker.violations] == ["went_back:", "forgotten:"]
 
 
 def test_the_checker_sees_an_impossible_job_that_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -758,7 +760,7 @@
     cluster.run(5)
     odd_requests(cluster)
     cluster.run(5)
-    assert any("accepted" in line for line in cluster.rules.broken)
+    assert any("accepted" in line for line in cluster.checker.violations)
 
 
 def test_the_checker_sees_what_waits_beside_room(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -771,20 +773,20 @@
         cluster.submit(cluster.job(number, pieces=1, guessS=60.0))
     for _ in range(30):
         cluster.run(5)
-        cluster.rules.check_waiting()
-    assert {line.split()[2] for line in cluster.rules.broken if "left_waiting" in line} == {"j-000001"}
+        cluster.checker.check_waiting()
+    assert {line.split()[2] for line in cluster.checker.violations if "left_waiting" in line} == {"j-000001"}
 
 
 def test_the_checker_sees_a_start_after_a_cancellation() -> None:
     cluster = observed_cluster()
-    rules = cluster.rules
-    rules.cancelling("j-000001")
-    rules.told("j-000001", {"phase": "aborted"})
+    checker = cluster.checker
+    checker.cancel_requested("j-000001")
+    checker.observe_status("j-000001", {"phase": "aborted"})
     machine = cluster.cloud.add(TYPES[1], "a", True)
-    rules.started("j-000001/0", machine, 2.0)
-    assert rules.started_after == []
-    rules.started("j-000001/0", machine, 10.0)
-    assert len(rules.started_after) == 1
+    checker.task_started("j-000001/0", machine, 2.0)
+    assert checker.late_starts == []
+    checker.task_started("j-000001/0", machine, 10.0)
+    assert len(checker.late_starts) == 1
 
 
 @pytest.mark.parametrize(
@@ -799,8 +801,8 @@
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
     """Where no command is held up on its way, beyond what was on it."""
     cluster = play(name, 3)
-    assert len(cluster.rules.cancelled_at) >= 3
-    assert cluster.rules.started_after == []
+    assert len(cluster.checker.cancelled_at) >= 3
+    assert cluster.checker.late_starts == []
 
 
 def test_a_replacement_is_rented_before_a_late_machine_is_given_up() -> None:
@@ -811,13 +813,13 @@
     cluster.run(10)
     lost = set(cluster.cloud.machines)
     assert lost
-    while not cluster.rules.begun_at and cluster.now < 100:
+    while not cluster.checker.started_at and cluster.now < 100:
         cluster.run(1.0)
     # A boot takes up to 22.5 s here; plans are made every two seconds.
-    assert cluster.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
+    assert cluster.checker.started_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
     cluster.run(60)
     assert not lost & set(cluster.cloud.machines)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_a_zone_whose_boots_fail_is_tried_less_and_again_later() -> None:
@@ -857,7 +859,7 @@
     assert term.boots.unreliable_offers() == set()
     assert "a" in rented_zones(40, 8)
     finish(cluster)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
@@ -885,11 +887,11 @@
     for at in (30.0, 52.0, 74.0):
         cluster.clock.callLater(at, crash_leader, cluster)
     cluster.clock.callLater(60.0, spot_wave, cluster)
-    cluster.rules.troubled_until = 110.0
+    cluster.checker.faults_until = 110.0
     finish(cluster)
     assert len(held) >= 3
-    assert cluster.rules.broken == []
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
     # What was rented is found again, by the cloud's list if not by its record; what nobody wants goes back.
     cluster.run(100)
     leader = cluster.nodes[cluster.leader()]
@@ -901,7 +903,7 @@
     """It has heard of none yet. Taken for late, they would be replaced, or returned if idle (inc-e1be)."""
     cluster = SimulatedCluster(seed=13, loss=0.0, capacity=8)
     cluster.submit(cluster.job(1, pieces=8, vcpus=4.0, guessS=120.0))
-    while len(cluster.rules.where) < 8:
+    while len(cluster.checker.machine_by_task) < 8:
         cluster.run(1)
     cluster.run(25)  # so that all are older than a boot may take
     for _ in range(3):
@@ -916,4 +918,4 @@
         assert before <= set(cluster.cloud.machines)
         assert len(cluster.cloud.machines) <= len(before) + 3
     finish(cluster)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -39,11 +39,11 @@
 def finish(cluster: SimulatedCluster, longest_s: float = 300.0) -> None:
     """Plays until all jobs have ended, and checks the rules."""
     end = cluster.now + longest_s
-    while cluster.now < end and not all(cluster.rules.is_final(job) for job in cluster.jobs):
+    while cluster.now < end and not all(cluster.checker.is_final(job) for job in cluster.jobs):
         cluster.run(2)
-        cluster.rules.check_cancelled()
-    assert cluster.rules.broken == []
-    unfinished = {job: cluster.rules.last.get(job) for job in cluster.jobs if not cluster.rules.is_final(job)}
+        cluster.checker.check_cancelled()
+    assert cluster.checker.violations == []
+    unfinished = {job: cluster.checker.last_phase.get(job) for job in cluster.jobs if not cluster.checker.is_final(job)}
     assert unfinished == {}
 
 
@@ -124,7 +124,7 @@
 
 def cancelled_just_before(cluster: SimulatedCluster) -> None:
     """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
-    running = [job for job in cluster.jobs if not cluster.rules.is_final(job)][:5]
+    running = [job for job in cluster.jobs if not cluster.checker.is_final(job)][:5]
     for job in running:
         cluster.cancel(job)
     cluster.clock.callLater(0.08, cluster.state.wipe)
@@ -193,7 +193,7 @@
     cluster.run(24.0)
     cluster.state.wipe()
     cluster.run(60.0)
-    assert any("forgotten" in broken for broken in cluster.rules.broken)
+    assert any("forgotten" in broken for broken in cluster.checker.violations)
 
 
 def test_an_older_state_comes_back() -> None:
@@ -203,7 +203,7 @@
     older = cluster.state.copy()
     cluster.cancel("j-000001")
     cluster.run(14.0)
-    assert cluster.rules.is_final("j-000001")
+    assert cluster.checker.is_final("j-000001")
     cluster.state.restore(*older)
     finish(cluster)
 
@@ -214,17 +214,17 @@
     service = cluster.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
     cluster.submit(service)
     cluster.run(30.0)
-    assert len(cluster.rules.where) == 3
+    assert len(cluster.checker.machine_by_task) == 3
     loss(cluster)
     cluster.run(70.0)
-    assert len(cluster.rules.where) == 3
-    assert cluster.rules.broken == []
+    assert len(cluster.checker.machine_by_task) == 3
+    assert cluster.checker.violations == []
     cluster.cancel(service["nameId"])
     cluster.run(10.0)
-    cluster.rules.check_cancelled()
-    assert not cluster.rules.where
-    assert cluster.rules.last[service["nameId"]] == "aborted"
-    assert cluster.rules.broken == []
+    cluster.checker.check_cancelled()
+    assert not cluster.checker.machine_by_task
+    assert cluster.checker.last_phase[service["nameId"]] == "aborted"
+    assert cluster.checker.violations == []
 
 
 # -- real processes --------------------------------------------------------------------------------------------------
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -36,8 +36,8 @@
     @rule(seconds=st.floats(0.1, 8.0))
     def go_on(self, seconds: float) -> None:
         self.cluster.run(seconds)
-        self.cluster.rules.check_cancelled()
-        assert self.cluster.rules.broken == []
+        self.cluster.checker.check_cancelled()
+        assert self.cluster.checker.violations == []
 
     @rule()
     def remember(self) -> None:
--- a/tests/test_rebuild_unresolved.py
+++ b/tests/test_rebuild_unresolved.py
@@ -35,21 +35,21 @@
     cluster = loaded_cluster(5, features=ONCE)
     cluster.run(24.0)
     once = {job for job, body in cluster.jobs.items() if body["lane"] == "once"}
-    begun = {task for task in cluster.rules.where if split_task(task)[0] in once}
+    begun = {task for task in cluster.checker.machine_by_task if split_task(task)[0] in once}
     assert begun
-    for machine in {cluster.rules.where[task] for task in begun}:
+    for machine in {cluster.checker.machine_by_task[task] for task in begun}:
         machine.die()
     leader_lost_with_it(cluster)
     cluster.run(90.0)
     found = unresolved_jobs(cluster)
     assert {f"{job}/{task}" for job, record in found.items() for task in record["evidence"]} >= begun
-    started = cluster.rules.starts_of(begun)
+    started = cluster.checker.count_starts(begun)
     cluster.run(40.0)
-    assert cluster.rules.starts_of(begun) == started
-    assert not any(cluster.rules.is_final(split_task(task)[0]) for task in begun)
+    assert cluster.checker.count_starts(begun) == started
+    assert not any(cluster.checker.is_final(split_task(task)[0]) for task in begun)
     first, *others = sorted(found)
     for task in found[first]["evidence"]:
-        cluster.rules.done.add(f"{first}/{task}")  # the operator has looked: it did complete
+        cluster.checker.completed_tasks.add(f"{first}/{task}")  # the operator has looked: it did complete
     decide(cluster, first, None, "done")
     for job in others:
         decide(cluster, job, None, "run")
@@ -74,8 +74,10 @@
     """Every replica has lost it; its user who submits it again is served, and nobody is told that it never was."""
     cluster = loaded_cluster(6)
     cluster.run(24.0)
-    job = split_task(next(task for task in sorted(cluster.rules.where) if cluster.rules.job_of(task)["guessS"] > 20))[0]
-    for task in [task for task in cluster.rules.where if split_task(task)[0] == job]:
+    job = split_task(
+        next(task for task in sorted(cluster.checker.machine_by_task) if cluster.checker.job_of(task)["guessS"] > 20)
+    )[0]
+    for task in [task for task in cluster.checker.machine_by_task if split_task(task)[0] == job]:
         cluster.lengths[task] = 200.0
     for node in cluster.nodes.values():
         replica = node.rebuild.replicas.current
@@ -84,8 +86,8 @@
     leader_lost_with_it(cluster)  # it would know what it has placed
     cluster.run(45.0)
     assert unresolved_jobs(cluster)[job]["unknown"]
-    assert cluster.rules.last[job] != "missing"
-    assert cluster.rules.broken == []
+    assert cluster.checker.last_phase[job] != "missing"
+    assert cluster.checker.violations == []
     cluster.submit(cluster.jobs[job])
     finish(cluster)
     assert job not in unresolved_jobs(cluster)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,16 +38,16 @@
 def finish(cluster: SimulatedCluster, seconds: float = 400.0) -> None:
     """Runs until all users know how their jobs ended."""
     end = cluster.now + seconds
-    wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
+    wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
     while cluster.now < end and not (
-        wanted and cluster.now > cluster.rules.troubled_until and all(cluster.rules.is_final(job) for job in wanted)
+        wanted and cluster.now > cluster.checker.faults_until and all(cluster.checker.is_final(job) for job in wanted)
     ):
         cluster.run(5.0)
-        cluster.rules.check_cancelled()
-        cluster.rules.check_known()
-        cluster.rules.check_waiting()
-        wanted = [job for job in cluster.jobs if job not in cluster.rules.impossible]
-    cluster.rules.check_served()
+        cluster.checker.check_cancelled()
+        cluster.checker.check_answered()
+        cluster.checker.check_waiting()
+        wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+    cluster.checker.check_served()
 
 
 def crash_leader(cluster: SimulatedCluster) -> None:
@@ -287,12 +287,12 @@
     for number in (4, 11, 20):
         # These fall into the trouble; whoever tells it must be right.
         cluster.clock.callLater(48.0 + number / 2, cluster.cancel, f"j-{number:06d}")
-    cluster.rules.troubled_until = 110.0
+    cluster.checker.faults_until = 110.0
     finish(cluster)
-    assert cluster.rules.broken == []
-    unfinished = [job for job in cluster.jobs if not cluster.rules.is_final(job)]
+    assert cluster.checker.violations == []
+    unfinished = [job for job in cluster.jobs if not cluster.checker.is_final(job)]
     assert unfinished == []
-    assert cluster.rules.starts > 38
+    assert cluster.checker.starts > 38
 
 
 def test_a_mistaken_job_blocks_nobody() -> None:
@@ -302,11 +302,11 @@
     load(cluster, jobs=10)
     cluster.run(150)
     others = [job for job in cluster.jobs if job != "j-000900"]
-    assert all(cluster.rules.last.get(job) == "done" for job in others)
+    assert all(cluster.checker.last_phase.get(job) == "done" for job in others)
     cluster.cancel("j-000900")
     finish(cluster, 60)
-    assert cluster.rules.last["j-000900"] == "aborted"
-    assert cluster.rules.broken == []
+    assert cluster.checker.last_phase["j-000900"] == "aborted"
+    assert cluster.checker.violations == []
 
 
 def test_a_slow_machine_is_emptied_and_returned() -> None:
@@ -314,14 +314,14 @@
     for number in range(12):
         cluster.clock.callLater(1.0 + 6 * number, cluster.submit, cluster.job(number, pieces=8, vcpus=2.0, guessS=8.0))
     cluster.run(30)
-    slow = next(iter(cluster.rules.where.values())).name
+    slow = next(iter(cluster.checker.machine_by_task.values())).name
     plain = cluster.run_s
     cluster.run_s = lambda name: plain(name) * (5 if name in cluster.every_machine[slow].tasks else 1)  # type: ignore
     cluster.lengths = SameLength()
     finish(cluster)
     assert slow not in cluster.cloud.machines
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 class SameLength(dict):
@@ -336,13 +336,13 @@
     cluster.submit(cluster.job(1, shape="standing", pieces=3, guessS=1000.0))
     cluster.clock.callLater(60.0, crash_leader, cluster)
     cluster.run(120)
-    assert len(cluster.rules.where) == 3
-    assert cluster.rules.last["j-000001"] == "running"
+    assert len(cluster.checker.machine_by_task) == 3
+    assert cluster.checker.last_phase["j-000001"] == "running"
     cluster.cancel("j-000001")
     cluster.run(10)
-    assert cluster.rules.where == {}
-    assert cluster.rules.last["j-000001"] == "aborted"
-    assert cluster.rules.broken == []
+    assert cluster.checker.machine_by_task == {}
+    assert cluster.checker.last_phase["j-000001"] == "aborted"
+    assert cluster.checker.violations == []
 
 
 def test_a_large_job_is_one_record_until_its_tasks_start() -> None:
@@ -351,11 +351,11 @@
     cluster.run(60)
     kept = [key for key in cluster.state.items if key.startswith("tasks/")]
     assert 0 < len(kept) <= 8
-    assert cluster.rules.starts >= 24
+    assert cluster.checker.starts >= 24
     cluster.cancel("j-000001")
     cluster.run(20)
-    assert cluster.rules.where == {}
-    assert cluster.rules.broken == []
+    assert cluster.checker.machine_by_task == {}
+    assert cluster.checker.violations == []
     assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
@@ -386,11 +386,11 @@
     """The widest too: their age brings them forward, and what they begin is not stopped again."""
     cluster = overloaded(8)
     cluster.run(400)
-    cluster.rules.check_served()
-    waits = [cluster.rules.begun_at[f"j-{n:06d}"] - cluster.rules.submitted_at[f"j-{n:06d}"] for n in range(8)]
+    cluster.checker.check_served()
+    waits = [cluster.checker.started_at[f"j-{n:06d}"] - cluster.checker.submitted_at[f"j-{n:06d}"] for n in range(8)]
     assert 100 < max(waits) < 240
     # There is far too much of the pressing work to serve half of it; nothing else may be broken.
-    assert [line for line in cluster.rules.broken if "quick" not in line and "team" not in line] == []
+    assert [line for line in cluster.checker.violations if "quick" not in line and "team" not in line] == []
 
 
 def test_a_crowd_of_wide_jobs_begins_after_machines_are_lost() -> None:
@@ -405,9 +405,9 @@
 
     cluster.clock.callLater(60.0, lose_half)
     cluster.run(470)
-    waits = [cluster.rules.begun_at[f"j-{n:06d}"] - cluster.rules.submitted_at[f"j-{n:06d}"] for n in range(36)]
+    waits = [cluster.checker.started_at[f"j-{n:06d}"] - cluster.checker.submitted_at[f"j-{n:06d}"] for n in range(36)]
     assert max(waits) < 240
-    assert [line for line in cluster.rules.broken if "not_served" not in line] == []
+    assert [line for line in cluster.checker.violations if "not_served" not in line] == []
 
 
 def test_the_checker_sees_unserved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -424,11 +424,11 @@
 
     monkeypatch.setattr(Admission, "status", deaf)
     cluster.run(400)
-    cluster.rules.check_known()
-    cluster.rules.check_served()
-    assert any("not_served" in line and "wide" in line for line in cluster.rules.broken)
-    assert any("forgotten" in line for line in cluster.rules.broken)
-    assert all("j-000001" in line for line in cluster.rules.broken if "forgotten" in line)
+    cluster.checker.check_answered()
+    cluster.checker.check_served()
+    assert any("not_served" in line and "wide" in line for line in cluster.checker.violations)
+    assert any("forgotten" in line for line in cluster.checker.violations)
+    assert all("j-000001" in line for line in cluster.checker.violations if "forgotten" in line)
 
 
 def test_a_machine_that_hears_nothing_gets_nothing_and_is_used_again() -> None:
@@ -451,7 +451,7 @@
     assert not term.machine_views.is_ready(machine, cluster.now)
     cluster.run(8.0)
     assert term.machine_views.is_ready(machine, cluster.now)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
 
 
 def test_late_copies_show_no_sign_of_life() -> None:
@@ -495,18 +495,18 @@
     cluster.lengths["j-000001/0"] = 200.0
     cluster.run(40)
     term = cluster.nodes[cluster.leader()].leader
-    (name,) = {m.name for m in cluster.rules.where.values()}
+    (name,) = {m.name for m in cluster.checker.machine_by_task.values()}
     placement = next(iter(term.cluster.machines[name].placements.values()))
     commands = [StartCommand(placement.task, placement.attempt)]
     start = msgspec.to_builtins(CommandMessage(term.tokens.first, commands, epoch=1))
     term.cluster.machines[name].drain_reason = "a test"
     term.lifecycle.stop(placement, 0.0)
     cluster.run(30)
-    assert cluster.rules.where["j-000001/0"].name != name
+    assert cluster.checker.machine_by_task["j-000001/0"].name != name
     cluster.every_machine[name].command(start)  # a repeat of what was carried out
     cluster.run(5)
-    assert cluster.rules.broken == []
-    assert cluster.rules.where["j-000001/0"].name != name
+    assert cluster.checker.violations == []
+    assert cluster.checker.machine_by_task["j-000001/0"].name != name
 
 
 def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
@@ -524,7 +524,7 @@
     load(cluster)
     cluster.clock.callLater(35.0, hang(10.0), cluster)
     finish(cluster, 120)
-    assert any("ran_twice" in line for line in cluster.rules.broken)
+    assert any("ran_twice" in line for line in cluster.checker.violations)
 
 
 def test_the_leader_hears_of_cancellations_after_a_failed_attempt_to_read_all_jobs() -> None:
@@ -549,8 +549,8 @@
     assert watch.staleness_s() < 2.0
     cluster.cancel("j-000001")
     cluster.run(8)
-    assert not cluster.rules.where
-    assert cluster.rules.broken == []
+    assert not cluster.checker.machine_by_task
+    assert cluster.checker.violations == []
 
 
 class StrictLock:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -75,8 +75,8 @@
         )
         cluster.clock.callLater(10.0 + 1.0 * number, cluster.submit, body)
     cluster.run(60)
-    assert cluster.rules.broken == []
-    assert sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs) == JOBS
+    assert cluster.checker.violations == []
+    assert sum(cluster.checker.last_phase.get(job) == "done" for job in cluster.jobs) == JOBS
     tasks = JOBS * TASKS
     # Each machine is copied anew once a second, and when it has changed; not in each round.
     assert counts["copies"] < 0.5 * counts["rounds"] * MACHINES
@@ -158,13 +158,13 @@
     for _ in range(150):
         cluster.run(0.5)
         most = max(most, *(cluster.sockets(name) for name in cluster.names))
-    cluster.rules.check_cancelled()
-    assert cluster.rules.broken == []
+    cluster.checker.check_cancelled()
+    assert cluster.checker.violations == []
     # The workers' reports alone take half; the rest is for commands, users, peers and the state service.
     assert (most > KEEP_USERS_SHARE * cluster.SOCKETS) == keeps
     if keeps:
         return
-    assert sum(cluster.rules.last.get(job) == "done" for job in cluster.jobs) == 40
+    assert sum(cluster.checker.last_phase.get(job) == "done" for job in cluster.jobs) == 40
     # The platform allows bursts of two seconds' worth of requests to the cloud, and of one of changes.
     assert max(asked.values()) <= 2 * cluster.CLOUD_RPS
     assert max(changed.values()) <= 2 * cluster.WRITE_RPS
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -14,16 +14,16 @@
     cluster = SimulatedCluster(8, loss=0.0)
     cluster.submit(cluster.job(1, pieces=2, guessS=120.0))
     cluster.run(40)
-    assert cluster.rules.starts == 2
+    assert cluster.checker.starts == 2
     cluster.state.outage(24.0)
     cluster.submit(cluster.job(2, pieces=2))
     cluster.run(23)
     # The outage is longer than the workers' lease, and no task was lost to it.
-    assert len([t for t in cluster.rules.where if t.startswith("j-000001/")]) == 2
-    assert cluster.rules.starts == 2
+    assert len([t for t in cluster.checker.machine_by_task if t.startswith("j-000001/")]) == 2
+    assert cluster.checker.starts == 2
     cluster.run(240)
-    assert cluster.rules.last == {"j-000001": "done", "j-000002": "done"}
-    assert cluster.rules.broken == []
+    assert cluster.checker.last_phase == {"j-000001": "done", "j-000002": "done"}
+    assert cluster.checker.violations == []
 
 
 def test_repeats_during_an_outage_leave_room_for_those_after_it() -> None:
@@ -63,7 +63,7 @@
     cluster = SimulatedCluster(seed=25, loss=0.0)
     for number in range(6):
         cluster.submit(cluster.job(number, pieces=6, vcpus=1.0, guessS=4.0))
-    while not cluster.rules.where:
+    while not cluster.checker.machine_by_task:
         cluster.run(1)
     commits, handle = [], cluster.state.handle
 
@@ -81,8 +81,8 @@
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_BACKOFF_S
     assert term.store.write_budget.level() > term.store.write_budget.rate_per_s - 1
     cluster.run(60)
-    assert set(cluster.rules.last.values()) == {"done"}
-    assert cluster.rules.broken == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
+    assert cluster.checker.violations == []
 
 
 def test_a_node_that_alone_is_refused_sends_users_away_but_not_in_an_outage_for_all() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -155,8 +155,8 @@
     if version is not None:
         assert read_jobs(version, items, 16.0) == read
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 @needs_history
@@ -202,11 +202,11 @@
     cluster.lower_limits()
     gang_load(cluster, count=6)
     cluster.clock.callLater(15.0, crash_leader, cluster)
-    cluster.rules.troubled_until = cluster.now + 20.0
+    cluster.checker.faults_until = cluster.now + 20.0
     finish(cluster)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     assert cluster.state.refused_sizes == 0
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 @needs_history
@@ -215,7 +215,7 @@
     cluster = SimulatedCluster(seed=81, loss=0.0, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
     cluster.submit(cluster.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
     cluster.submit(cluster.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
-    while len(cluster.rules.where) < 160:
+    while len(cluster.checker.machine_by_task) < 160:
         cluster.run(1)
     large = [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048]
     assert len(large) == 2
@@ -228,9 +228,9 @@
     crash_leader(cluster)
     cluster.cancel("j-000701")
     finish(cluster, 400)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     assert cluster.state.refused_sizes == 0
-    assert cluster.rules.last == {"j-000700": "done", "j-000701": "aborted"}
+    assert cluster.checker.last_phase == {"j-000700": "done", "j-000701": "aborted"}
     cluster.run(20)
     assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
 
@@ -264,11 +264,11 @@
         cluster.clock.callLater(at, trouble, cluster)
     for number in (2, 8, 15):
         cluster.clock.callLater(45.0 + number, cluster.cancel, f"j-{number:06d}")
-    cluster.rules.troubled_until = 110.0
+    cluster.checker.faults_until = 110.0
     finish(cluster)
-    assert cluster.rules.broken == []
+    assert cluster.checker.violations == []
     assert cluster.state.refused_sizes == 0
-    assert [job for job in cluster.jobs if not cluster.rules.is_final(job)] == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 def test_a_change_that_is_refused_for_its_size_is_split_and_repeated() -> None:
@@ -279,8 +279,8 @@
     cluster.coming = LOWER_LIMITS
     cluster.clock.callLater(30.0, cluster.lower_limits)
     finish(cluster)
-    assert cluster.rules.broken == []
-    assert set(cluster.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
     assert 0 < cluster.state.refused_sizes < 20
 
 
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -274,8 +274,8 @@
     if "coming" in options:
         cluster.clock.callLater(50.0, cluster.lower_limits)
     cluster.run(DAY_S)
-    trace.add("end", sorted(cluster.state.items.items()), cluster.rules.broken)
-    return DayDigest(trace.count, trace.digest(), cluster.rules.broken)
+    trace.add("end", sorted(cluster.state.items.items()), cluster.checker.violations)
+    return DayDigest(trace.count, trace.digest(), cluster.checker.violations)
 
 
 def read_digests() -> dict[int, DayDigest]:
