--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -150,7 +150,7 @@
 
 def copies(cluster: SimulatedCluster) -> None:
     """Messages are delivered again, late."""
-    cluster.copies = 0.3
+    cluster.duplicate_share = 0.3
 
 
 def up(cluster: SimulatedCluster) -> list[Any]:
@@ -159,7 +159,7 @@
 
 
 def silent(which: str, seconds: float) -> Fault:
-    """Half of the machines hear nothing (`deaf`), or reach no controller (`mute`)."""
+    """Half of the machines hear nothing (`inbound_blocked`), or reach no controller (`outbound_blocked`)."""
 
     def start(cluster: SimulatedCluster) -> None:
         for machine in up(cluster)[::2]:
@@ -177,7 +177,7 @@
 
             def go_on(machine=machine) -> None:
                 machine.hung = False
-                machine.lapse()
+                machine.check_lease()
 
             cluster.clock.callLater(seconds, go_on)
 
@@ -264,10 +264,12 @@
     "the leader stands still": Scenario(((CANCEL_AT_S - 0.05, freeze_leader),), hold=hold_all(5.0, 80.0, 8.0)),
     "records are read again": Scenario(((0.0, writes_lost),)),
     "copies come late": Scenario(((0.0, copies),)),
-    "machines hear nothing, past a lease": Scenario(((1.0, silent("deaf", 20.0)),), loses_tasks=True),
-    "machines hear nothing, within a lease": Scenario(((3.0, silent("deaf", 9.0)),)),
-    "machines reach nobody, past a lease": Scenario(((1.0, silent("mute", 20.0)),), loses_tasks=True),
-    "machines reach nobody, cloud out": Scenario(((1.0, silent("mute", 9.0)), (0.0, cloud_out)), loses_tasks=True),
+    "machines hear nothing, past a lease": Scenario(((1.0, silent("inbound_blocked", 20.0)),), loses_tasks=True),
+    "machines hear nothing, within a lease": Scenario(((3.0, silent("inbound_blocked", 9.0)),)),
+    "machines reach nobody, past a lease": Scenario(((1.0, silent("outbound_blocked", 20.0)),), loses_tasks=True),
+    "machines reach nobody, cloud out": Scenario(
+        ((1.0, silent("outbound_blocked", 9.0)), (0.0, cloud_out)), loses_tasks=True
+    ),
     "machines hang within a lease": Scenario(((3.0, hang(9.0)),), loses_tasks=True),
     "machines hang past a lease": Scenario(((3.0, hang(20.0)),), loses_tasks=True),
     "machines cut off, then a new leader": Scenario(
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -137,7 +137,7 @@
 class LoopbackCluster(Users):
     """Everything that controllers talk to, on real time and real sockets."""
 
-    REPORT_S, LEASE_S, CANCEL_S, LAPSE_S = 0.5, 4.0, 14.0, 0.1
+    REPORT_S, LEASE_S, CANCEL_S, LEASE_CHECK_S = 0.5, 4.0, 14.0, 0.1
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -152,16 +152,16 @@
             reactor, messages.encode, messages.decode, b"application/cbor", per_host=20, connect_s=1.0, idle_s=30.0
         )
         self.value_kb = 4.0
-        self.most_sockets, self.sessions_lost = 10_000, 0
+        self.max_sockets, self.expired_leases = 10_000, 0
         self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.lengths: dict[str, float] = {}
+        self.run_times: dict[str, float] = {}
         self.gangs: dict[tuple[str, int], Gang] = {}
-        self.saved: dict[str, float] = {}
-        self.lost_gangs, self.close_looks = 0, 0.0
-        self.mistaken: set[str] = set()
-        self.faulty: set[str] = set()
-        self.every_machine: dict[str, Machine] = {}
+        self.saved_progress: dict[str, float] = {}
+        self.gang_rollbacks, self.dense_polling_until = 0, 0.0
+        self.failing_jobs: set[str] = set()
+        self.faulty_machines: set[str] = set()
+        self.all_machines: dict[str, Machine] = {}
         self.checker = RuleChecker(self)
         self.state = StateService(self)
         self.cloud = LoopbackCloud(self, capacity=8)
@@ -206,8 +206,8 @@
     def gang_of(self, task: str, attempt: int) -> Gang | None:
         return self.gangs.get((split_task(task)[0], attempt))
 
-    def run_s(self, task: str) -> float:
-        return self.lengths.setdefault(task, self.jobs[split_task(task)[0]]["guessS"])
+    def run_time_s(self, task: str) -> float:
+        return self.run_times.setdefault(task, self.jobs[split_task(task)[0]]["guessS"])
 
     # -- controllers ---------------------------------------------------------------------
 
@@ -217,7 +217,9 @@
             for other in self.names
             if other != name
         )
-        text = SETTINGS.format(n=self.names.index(name), zone="a", peers=peers, value_kb=self.value_kb, coming="")
+        text = SETTINGS.format(
+            n=self.names.index(name), zone="a", peers=peers, value_kb=self.value_kb, upcoming_limits=""
+        )
         number = self.names.index(name)
         changes = {
             f"10.0.0.{number}:8080": self.public[name],
--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -78,7 +78,7 @@
     cluster.run(12)
     costs.reset()
     cluster.run(20)
-    print(f"{machines} machines, {sum(len(m.tasks) for m in cluster.every_machine.values())} tasks on them")
+    print(f"{machines} machines, {sum(len(m.tasks) for m in cluster.all_machines.values())} tasks on them")
     costs.table("20 s with a batch")
     costs.reset()
     cluster.kill(cluster.leader())
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -56,7 +56,7 @@
     cluster.run(12)
     applied.calls, applied.total_s = 0, 0.0
     cluster.run(14)
-    tasks = sum(len(machine.tasks) for machine in cluster.every_machine.values())
+    tasks = sum(len(machine.tasks) for machine in cluster.all_machines.values())
     rebuild = cluster.nodes[cluster.leader()].rebuild
     pieces = to_pieces(rebuild.snapshots.snapshot())
     held = sum(len(record.data) for record in rebuild.replicas.current.records.values())
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -66,11 +66,11 @@
                 return cluster.cloud.handle(self.name, method, path, sent)
             if target in cluster.names:
                 peer, peer_version = cluster.nodes[target], cluster.versions[target]
-                if peer is None or cluster.now < cluster.peers_refuse:
+                if peer is None or cluster.now < cluster.peers_refuse_until:
                     raise ConnectionFailedError("no process, or a filter")
                 resources = peer_version.peer_resources(peer)
                 return cluster.to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
-            machine = cluster.every_machine[target]
+            machine = cluster.all_machines[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
             return machine.command(sent)
@@ -80,7 +80,7 @@
         keep = self.keep()
         connections = cluster.connections[self.name]
         connections[address] = math.inf
-        held = cluster.held_for(target, sent) if target in cluster.every_machine else (0.0, 0.0)
+        held = cluster.held_for(target, sent) if target in cluster.all_machines else (0.0, 0.0)
         waiting = cluster.send(self.name, target, work, held)
         timer = cluster.clock.callLater(timeout_s, cluster.awake, self.name, waiting.cancel)
         try:
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -115,10 +115,10 @@
         return Machine(self.cluster, name, kind, zone, spot)
 
     def add(self, kind: dict, zone: str, spot: bool) -> Machine:
-        name = f"n-{len(self.cluster.every_machine):06d}"
+        name = f"n-{len(self.cluster.all_machines):06d}"
         machine = self.machine(name, kind, zone, spot)
         self.machines[name] = machine
-        self.cluster.every_machine[name] = machine
+        self.cluster.all_machines[name] = machine
         draw = self.cluster.random.random()
         boot_s = self.boot_s * self.cluster.random.uniform(0.6, 1.5)
         if self.cluster.now < self.boots_until:
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -28,7 +28,7 @@
     REPORT_S, LEASE_S, CANCEL_S = 2.0, 12.0, 30.0
     FEATURES: Features | None = None
     """What is on if a world's maker does not say."""
-    LAPSE_S = 0.2
+    LEASE_CHECK_S = 0.2
     """How often a worker looks whether its lease has run out."""
 
     def __init__(
@@ -37,7 +37,7 @@
         capacity: int = 3,
         loss: float = 0.002,
         value_kb: float = 4.0,
-        coming: dict[str, float] | None = None,
+        upcoming_limits: dict[str, float] | None = None,
         version: Version = NEW,
         features: Features | None = None,
     ) -> None:
@@ -45,11 +45,11 @@
         self.features = dict.fromkeys(NAMES, features or self.FEATURES)
         """Which features each node's next process has."""
         self.value_kb = value_kb
-        self.coming = coming or {}
+        self.upcoming_limits = upcoming_limits or {}
         self.gangs: dict[tuple[str, int], Gang] = {}
-        self.saved: dict[str, float] = {}
+        self.saved_progress: dict[str, float] = {}
         """Saved progress of gangs."""
-        self.lost_gangs = 0
+        self.gang_rollbacks = 0
         """How often a gang fell back to its last checkpoint."""
         self.random = random.Random(seed)
         self.clock = Clock()
@@ -57,33 +57,33 @@
         self.names = list(NAMES)
         self.versions = dict.fromkeys(self.names, version)
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.lengths: dict[str, float] = {}
-        self.mistaken: set[str] = set()
-        self.faulty: set[str] = set()
-        self.every_machine: dict[str, Machine] = {}
-        self.deaf: dict[str, float] = {}
+        self.run_times: dict[str, float] = {}
+        self.failing_jobs: set[str] = set()
+        self.faulty_machines: set[str] = set()
+        self.all_machines: dict[str, Machine] = {}
+        self.inbound_blocked: dict[str, float] = {}
         """Hosts to which nothing comes through until then, while what they send arrives."""
-        self.frozen: dict[str, float] = {}
-        self.have_no_connections()
-        self.sessions_lost = 0
+        self.frozen_until: dict[str, float] = {}
+        self.init_connections()
+        self.expired_leases = 0
         """How many workers' leases have run out."""
-        self.peers_refuse = 0.0
+        self.peers_refuse_until = 0.0
         """Until when controllers refuse each other's connections."""
-        self.mute: dict[str, float] = {}
+        self.outbound_blocked: dict[str, float] = {}
         """Machines that reach no controller until then, while what is sent to them arrives and is answered."""
         self.slow_commands = (0.0, 0.0)
         """Until when, and how many seconds at the most, commands to machines or their answers are held up."""
-        self.copies = 0.0
+        self.duplicate_share = 0.0
         """The part of the reports and requests of which a copy comes late."""
-        self.on_leader: list[Callable[[str], None]] = []
+        self.leader_listeners: list[Callable[[str], None]] = []
         """Called with the name of each new leader."""
-        self.for_next: list[Any] = []
+        self.kept_heartbeats: list[Any] = []
         """Reports of which a copy is kept until the next leader begins, and then reaches all controllers."""
-        self.keep_for_next = 0.0
+        self.keep_heartbeats_until = 0.0
         """Until when a tenth of the reports is kept so."""
-        self.close_looks = 0.0
+        self.dense_polling_until = 0.0
         """Until when users ask at all nodes, and submit again, within milliseconds of each answer that counts."""
-        self.begin_untroubled()
+        self.init_network()
         self.processes = {name: 0 for name in self.names}
         self.nodes: dict[str, Controller | None] = dict.fromkeys(self.names)
         self.checker = RuleChecker(self)
@@ -101,5 +101,5 @@
         while self.now < end:
             self.clock.advance(0.01)
 
-    def run_s(self, name: str) -> float:
-        return self.lengths.setdefault(name, self.random.uniform(0.5, 1.5) * self.jobs[split_task(name)[0]]["guessS"])
+    def run_time_s(self, name: str) -> float:
+        return self.run_times.setdefault(name, self.random.uniform(0.5, 1.5) * self.jobs[split_task(name)[0]]["guessS"])
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -27,14 +27,14 @@
     CONNECTION = Connection
     """What nodes have in place of the pooled HTTP client."""
 
-    def have_no_connections(self) -> None:
+    def init_connections(self) -> None:
         """Before any node has started."""
         self.connections: dict[str, dict[str, float]] = {name: {} for name in self.names}
         """Connections that each node has made, and until when they are kept."""
         self.pruned_at = dict.fromkeys(self.names, 0.0)
         self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
         """Machines that have a connection open to each node for their reports."""
-        self.most_sockets = math.inf
+        self.max_sockets = math.inf
         """A node with so many sockets takes no further connection for reports."""
 
     def settings(self, name: str) -> str:
@@ -44,15 +44,15 @@
             for i, other in enumerate(self.names)
             if other != name
         )
-        coming = "".join(f"next.{limit} = {value}\n" for limit, value in self.coming.items())
+        upcoming_limits = "".join(f"next.{limit} = {value}\n" for limit, value in self.upcoming_limits.items())
         return SETTINGS.format(
-            n=number, zone="a" if number else "b", peers=peers, value_kb=self.value_kb, coming=coming
+            n=number, zone="a" if number else "b", peers=peers, value_kb=self.value_kb, upcoming_limits=upcoming_limits
         )
 
-    def lower_limits(self) -> None:
+    def apply_upcoming_limits(self) -> None:
         """The limits that were announced come into force."""
-        self.state.value_bytes = int(self.coming["value_kb"] * 1024)
-        self.state.txn_ops = int(self.coming["txn_ops"])
+        self.state.value_bytes = int(self.upcoming_limits["value_kb"] * 1024)
+        self.state.txn_ops = int(self.upcoming_limits["txn_ops"])
 
     def gang_of(self, task_name: str, attempt: int) -> Gang | None:
         return self.gangs.get((split_task(task_name)[0], attempt))
@@ -96,26 +96,26 @@
         keep = getattr(self.nodes[name], "keep_request_connection", None)
         return keep is None or keep(HEARTBEAT_PATH)
 
-    def kill(self, name: str, back_after: float | None = 5.0, version: Version | None = None) -> None:
+    def kill(self, name: str, restart_after_s: float | None = 5.0, version: Version | None = None) -> None:
         """Ends a process; it comes back as it was, or as another version."""
         self.processes[name] += 1
         self.versions[name] = version or self.versions[name]
-        self.frozen.pop(name, None)
+        self.frozen_until.pop(name, None)
         self.connections[name] = {}
         for machine in list(self.report_connections[name]):
-            self.every_machine[machine].disconnect()
+            self.all_machines[machine].disconnect()
         self.nodes[name] = None
-        if back_after is not None:
-            self.clock.callLater(back_after, self.start, name)
+        if restart_after_s is not None:
+            self.clock.callLater(restart_after_s, self.start, name)
 
     def freeze(self, name: str, seconds: float) -> None:
         """The process stands still while its clocks run on; then all that was due meanwhile comes at once."""
-        self.frozen[name] = self.now + seconds
+        self.frozen_until[name] = self.now + seconds
 
     def awake(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
         """Calls a function of a process, or has it called when the process goes on."""
         number = self.processes[name]
-        wait = self.frozen.get(name, 0.0) - self.now
+        wait = self.frozen_until.get(name, 0.0) - self.now
         if wait <= 0:
             function(*arguments)
             return
@@ -135,7 +135,7 @@
 
     def to_node(self, name: str, work: Callable[[], Any]) -> Any:
         """A request that came to a process: a frozen one takes it up when it goes on."""
-        if self.frozen.get(name, 0.0) <= self.now:
+        if self.frozen_until.get(name, 0.0) <= self.now:
             return work()
         answered: defer.Deferred = defer.Deferred()
 
@@ -148,11 +148,11 @@
         return answered
 
     def deliver_report(self, name: str, body: Any) -> Reply:
-        if self.copies and self.random.random() < self.copies:
+        if self.duplicate_share and self.random.random() < self.duplicate_share:
             # A copy comes late, from seconds to well over a lease, to whatever process is there by then.
             self.clock.callLater(self.random.uniform(1.0, 40.0), self.copy_report, name, body)
-        if self.now < self.keep_for_next and self.random.random() < 0.1:
-            self.for_next.append(body)
+        if self.now < self.keep_heartbeats_until and self.random.random() < 0.1:
+            self.kept_heartbeats.append(body)
         node = self.nodes[name]
         if node is None:
             raise ConnectionFailedError("no process")
@@ -161,9 +161,9 @@
 
     def new_leader(self, name: str) -> None:
         """A leader's first moments: what was kept for it comes to all controllers."""
-        for tell in self.on_leader:
+        for tell in self.leader_listeners:
             tell(name)
-        kept, self.for_next = self.for_next, []
+        kept, self.kept_heartbeats = self.kept_heartbeats, []
         for body in kept:
             for other in self.names:
                 self.clock.callLater(self.random.uniform(0.0, 0.4), self.copy_report, other, body)
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -47,7 +47,7 @@
 write_rps = 60.0
 value_kb = {value_kb}
 txn_ops = 12
-{coming}
+{upcoming_limits}
 [deployment.cloud]
 rps = 8.0
 list_lag_s = 5.0
--- a/tests/simulation/fleet.py
+++ b/tests/simulation/fleet.py
@@ -12,13 +12,13 @@
     """Machines are up from the start; reports come less often than elsewhere, as each costs time to play."""
 
     REPORT_S, LEASE_S, CANCEL_S = 6.0, 24.0, 60.0
-    LAPSE_S = 2.0
+    LEASE_CHECK_S = 2.0
     SOCKETS = 600
 
     def __init__(self, seed: int, machines: int, booted: bool = True, features: Features | None = None) -> None:
         """`booted`: whether the machines are up; else they are only to be found in the cloud's list."""
         super().__init__(seed, capacity=machines, loss=0.0, features=features)
-        self.most_sockets = self.SOCKETS
+        self.max_sockets = self.SOCKETS
         self.cloud.most = 2 * machines
         # Operators who keep idle machines, or all of them would be returned before there is work.
         self.state.items[records.SETTINGS] = {"keep_idle_boots": 100.0}, 1, None
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -55,7 +55,7 @@
         """Progress of the job by now; it stops with the first stop."""
         if self.running_since is None or self.told:
             return self.progress
-        return self.cluster.saved.get(self.job["nameId"], 0.0) + self.cluster.now - self.running_since
+        return self.cluster.saved_progress.get(self.job["nameId"], 0.0) + self.cluster.now - self.running_since
 
     def watch(self, lost_at: float | None) -> None:
         """All of a running gang complete together; if one is lost the others notice."""
@@ -70,7 +70,7 @@
                 return
         elif self.told:
             self.save()
-        elif self.at() >= self.cluster.run_s(self.job["nameId"] + "/0"):
+        elif self.at() >= self.cluster.run_time_s(self.job["nameId"] + "/0"):
             self.over = True
             for name, (machine, _) in self.members.items():
                 machine.finish(name, "done")
@@ -89,7 +89,7 @@
         now, first = self.cluster.now, min(self.told.values())
         if len(self.told) == len(self.members) and now >= max(self.told.values()) + self.job["stashS"]:
             self.over = True
-            self.cluster.saved[self.job["nameId"]] = self.progress
+            self.cluster.saved_progress[self.job["nameId"]] = self.progress
             for name, (machine, state) in self.members.items():
                 state["kept"] = True
                 machine.finish(name, "halted")
@@ -100,9 +100,9 @@
         self.over = True
         every_s = self.job["snapshotS"]
         progress = self.at()
-        before = self.cluster.saved.get(self.job["nameId"], 0.0)
-        self.cluster.saved[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
-        self.cluster.lost_gangs += 1
+        before = self.cluster.saved_progress.get(self.job["nameId"], 0.0)
+        self.cluster.saved_progress[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
+        self.cluster.gang_rollbacks += 1
         for name in self.members:
             self.exit(name, why)
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -40,7 +40,7 @@
 class Network:
     """The part of the world that carries requests and answers."""
 
-    def begin_untroubled(self) -> None:
+    def init_network(self) -> None:
         """Before any message is sent."""
         self.cuts: dict[frozenset[str], tuple[float, bool]] = {}
         self.held: list[tuple[frozenset[str], Callable[[], None]]] = []
@@ -80,14 +80,14 @@
         pair = frozenset((source, target))
 
         def back(result: Any) -> None:
-            if self.deaf.get(source, 0.0) > self.now:
+            if self.inbound_blocked.get(source, 0.0) > self.now:
                 return
             if self.cut_now(pair) or self.random.random() < self.loss:
                 return
             self.clock.callLater(self.delay() + held[1], fire, result)
 
         def fire(result: Any) -> None:
-            if source in self.processes and self.frozen.get(source, 0.0) > self.now:
+            if source in self.processes and self.frozen_until.get(source, 0.0) > self.now:
                 self.awake(source, fire, result)
                 return
             if answered.called:
@@ -98,7 +98,7 @@
                 answered.callback(result)
 
         def arrive() -> None:
-            if self.deaf.get(target, 0.0) > self.now or self.mute.get(source, 0.0) > self.now:
+            if self.inbound_blocked.get(target, 0.0) > self.now or self.outbound_blocked.get(source, 0.0) > self.now:
                 return
             try:
                 result = work()
@@ -128,10 +128,10 @@
                 self.clock.callLater(self.random.uniform(2.0, 20.0), arrive)
             return answered
         held_s = held[0]
-        if self.now < self.slow_commands[0] and target in self.every_machine:
+        if self.now < self.slow_commands[0] and target in self.all_machines:
             held_s += self.random.uniform(0.0, self.slow_commands[1])
         self.clock.callLater(self.delay() + held_s, arrive)
-        if self.copies and self.random.random() < self.copies / 4:
+        if self.duplicate_share and self.random.random() < self.duplicate_share / 4:
             # The request is repeated on its way, long after it was carried out.
             self.clock.callLater(self.random.uniform(1.0, 40.0), repeat)
         return answered
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -83,7 +83,7 @@
 
     def look_closely(self, job: str) -> None:
         """Asks all nodes within milliseconds, again and again, repeats the submission, and cancels now and then."""
-        if self.now >= self.close_looks:
+        if self.now >= self.dense_polling_until:
             return
         for number in range(12):
             name = self.names[number % 3]
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -63,13 +63,13 @@
     def lease_loop(self) -> None:
         if self.gone:
             return
-        self.cluster.clock.callLater(self.cluster.LAPSE_S, self.lease_loop)
+        self.cluster.clock.callLater(self.cluster.LEASE_CHECK_S, self.lease_loop)
         if not self.hung:
-            self.lapse()
+            self.check_lease()
 
-    def lapse(self) -> None:
+    def check_lease(self) -> None:
         if self.cluster.now - self.renewed > self.cluster.LEASE_S:
-            self.cluster.sessions_lost += 1
+            self.cluster.expired_leases += 1
             for name in list(self.tasks):
                 self.leave(name)
             self.tasks.clear()
@@ -138,7 +138,7 @@
         """Whether there is a connection to report on; none is made while the node has no socket left."""
         if self.connected_to == target:
             return True
-        if self.cluster.sockets(target) >= self.cluster.most_sockets:
+        if self.cluster.sockets(target) >= self.cluster.max_sockets:
             return False
         self.disconnect()
         self.connected_to = target
@@ -157,7 +157,7 @@
     def command(self, body: Any) -> Reply:
         if self.hung:
             raise NoResponseError("hangs")
-        self.lapse()
+        self.check_lease()
         if body["baton"] < self.token or body["stint"] != self.epoch:
             self.refuse(body)
             return Reply(409, self.report())
@@ -229,7 +229,7 @@
             return
         state["phase"] = "running"
         self.send_report()
-        self.cluster.clock.callLater(self.cluster.run_s(name), self.complete, name, state)
+        self.cluster.clock.callLater(self.cluster.run_time_s(name), self.complete, name, state)
 
     def complete(self, name: str, state: dict[str, Any]) -> None:
         if self.tasks.get(name) is not state or state["phase"] != "running" or self.gone:
@@ -237,7 +237,11 @@
         if self.hung:
             self.cluster.clock.callLater(0.5, self.complete, name, state)
             return
-        why = "error" if split_task(name)[0] in self.cluster.mistaken or self.name in self.cluster.faulty else "done"
+        why = (
+            "error"
+            if split_task(name)[0] in self.cluster.failing_jobs or self.name in self.cluster.faulty_machines
+            else "done"
+        )
         self.finish(name, why)
 
     def finish(self, name: str, why: str) -> None:
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -74,7 +74,7 @@
 
     def _command(self, body: Any) -> Any:
         def work() -> Reply:
-            if self.gone or not self.up or self.cluster.deaf.get(self.name, 0.0) > self.cluster.now:
+            if self.gone or not self.up or self.cluster.inbound_blocked.get(self.name, 0.0) > self.cluster.now:
                 raise NoResponseError("silence")
             return self.command(body)
 
@@ -84,13 +84,13 @@
         return self.cluster.links.carry(self.name, target, body, lambda: self._report(target, body))
 
     def _report(self, target: str, body: Any) -> defer.Deferred:
-        if self.cluster.mute.get(self.name, 0.0) > self.cluster.now:
+        if self.cluster.outbound_blocked.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
         answered = self.cluster.client.request("POST", self.cluster.public[target], HEARTBEAT_PATH, body, 4.0)
         return defer.ensureDeferred(answered).addCallback(self._unless_deaf)
 
     def _unless_deaf(self, reply: Reply) -> Reply:
-        if self.cluster.deaf.get(self.name, 0.0) > self.cluster.now:
+        if self.cluster.inbound_blocked.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
         return reply
 
@@ -113,8 +113,8 @@
         self.result = Result(plan.seed)
         if plan.machines:
             self.REPORT_S, self.LEASE_S, self.CANCEL_S = self.MANY_REPORT_S, self.MANY_LEASE_S, self.MANY_CANCEL_S
-        self.deaf: dict[str, float] = {}
-        self.mute: dict[str, float] = {}
+        self.inbound_blocked: dict[str, float] = {}
+        self.outbound_blocked: dict[str, float] = {}
         self.ended_by_us: set[str] = set()
         self.troubled_until = 0.0
         self.links = Links(reactor, lambda: self.now, random.Random(f"links {plan.seed}"))
@@ -279,7 +279,7 @@
             checker.refused_starts["token"],
             checker.refused_starts["epoch"],
         )
-        result.sessions_lost, result.messages_hit = self.sessions_lost, self.links.hit
+        result.sessions_lost, result.messages_hit = self.expired_leases, self.links.hit
         result.folder = str(self.folder)
         self._read_logs()
         reactor.stop()
@@ -388,13 +388,13 @@
     @staticmethod
     def _wake(machine: Machine) -> None:
         machine.hung = False
-        machine.lapse()
+        machine.check_lease()
 
     def _deaf(self, trouble: Trouble) -> None:
-        self.deaf |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        self.inbound_blocked |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
 
     def _mute(self, trouble: Trouble) -> None:
-        self.mute |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        self.outbound_blocked |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
 
     def _spot_wave(self, trouble: Trouble) -> None:
         for machine in [machine for machine in self._some_machines(trouble) if machine.spot]:
--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -57,17 +57,21 @@
     def late_writes(self, seconds: float, share: float) -> None:
         self.cluster.state.late_writes = self.cluster.now + seconds, share, False
 
-    @rule(which=st.integers(0, 20), seconds=st.floats(1.0, 20.0), how=st.sampled_from(["deaf", "mute"]))
+    @rule(
+        which=st.integers(0, 20),
+        seconds=st.floats(1.0, 20.0),
+        how=st.sampled_from(["inbound_blocked", "outbound_blocked"]),
+    )
     def silence(self, which: int, seconds: float, how: str) -> None:
         machines = [machine for machine in self.cluster.cloud.machines.values() if machine.up]
         for machine in machines[which : which + 2]:
             getattr(self.cluster, how)[machine.name] = self.cluster.now + seconds
 
-    @precondition(lambda self: self.cluster.copies == 0.0)
+    @precondition(lambda self: self.cluster.duplicate_share == 0.0)
     @rule(seconds=st.floats(5.0, 30.0))
     def copies(self, seconds: float) -> None:
-        self.cluster.copies = 0.1
-        self.cluster.clock.callLater(seconds, setattr, self.cluster, "copies", 0.0)
+        self.cluster.duplicate_share = 0.1
+        self.cluster.clock.callLater(seconds, setattr, self.cluster, "duplicate_share", 0.0)
 
     @rule(seconds=st.floats(0.1, 15.0))
     def go_on(self, seconds: float) -> None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -126,7 +126,7 @@
     cluster.run(40)
     leader = leading(cluster)
     (name,) = {machine.name for machine in cluster.checker.machine_by_task.values()}
-    machine, worker = leader.cluster.machines[name], cluster.every_machine[name]
+    machine, worker = leader.cluster.machines[name], cluster.all_machines[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
     late = msgspec.to_builtins(
@@ -188,7 +188,7 @@
     cluster.cancel("j-000001")
     run_watched(cluster, 0.6 * SimulatedCluster.LEASE_S)
     assert set(cluster.checker.machine_by_task) == {"j-000002/0"}
-    assert cluster.sessions_lost == 0
+    assert cluster.expired_leases == 0
     assert cluster.checker.starts_by_task["j-000002/0"] == 1
 
 
@@ -397,7 +397,7 @@
     run_watched(cluster, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
     assert cluster.checker.violations == []
-    assert cluster.sessions_lost > 0
+    assert cluster.expired_leases > 0
     assert leading_controller(cluster).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -42,11 +42,11 @@
     cluster = FleetCluster(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
         cluster.run(1.5 * cluster.LEASE_S)
-        assert cluster.sessions_lost > 100
+        assert cluster.expired_leases > 100
         return
     cluster.submit_batch(12.0)
     run_until_done(cluster, 90.0)
-    assert cluster.sessions_lost == 0
+    assert cluster.expired_leases == 0
     assert known_machines(cluster) >= MACHINES
     assert all(cluster.sockets(name) <= cluster.SOCKETS for name in cluster.names)
 
@@ -59,7 +59,7 @@
     cluster.run(cluster.LEASE_S / 2)
     assert known_machines(cluster) >= MACHINES
     run_until_done(cluster, 90.0)
-    assert cluster.sessions_lost == 0
+    assert cluster.expired_leases == 0
 
 
 def test_a_new_leader_takes_no_machine_for_slow(caplog: pytest.LogCaptureFixture) -> None:
@@ -79,14 +79,14 @@
     cluster.submit_batch(8.0)
     cluster.run(20)
     for name in cluster.names:
-        cluster.kill(name, back_after=1.3 * cluster.LEASE_S)
+        cluster.kill(name, restart_after_s=1.3 * cluster.LEASE_S)
     cluster.run(1.3 * cluster.LEASE_S)
-    assert cluster.sessions_lost >= MACHINES
+    assert cluster.expired_leases >= MACHINES
     cluster.run(cluster.LEASE_S)
     assert known_machines(cluster) >= MACHINES
-    lost = cluster.sessions_lost
+    lost = cluster.expired_leases
     run_until_done(cluster, 120.0)
-    assert cluster.sessions_lost == lost
+    assert cluster.expired_leases == lost
 
 
 def test_a_list_of_many_pages_is_read_within_the_clouds_limit() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
 def test_take_over_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Committed in part: nothing was started, and it is taken back. Started in part: the rest follows."""
-    cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
+    cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, upcoming_limits={"txn_ops": 4, "value_kb": 1.0})
     handle, launched = cluster.state.handle, Machine.start
     commits: list[float] = []
     launches: list[float] = []
@@ -225,15 +225,15 @@
     cluster.cloud.most = 1
     cluster.cloud.kinds = {"large"}
     cluster.submit(gang(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
-    cluster.lengths["j-000001/0"] = 40.0
+    cluster.run_times["j-000001/0"] = 40.0
     cluster.run(45)
     assert [g.running_since is not None for g in cluster.gangs.values()] == [True]
     cluster.submit(cluster.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
     finish(cluster, 250)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
-    assert cluster.lost_gangs == 0
-    assert cluster.saved["j-000001"] > 4.0
+    assert cluster.gang_rollbacks == 0
+    assert cluster.saved_progress["j-000001"] > 4.0
     assert len(cluster.gangs) == 2
     assert cluster.checker.final_at["j-000002"] < cluster.checker.final_at["j-000001"]
 
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -39,7 +39,7 @@
     cluster, outcome = play(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0
     assert outcome.long_tasks_lost == 0
-    assert cluster.sessions_lost == 0
+    assert cluster.expired_leases == 0
 
 
 def test_a_start_that_is_hours_late_is_refused() -> None:
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -81,7 +81,7 @@
     """Jobs that fail on every machine, until their users cancel them."""
     for number in range(4):
         body = cluster.job(3500 + number, pieces=6, vcpus=2.0, urgency="urgent", guessS=3.0, lane="mistaken")
-        cluster.mistaken.add(body["nameId"])
+        cluster.failing_jobs.add(body["nameId"])
         cluster.submit(body)
         cluster.clock.callLater(50.0 + 3 * number, cluster.cancel, body["nameId"])
 
@@ -89,7 +89,7 @@
 def faulty_machine(cluster: SimulatedCluster) -> None:
     up = [m for m in cluster.cloud.machines.values() if m.up]
     if up:
-        cluster.faulty.add(up[0].name)
+        cluster.faulty_machines.add(up[0].name)
 
 
 DAYS: dict[str, list[tuple[float, Trouble]]] = {
@@ -154,7 +154,7 @@
     """It is tried one task at a time, at growing intervals, and no machine is blamed for it."""
     cluster = SimulatedCluster(seed=18, loss=0.0)
     cluster.run(15)
-    cluster.mistaken.add("j-000900")
+    cluster.failing_jobs.add("j-000900")
     cluster.submit(cluster.job(900, pieces=50, vcpus=1.0, guessS=2.0))
     cluster.run(30)
     counted = count_changes(cluster)
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -72,14 +72,14 @@
 
 def close_looks(seconds: float) -> Trouble:
     def start(cluster: SimulatedCluster) -> None:
-        cluster.close_looks = cluster.now + seconds
+        cluster.dense_polling_until = cluster.now + seconds
 
     return start
 
 
 def reports_for_the_next(seconds: float) -> Trouble:
     def start(cluster: SimulatedCluster) -> None:
-        cluster.keep_for_next = cluster.now + seconds
+        cluster.keep_heartbeats_until = cluster.now + seconds
 
     return start
 
@@ -99,7 +99,7 @@
 
 
 def silence(which: str, seconds: float, part: int = 2) -> Trouble:
-    """Machines that hear nothing (`deaf`), or reach no controller (`mute`)."""
+    """Machines that hear nothing (`inbound_blocked`), or reach no controller (`outbound_blocked`)."""
 
     def start(cluster: SimulatedCluster) -> None:
         for machine in some_machines(cluster, part):
@@ -292,7 +292,7 @@
 
 @pytest.mark.parametrize(
     "trouble",
-    [nothing, hang_all(9.0), cut_machines(9.0, 2), silence("deaf", 9.0), silence("mute", 9.0)],
+    [nothing, hang_all(9.0), cut_machines(9.0, 2), silence("inbound_blocked", 9.0), silence("outbound_blocked", 9.0)],
     ids=["none", "hang", "cut off", "deaf", "mute"],
 )
 @pytest.mark.parametrize("apart_s", [0.24, 0.8, 1.3, 1.6, 2.4, 3.6])
@@ -326,7 +326,7 @@
         else:
             cluster.clock.callLater(wait_s, cluster.state.outage, CANCEL_S + 12.0)
 
-    cluster.on_leader.append(on_leader)
+    cluster.leader_listeners.append(on_leader)
     watch_over_cancellations(cluster, CANCEL_S + 40.0)
     assert len(elected) >= 4
     return cluster
@@ -425,7 +425,7 @@
         [
             (0.0, reports_for_the_next(30.0)),
             (6.0, refused_then(20.0)),
-            (6.5, silence("mute", 6.0)),
+            (6.5, silence("outbound_blocked", 6.0)),
             (20.0, hang_all(8.0)),
             (21.0, crash_leader),
         ],
@@ -466,7 +466,7 @@
     "at the limit, machines can't be asked, a cancellation, a new leader": (
         [
             (0.0, full_teams),
-            (14.0, silence("deaf", 15.0)),
+            (14.0, silence("inbound_blocked", 15.0)),
             (15.0, crash_leader),
             (15.3, cancel_now(5)),
             (24.0, crash_leader),
@@ -509,15 +509,20 @@
         80.0,
     ),
     "a leader ends while machines can't be reached": (
-        [(0.0, cut_machines(14.0, 2)), (1.0, crash_leader), (20.0, silence("deaf", 14.0)), (21.0, crash_leader)],
+        [
+            (0.0, cut_machines(14.0, 2)),
+            (1.0, crash_leader),
+            (20.0, silence("inbound_blocked", 14.0)),
+            (21.0, crash_leader),
+        ],
         60.0,
     ),
     "an old report after newer ones, from an earlier session": (
         [
-            (0.0, lambda cluster: setattr(cluster, "copies", 0.3)),
+            (0.0, lambda cluster: setattr(cluster, "duplicate_share", 0.3)),
             (4.0, hang_all(14.0)),
             (10.0, crash_leader),
-            (30.0, lambda cluster: setattr(cluster, "copies", 0.0)),
+            (30.0, lambda cluster: setattr(cluster, "duplicate_share", 0.0)),
         ],
         80.0,
     ),
@@ -526,7 +531,7 @@
         60.0,
     ),
     "machines mute while commands reach them": (
-        [(0.0, silence("mute", 18.0)), (2.0, cancel_now(4)), (6.0, crash_leader)],
+        [(0.0, silence("outbound_blocked", 18.0)), (2.0, cancel_now(4)), (6.0, crash_leader)],
         60.0,
     ),
     "jobs cancelled while the work changes hands": (
@@ -714,7 +719,7 @@
     cluster.run(40)
     (task, machine), *_ = cluster.checker.machine_by_task.items()
     job = task.rpartition("/")[0]
-    cluster.deaf[machine.name] = cluster.now + 30.0
+    cluster.inbound_blocked[machine.name] = cluster.now + 30.0
     cluster.kill(cluster.leader(), None)
     cluster.run(4)
     leader = cluster.leader()
@@ -834,11 +839,11 @@
 
     def rented_zones(first: int, jobs: int, **changes: object) -> list[str]:
         """Where machines are rented for a burst of jobs, of which each fills one."""
-        before = set(cluster.every_machine)
+        before = set(cluster.all_machines)
         for number in range(first, first + jobs):
             cluster.submit(cluster.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
         cluster.run(6)
-        return [machine.zone for name, machine in cluster.every_machine.items() if name not in before]
+        return [machine.zone for name, machine in cluster.all_machines.items() if name not in before]
 
     cluster.cloud.add = adding  # type: ignore[method-assign]
     cluster.run(4)
@@ -849,9 +854,9 @@
     while not term.boots.unreliable_offers() and cluster.now < 60:
         cluster.run(0.05)
     assert {zone for _, zone, _ in term.boots.unreliable_offers()} == {"a"}
-    before = set(cluster.every_machine)
+    before = set(cluster.all_machines)
     cluster.run(8)
-    instead = [machine.zone for name, machine in cluster.every_machine.items() if name not in before]
+    instead = [machine.zone for name, machine in cluster.all_machines.items() if name not in before]
     assert len(instead) >= 2
     assert set(instead) == {"b"}
     fails[0] = False
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -68,7 +68,7 @@
     name = cluster.leader()
     cluster.state.wipe()
     if name is not None:
-        cluster.kill(name, back_after=8.0)
+        cluster.kill(name, restart_after_s=8.0)
 
 
 def leader_killed_in_the_rebuild(cluster: SimulatedCluster) -> None:
@@ -138,8 +138,8 @@
 
 
 def late_copies(cluster: SimulatedCluster) -> None:
-    cluster.copies = 0.1
-    cluster.clock.callLater(60.0, setattr, cluster, "copies", 0.0)
+    cluster.duplicate_share = 0.1
+    cluster.clock.callLater(60.0, setattr, cluster, "duplicate_share", 0.0)
     cluster.state.wipe()
 
 
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -72,8 +72,8 @@
 
     @rule(seconds=st.floats(5.0, 30.0))
     def late_reports(self, seconds: float) -> None:
-        self.cluster.copies = 0.1
-        self.cluster.clock.callLater(seconds, setattr, self.cluster, "copies", 0.0)
+        self.cluster.duplicate_share = 0.1
+        self.cluster.clock.callLater(seconds, setattr, self.cluster, "duplicate_share", 0.0)
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -18,13 +18,13 @@
     """The store gets no identity, so that nobody relies on what one controller does not do; all goes on as ever."""
     cluster = loaded_cluster(7)
     cluster.features["node-2"] = None
-    cluster.kill("node-2", back_after=0.1)
+    cluster.kill("node-2", restart_after_s=0.1)
     cluster.run(30.0)
     assert records.IDENTITY not in cluster.state.items
     assert cluster.nodes["node-0"].rebuild.store.phase is StorePhase.UNPROTECTED
     finish(cluster)
     cluster.features["node-2"] = ON
-    cluster.kill("node-2", back_after=0.1)
+    cluster.kill("node-2", restart_after_s=0.1)
     cluster.run(10.0)
     assert phases(cluster) == {StorePhase.SOUND}
 
@@ -34,7 +34,7 @@
     cluster = SimulatedCluster(8, version=production(), features=ON)
     cluster.run(5.0)
     for name in ("node-0", "node-1"):
-        cluster.kill(name, back_after=0.5, version=NEW)
+        cluster.kill(name, restart_after_s=0.5, version=NEW)
         cluster.run(4.0)
     for number in range(6):
         cluster.submit(cluster.job(number, guessS=8.0))
@@ -66,7 +66,7 @@
     cluster.run(20.0)
     for name in cluster.names:
         cluster.features[name] = ON
-        cluster.kill(name, back_after=0.5)
+        cluster.kill(name, restart_after_s=0.5)
         cluster.run(4.0)
     cluster.run(8.0)
     assert phases(cluster) == {StorePhase.SOUND}
@@ -78,7 +78,7 @@
     cluster = loaded_cluster(11)
     cluster.run(24.0)
     name = next(n for n in cluster.names if n != cluster.leader())
-    cluster.kill(name, back_after=0.05)
+    cluster.kill(name, restart_after_s=0.05)
     cluster.state.wipe()
     cluster.run(0.3)
     assert cluster.nodes[name].rebuild.store.phase is not StorePhase.UNPROTECTED
@@ -91,7 +91,7 @@
     cluster = loaded_cluster(12, features=directory)
     cluster.run(33.0)  # all were accepted some seconds ago: what is newer than the directory is lost with the processes
     for name in cluster.names:
-        cluster.kill(name, back_after=1.0)
+        cluster.kill(name, restart_after_s=1.0)
     cluster.state.wipe()
     finish(cluster)
     assert phases(cluster) == {StorePhase.SOUND}
@@ -104,7 +104,7 @@
     tokens = max(machine.token for machine in cluster.cloud.machines.values())
     cluster.state.revision = max(cluster.state.revision, 200)
     for name in cluster.names:
-        cluster.kill(name, back_after=0.5)
+        cluster.kill(name, restart_after_s=0.5)
     for machine in cluster.cloud.machines.values():
         machine.token = max(machine.token, 150)  # many changes were made since the leader was elected
     cluster.state.wipe()
--- a/tests/test_rebuild_unresolved.py
+++ b/tests/test_rebuild_unresolved.py
@@ -78,7 +78,7 @@
         next(task for task in sorted(cluster.checker.machine_by_task) if cluster.checker.job_of(task)["guessS"] > 20)
     )[0]
     for task in [task for task in cluster.checker.machine_by_task if split_task(task)[0] == job]:
-        cluster.lengths[task] = 200.0
+        cluster.run_times[task] = 200.0
     for node in cluster.nodes.values():
         replica = node.rebuild.replicas.current
         for key in [key for key in replica.records if job in key]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -131,7 +131,7 @@
 
         def on(machine=machine) -> None:
             machine.hung = False
-            machine.lapse()
+            machine.check_lease()
 
         machine.cluster.clock.callLater(seconds, on)
 
@@ -151,7 +151,7 @@
 
 
 def faulty_machine(cluster: SimulatedCluster) -> None:
-    cluster.faulty.update([m.name for m in cluster.cloud.machines.values() if m.up][:1])
+    cluster.faulty_machines.update([m.name for m in cluster.cloud.machines.values() if m.up][:1])
 
 
 def deaf_machines(seconds: float) -> Callable[[SimulatedCluster], None]:
@@ -159,13 +159,13 @@
 
     def start(cluster: SimulatedCluster) -> None:
         for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
-            cluster.deaf[machine.name] = cluster.now + seconds
+            cluster.inbound_blocked[machine.name] = cluster.now + seconds
 
     return start
 
 
 def late_copies(cluster: SimulatedCluster) -> None:
-    cluster.copies = 0.3
+    cluster.duplicate_share = 0.3
 
 
 def leader_alone_with_its_workers(cluster: SimulatedCluster) -> None:
@@ -211,12 +211,12 @@
 
 def freeze_now_and_then(cluster: SimulatedCluster, number: int) -> None:
     name = cluster.leader() or cluster.names[number % 3]
-    if number % 2 == 0 and cluster.frozen.get(name, 0.0) <= cluster.now:
+    if number % 2 == 0 and cluster.frozen_until.get(name, 0.0) <= cluster.now:
         cluster.freeze(name, cluster.random.uniform(1.0, 6.0))
 
 
 def peers_refuse(cluster: SimulatedCluster) -> None:
-    cluster.peers_refuse = cluster.now + 40.0
+    cluster.peers_refuse_until = cluster.now + 40.0
 
 
 def most_machines_at_once(cluster: SimulatedCluster) -> None:
@@ -297,7 +297,7 @@
 
 def test_a_mistaken_job_blocks_nobody() -> None:
     cluster = SimulatedCluster(seed=5)
-    cluster.mistaken.add("j-000900")
+    cluster.failing_jobs.add("j-000900")
     cluster.submit(cluster.job(900, pieces=6, urgency="urgent"))
     load(cluster, jobs=10)
     cluster.run(150)
@@ -315,9 +315,9 @@
         cluster.clock.callLater(1.0 + 6 * number, cluster.submit, cluster.job(number, pieces=8, vcpus=2.0, guessS=8.0))
     cluster.run(30)
     slow = next(iter(cluster.checker.machine_by_task.values())).name
-    plain = cluster.run_s
-    cluster.run_s = lambda name: plain(name) * (5 if name in cluster.every_machine[slow].tasks else 1)  # type: ignore
-    cluster.lengths = SameLength()
+    plain = cluster.run_time_s
+    cluster.run_time_s = lambda name: plain(name) * (5 if name in cluster.all_machines[slow].tasks else 1)  # type: ignore
+    cluster.run_times = SameLength()
     finish(cluster)
     assert slow not in cluster.cloud.machines
     assert cluster.checker.violations == []
@@ -441,10 +441,10 @@
     machine = term.cluster.machines[name]
     assert term.machine_views.is_ready(machine, cluster.now)
     # All its reports go to the leader, as often as a worker without answers can send them.
-    cluster.deaf[name] = cluster.now + 11.0
+    cluster.inbound_blocked[name] = cluster.now + 11.0
     for seconds in (5.0, 10.0):
         cluster.clock.callLater(
-            seconds, lambda: cluster.deliver_report(cluster.leader(), cluster.every_machine[name].report())
+            seconds, lambda: cluster.deliver_report(cluster.leader(), cluster.all_machines[name].report())
         )
     cluster.run(10.5)
     assert cluster.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
@@ -462,7 +462,7 @@
     leader = cluster.leader()
     term = cluster.nodes[leader].leader
     name = next(m.name for m in cluster.cloud.machines.values() if m.up)
-    body = cluster.every_machine[name].report()
+    body = cluster.all_machines[name].report()
     cluster.deliver_report(leader, body)
     machine = term.cluster.machines[name]
     cluster.cut(name, leader, 20.0)
@@ -492,7 +492,7 @@
 def test_a_stopped_attempt_stays_known_while_repeats_of_its_start_may_come() -> None:
     cluster = SimulatedCluster(seed=21, loss=0.0)
     cluster.submit(cluster.job(1, pieces=1, guessS=80.0))
-    cluster.lengths["j-000001/0"] = 200.0
+    cluster.run_times["j-000001/0"] = 200.0
     cluster.run(40)
     term = cluster.nodes[cluster.leader()].leader
     (name,) = {m.name for m in cluster.checker.machine_by_task.values()}
@@ -503,7 +503,7 @@
     term.lifecycle.stop(placement, 0.0)
     cluster.run(30)
     assert cluster.checker.machine_by_task["j-000001/0"].name != name
-    cluster.every_machine[name].command(start)  # a repeat of what was carried out
+    cluster.all_machines[name].command(start)  # a repeat of what was carried out
     cluster.run(5)
     assert cluster.checker.violations == []
     assert cluster.checker.machine_by_task["j-000001/0"].name != name
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -138,9 +138,9 @@
 
 def test_before_the_change_of_format_records_look_as_production_writes_them() -> None:
     """One node is missing, so nobody knows which version it is: production's form is kept, and its limits."""
-    cluster = play_day(NEW, coming=LOWER_LIMITS)
+    cluster = play_day(NEW, upcoming_limits=LOWER_LIMITS)
     cluster.kill("node-2", None)
-    cluster.lower_limits()
+    cluster.apply_upcoming_limits()
     cluster.run(60)
     items = {key: value for key, (value, _, _) in sorted(cluster.state.items.items())}
     assert all(node is None or node.record_format.number == 0 for node in cluster.nodes.values())
@@ -164,7 +164,7 @@
 def test_old_and_new_lead_in_turn(seed: int) -> None:
     """Take-overs in the middle of placements, stops and completions; then all are new, and the limits come."""
     cluster = SimulatedCluster(
-        seed=70 + seed, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW
+        seed=70 + seed, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or NEW
     )
     load(cluster, jobs=30)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
@@ -199,7 +199,7 @@
     cluster.clock.callLater(4.0, cluster.kill, "node-2", 2.0, NEW)
     cluster.run(12)
     assert records.FORMAT in cluster.state.items
-    cluster.lower_limits()
+    cluster.apply_upcoming_limits()
     gang_load(cluster, count=6)
     cluster.clock.callLater(15.0, crash_leader, cluster)
     cluster.checker.faults_until = cluster.now + 20.0
@@ -212,7 +212,9 @@
 @needs_history
 def test_large_records_of_production_are_brought_into_small_pieces() -> None:
     """Its leader had stored more placements in one value than the limit to come allows."""
-    cluster = SimulatedCluster(seed=81, loss=0.0, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
+    cluster = SimulatedCluster(
+        seed=81, loss=0.0, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or NEW
+    )
     cluster.submit(cluster.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
     cluster.submit(cluster.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
     while len(cluster.checker.machine_by_task) < 160:
@@ -222,7 +224,7 @@
     for number, name in enumerate(cluster.names):
         cluster.clock.callLater(2.0 * number, cluster.kill, name, 0.5, NEW)
     cluster.run(20)
-    cluster.lower_limits()
+    cluster.apply_upcoming_limits()
     assert [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048] == []
     cluster.run(5)
     crash_leader(cluster)
@@ -254,12 +256,12 @@
 
 def test_a_day_under_limits_that_come_without_notice() -> None:
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
-    cluster = SimulatedCluster(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
+    cluster = SimulatedCluster(seed=92, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS)
     load(cluster, jobs=18)
     gang_load(cluster, count=8)
     cluster.submit(cluster.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
     cluster.submit(gang(cluster, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
-    cluster.clock.callLater(30.0, cluster.lower_limits)
+    cluster.clock.callLater(30.0, cluster.apply_upcoming_limits)
     for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, machines_die), (80.0, crash_leader)):
         cluster.clock.callLater(at, trouble, cluster)
     for number in (2, 8, 15):
@@ -276,8 +278,8 @@
     cluster = SimulatedCluster(seed=93, loss=0.0, value_kb=16.0)
     load(cluster, jobs=12)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
-    cluster.coming = LOWER_LIMITS
-    cluster.clock.callLater(30.0, cluster.lower_limits)
+    cluster.upcoming_limits = LOWER_LIMITS
+    cluster.clock.callLater(30.0, cluster.apply_upcoming_limits)
     finish(cluster)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
@@ -285,7 +287,7 @@
 
 
 def test_limits_are_the_least_known_and_go_down_when_refused() -> None:
-    state = parse(SimulatedCluster(1, coming=LOWER_LIMITS).settings("node-0")).deployment.state
+    state = parse(SimulatedCluster(1, upcoming_limits=LOWER_LIMITS).settings("node-0")).deployment.state
     assert (state.least().txn_ops, state.least().value_bytes, state.least().write_rps, state.least().rps) == (
         4,
         2048,
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -246,7 +246,7 @@
             raise RuntimeError("the version in production is not in this checkout's history")
         options["version"] = old
     if seed % 4 == 2:
-        options["coming"] = {"value_kb": 2.0, "txn_ops": 6, "write_rps": 45.0}
+        options["upcoming_limits"] = {"value_kb": 2.0, "txn_ops": 6, "write_rps": 45.0}
     return options
 
 
@@ -271,8 +271,8 @@
         _replace_old_version(cluster, dice)
     if "features" in options and seed % 2:
         cluster.clock.callLater(45.0, cluster.state.wipe)
-    if "coming" in options:
-        cluster.clock.callLater(50.0, cluster.lower_limits)
+    if "upcoming_limits" in options:
+        cluster.clock.callLater(50.0, cluster.apply_upcoming_limits)
     cluster.run(DAY_S)
     trace.add("end", sorted(cluster.state.items.items()), cluster.checker.violations)
     return DayDigest(trace.count, trace.digest(), cluster.checker.violations)
