--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -153,7 +153,7 @@
         )
         self.value_kb = 4.0
         self.max_sockets, self.expired_leases = 10_000, 0
-        self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
+        self.heartbeat_connections: dict[str, set[str]] = {name: set() for name in self.names}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_times: dict[str, float] = {}
         self.gangs: dict[tuple[str, int], Gang] = {}
@@ -200,7 +200,7 @@
     def sockets(self, _name: str) -> int:
         return 0
 
-    def keeps_report_connection(self, _name: str) -> bool:
+    def keeps_heartbeat_connection(self, _name: str) -> bool:
         return True
 
     def gang_of(self, task: str, attempt: int) -> Gang | None:
@@ -252,7 +252,7 @@
 
     # -- users ---------------------------------------------------------------------------
 
-    def _ask(self, ask: Any, told: Any, job: str) -> None:
+    def _request(self, ask: Any, told: Any, job: str) -> None:
         """Users over HTTP: `ask` is a request rather than a call of a node."""
         defer.ensureDeferred(self._ask_http(ask, told, job))
 
@@ -279,25 +279,27 @@
         self.clock.callLater(seconds, done.callback, None)
         return done
 
-    def _accepted(self, job: str, _result: Any) -> None:
+    def _on_accepted(self, job: str, _result: Any) -> None:
         if job in self.to_cancel:
             self.clock.callLater(CANCEL_AFTER_S, self.cancel, job)
         self._poll(job)
 
     def _poll(self, job: str) -> None:
         if not self.checker.is_final(job):
-            self.clock.callLater(POLL_S, self._ask, self._question(job), lambda other, _: self._poll(other), job)
+            self.clock.callLater(
+                POLL_S, self._request, self._status_request(job), lambda other, _: self._poll(other), job
+            )
 
     @staticmethod
-    def _question(job: str) -> Any:
+    def _status_request(job: str) -> Any:
         return "GET", f"/v2/runs/{job}", None
 
-    def _submission(self, body: dict[str, Any]) -> Any:
+    def _submit_request(self, body: dict[str, Any]) -> Any:
         return "POST", "/v2/runs", body
 
     def cancel(self, job: str) -> None:
         self.checker.cancel_requested(job)
-        self._ask(("POST", f"/v2/runs/{job}/cancel", {}), lambda *_: None, job)
+        self._request(("POST", f"/v2/runs/{job}/cancel", {}), lambda *_: None, job)
 
     # -- the batch -------------------------------------------------------------------------
 
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -69,7 +69,7 @@
                 if peer is None or cluster.now < cluster.peers_refuse_until:
                     raise ConnectionFailedError("no process, or a filter")
                 resources = peer_version.peer_resources(peer)
-                return cluster.to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
+                return cluster.deliver_to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
             machine = cluster.all_machines[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
@@ -82,7 +82,7 @@
         connections[address] = math.inf
         held = cluster.held_for(target, sent) if target in cluster.all_machines else (0.0, 0.0)
         waiting = cluster.send(self.name, target, work, held)
-        timer = cluster.clock.callLater(timeout_s, cluster.awake, self.name, waiting.cancel)
+        timer = cluster.clock.callLater(timeout_s, cluster.run_in_process, self.name, waiting.cancel)
         try:
             reply = await waiting
         except ConnectionFailedError as error:
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -32,7 +32,7 @@
         self.connections: dict[str, dict[str, float]] = {name: {} for name in self.names}
         """Connections that each node has made, and until when they are kept."""
         self.pruned_at = dict.fromkeys(self.names, 0.0)
-        self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
+        self.heartbeat_connections: dict[str, set[str]] = {name: set() for name in self.names}
         """Machines that have a connection open to each node for their reports."""
         self.max_sockets = math.inf
         """A node with so many sockets takes no further connection for reports."""
@@ -89,9 +89,9 @@
             self.pruned_at[name] = self.now
             for address in [address for address, until in made.items() if until < self.now]:
                 del made[address]
-        return len(made) + len(self.report_connections[name])
+        return len(made) + len(self.heartbeat_connections[name])
 
-    def keeps_report_connection(self, name: str) -> bool:
+    def keeps_heartbeat_connection(self, name: str) -> bool:
         """Whether a node leaves a worker's connection open after its answer; the versions before always do."""
         keep = getattr(self.nodes[name], "keep_request_connection", None)
         return keep is None or keep(HEARTBEAT_PATH)
@@ -102,7 +102,7 @@
         self.versions[name] = version or self.versions[name]
         self.frozen_until.pop(name, None)
         self.connections[name] = {}
-        for machine in list(self.report_connections[name]):
+        for machine in list(self.heartbeat_connections[name]):
             self.all_machines[machine].disconnect()
         self.nodes[name] = None
         if restart_after_s is not None:
@@ -112,7 +112,7 @@
         """The process stands still while its clocks run on; then all that was due meanwhile comes at once."""
         self.frozen_until[name] = self.now + seconds
 
-    def awake(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
+    def run_in_process(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
         """Calls a function of a process, or has it called when the process goes on."""
         number = self.processes[name]
         wait = self.frozen_until.get(name, 0.0) - self.now
@@ -122,7 +122,7 @@
 
         def later() -> None:
             if self.processes[name] == number:
-                self.awake(name, function, *arguments)
+                self.run_in_process(name, function, *arguments)
 
         self.clock.callLater(wait + self.random.uniform(0.0, 0.005), later)
 
@@ -133,7 +133,7 @@
         holds_lease: Callable[[], bool] = self.versions[name].part(node.election, "holds_lease")
         return holds_lease()
 
-    def to_node(self, name: str, work: Callable[[], Any]) -> Any:
+    def deliver_to_node(self, name: str, work: Callable[[], Any]) -> Any:
         """A request that came to a process: a frozen one takes it up when it goes on."""
         if self.frozen_until.get(name, 0.0) <= self.now:
             return work()
@@ -144,13 +144,13 @@
             with contextlib.suppress(ConnectionFailedError, NoResponseError):
                 answered.callback(work())
 
-        self.awake(name, later)
+        self.run_in_process(name, later)
         return answered
 
-    def deliver_report(self, name: str, body: Any) -> Reply:
+    def deliver_heartbeat(self, name: str, body: Any) -> Reply:
         if self.duplicate_share and self.random.random() < self.duplicate_share:
             # A copy comes late, from seconds to well over a lease, to whatever process is there by then.
-            self.clock.callLater(self.random.uniform(1.0, 40.0), self.copy_report, name, body)
+            self.clock.callLater(self.random.uniform(1.0, 40.0), self.deliver_duplicate, name, body)
         if self.now < self.keep_heartbeats_until and self.random.random() < 0.1:
             self.kept_heartbeats.append(body)
         node = self.nodes[name]
@@ -166,9 +166,9 @@
         kept, self.kept_heartbeats = self.kept_heartbeats, []
         for body in kept:
             for other in self.names:
-                self.clock.callLater(self.random.uniform(0.0, 0.4), self.copy_report, other, body)
+                self.clock.callLater(self.random.uniform(0.0, 0.4), self.deliver_duplicate, other, body)
 
-    def copy_report(self, name: str, body: Any) -> None:
+    def deliver_duplicate(self, name: str, body: Any) -> None:
         node = self.nodes[name]
         if node is not None:
             self.versions[name].handle_heartbeat(node, body)
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -39,7 +39,7 @@
             self.cluster.checker.started_at.setdefault(self.job["nameId"], self.cluster.now)
             for member, member_state in self.members.values():
                 member_state["phase"] = "running"
-                member.send_report()
+                member.send_heartbeat()
             self.watch(None)
 
     def give_up(self, name: str, state: dict[str, Any]) -> None:
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -88,7 +88,7 @@
 
         def fire(result: Any) -> None:
             if source in self.processes and self.frozen_until.get(source, 0.0) > self.now:
-                self.awake(source, fire, result)
+                self.run_in_process(source, fire, result)
                 return
             if answered.called:
                 return
--- a/tests/simulation/processes.py
+++ b/tests/simulation/processes.py
@@ -47,7 +47,7 @@
 
     def _call(self, function: Callable[..., Any], *arguments: Any) -> None:
         if self.alive():
-            self.cluster.awake(self.name, function, *arguments)
+            self.cluster.run_in_process(self.name, function, *arguments)
 
     def getReaders(self) -> list[None]:
         """One for each open connection, as the real reactor has one for each socket."""
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -28,7 +28,7 @@
         self.target = cluster.random.choice(cluster.names)
         self.connected_to: str | None = None
         """The node to which it has a connection open for its reports."""
-        self.reporting = False
+        self.heartbeat_in_flight = False
         self.images: set[str] = set()
 
     def boot(self) -> None:
@@ -42,7 +42,7 @@
         if not self.up:
             self.boot()
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
         return {
             "host": self.name,
@@ -80,26 +80,26 @@
         if self.gone:
             return
         self.cluster.clock.callLater(self.cluster.REPORT_S * self.cluster.random.uniform(0.75, 1.25), self.loop)
-        self.send_report()
+        self.send_heartbeat()
 
-    def send_report(self) -> None:  # noqa: C901 - one case an answer
-        if self.gone or self.hung or not self.up or self.reporting:
+    def send_heartbeat(self) -> None:  # noqa: C901 - one case an answer
+        if self.gone or self.hung or not self.up or self.heartbeat_in_flight:
             return
-        self.reporting = True
+        self.heartbeat_in_flight = True
         sent, session, target = self.cluster.now, self.epoch, self.target
         if not self.connect(target):
-            self.reporting = False
+            self.heartbeat_in_flight = False
             self.next_node()
-            self.cluster.clock.callLater(1.0, self.send_report)
+            self.cluster.clock.callLater(1.0, self.send_heartbeat)
             return
-        waiting = self.deliver(target, messages.decode(messages.encode(self.report())))
+        waiting = self.deliver(target, messages.decode(messages.encode(self.heartbeat())))
         timer = self.cluster.clock.callLater(4.0, waiting.cancel)
 
         def answered(reply: Reply) -> None:
-            self.reporting = False
+            self.heartbeat_in_flight = False
             if timer.active():
                 timer.cancel()
-            if reply.status != 200 or not self.cluster.keeps_report_connection(target):
+            if reply.status != 200 or not self.cluster.keeps_heartbeat_connection(target):
                 self.disconnect()
             if self.gone or self.hung or session != self.epoch:
                 return
@@ -108,11 +108,11 @@
                 names = self.cluster.names
                 other = names[(names.index(self.target) + 1) % len(names)]
                 self.target = steward if steward in names and steward != self.target else other
-                self.cluster.clock.callLater(0.3, self.send_report)
+                self.cluster.clock.callLater(0.3, self.send_heartbeat)
             elif reply.status == 200:
                 if reply.body["baton"] >= self.token:
                     if reply.body["baton"] > self.token:
-                        self.cluster.clock.callLater(0.5, self.send_report)
+                        self.cluster.clock.callLater(0.5, self.send_heartbeat)
                     self.token = reply.body["baton"]
                     self.renewed = max(self.renewed, sent)
                     self.execute(reply.body["orders"])
@@ -120,7 +120,7 @@
                 failed(None)
 
         def failed(_: Any) -> None:
-            self.reporting = False
+            self.heartbeat_in_flight = False
             if timer.active():
                 timer.cancel()
             self.disconnect()
@@ -131,7 +131,9 @@
     def deliver(self, target: str, body: Any) -> defer.Deferred:
         """Sends a report to a node."""
         return self.cluster.send(
-            self.name, target, lambda: self.cluster.to_node(target, lambda: self.cluster.deliver_report(target, body))
+            self.name,
+            target,
+            lambda: self.cluster.deliver_to_node(target, lambda: self.cluster.deliver_heartbeat(target, body)),
         )
 
     def connect(self, target: str) -> bool:
@@ -142,12 +144,12 @@
             return False
         self.disconnect()
         self.connected_to = target
-        self.cluster.report_connections[target].add(self.name)
+        self.cluster.heartbeat_connections[target].add(self.name)
         return True
 
     def disconnect(self) -> None:
         if self.connected_to is not None:
-            self.cluster.report_connections[self.connected_to].discard(self.name)
+            self.cluster.heartbeat_connections[self.connected_to].discard(self.name)
             self.connected_to = None
 
     def next_node(self) -> None:
@@ -160,12 +162,12 @@
         self.check_lease()
         if body["baton"] < self.token or body["stint"] != self.epoch:
             self.refuse(body)
-            return Reply(409, self.report())
+            return Reply(409, self.heartbeat())
         if body["baton"] > self.token:
-            self.cluster.clock.callLater(0.5, self.send_report)
+            self.cluster.clock.callLater(0.5, self.send_heartbeat)
         self.token = body["baton"]
         self.execute(body["orders"])
-        return Reply(200, self.report())
+        return Reply(200, self.heartbeat())
 
     def refuse(self, body: Any) -> None:
         """Counts starts that came under a token, or for a session, that is over."""
@@ -218,17 +220,17 @@
         self.images.add(job["bundle"])
         if name in self.cluster.checker.completed_tasks:  # its result is kept
             state.update(phase="exited", cause="done")
-            self.send_report()
+            self.send_heartbeat()
             return
         self.cluster.checker.task_started(name, self, self.cluster.now)
         if job["shape"] == "gang":
             state["phase"] = "gathering"
             gang = self.cluster.gangs.setdefault((job["nameId"], state["try"]), Gang(self.cluster, job))
             gang.gather(name, self, state)
-            self.send_report()
+            self.send_heartbeat()
             return
         state["phase"] = "running"
-        self.send_report()
+        self.send_heartbeat()
         self.cluster.clock.callLater(self.cluster.run_time_s(name), self.complete, name, state)
 
     def complete(self, name: str, state: dict[str, Any]) -> None:
@@ -249,7 +251,7 @@
         self.tasks[name].update(phase="exited", cause=why)
         if why == "done":
             self.cluster.checker.task_completed(name)
-        self.cluster.clock.callLater(0.01, self.send_report)
+        self.cluster.clock.callLater(0.01, self.send_heartbeat)
 
     def leave(self, name: str) -> None:
         if self.tasks[name]["phase"] in ("running", "gathering", "flushing"):
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -200,7 +200,7 @@
         self.submit(body)
         return body["nameId"]
 
-    def _accepted(self, job: str, _result: Any) -> None:
+    def _on_accepted(self, job: str, _result: Any) -> None:
         self._poll(job)
 
     def _keep_asking(self) -> None:
@@ -208,7 +208,7 @@
         reactor.callLater(ASK_S, self._keep_asking)
         jobs = list(self.jobs)
         for job in self.random.sample(jobs, min(3, len(jobs))):
-            asks = [self._question(job), self._question(job), self._submission(self.jobs[job])]
+            asks = [self._status_request(job), self._status_request(job), self._submit_request(self.jobs[job])]
             if job in self.checker.cancel_requests:
                 asks.append(("POST", f"/v2/runs/{job}/cancel", {}))
             for name in self.names:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -158,7 +158,7 @@
     leader = cluster.leader()
     cluster.cut(leader, fullest.name, 0.0)
     answers: list[dict[str, Any]] = []
-    deliver = cluster.deliver_report
+    deliver = cluster.deliver_heartbeat
 
     def delivering(name: str, body: Any) -> Any:
         reply = deliver(name, body)
@@ -166,7 +166,7 @@
             answers.append(reply.body)
         return reply
 
-    cluster.deliver_report = delivering  # type: ignore[method-assign]
+    cluster.deliver_heartbeat = delivering  # type: ignore[method-assign]
     cluster.holds.append(Hold(cluster.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
     cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -183,7 +183,7 @@
     leader = cluster.leader()
     cluster.kill(leader, 0.2)
     for machine in cluster.cloud.machines.values():
-        cluster.clock.callLater(0.8, machine.send_report)
+        cluster.clock.callLater(0.8, machine.send_heartbeat)
         machine.target = leader
     cluster.run(6)
     assert cluster.leader() is not None
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -76,7 +76,7 @@
     cluster.run(30)
     term = cluster.nodes[cluster.leader()].leader
     machine = next(m for m in cluster.cloud.machines.values() if m.up)
-    late = messages.parse_heartbeat(machine.report())
+    late = messages.parse_heartbeat(machine.heartbeat())
     cluster.cloud.machines.pop(machine.name).die()
     cluster.run(20)
     assert machine.name in term.releaser.released
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -256,18 +256,24 @@
         cluster.checker.infeasible_jobs.add(body["nameId"])
         cluster.jobs[body["nameId"]] = body
         for name in cluster.names:
-            cluster.clock.callLater(0.1 * number, cluster._look, name, cluster._submission(body), body["nameId"])
+            cluster.clock.callLater(
+                0.1 * number, cluster._request_once, name, cluster._submit_request(body), body["nameId"]
+            )
     for job in list(cluster.jobs)[:12]:
         if job not in cluster.checker.infeasible_jobs:
             for name in cluster.names:
-                cluster.clock.callLater(0.3, cluster._look, name, cluster._submission(cluster.jobs[job]), job)
+                cluster.clock.callLater(
+                    0.3, cluster._request_once, name, cluster._submit_request(cluster.jobs[job]), job
+                )
 
 
 def many_questions(cluster: SimulatedCluster) -> None:
     """Users ask fifty times as often, for a minute."""
     for number in range(2400):
         job = cluster.random.choice(list(cluster.jobs))
-        cluster.clock.callLater(number / 40, cluster._look, cluster.names[number % 3], cluster._question(job), job)
+        cluster.clock.callLater(
+            number / 40, cluster._request_once, cluster.names[number % 3], cluster._status_request(job), job
+        )
 
 
 # -- the gap: a leader refused alone, cancellations confirmed by others, then an outage for all ----------------
@@ -598,7 +604,9 @@
     cluster.checker.observe_status = note  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
-        cluster.clock.callLater(number / 200, cluster._look, cluster.names[number % 3], cluster._question(job), job)
+        cluster.clock.callLater(
+            number / 200, cluster._request_once, cluster.names[number % 3], cluster._status_request(job), job
+        )
     cluster.run(11)
     assert len(answers) >= 0.99 * 2000
     assert cluster.state.refused_rates == 0
@@ -653,7 +661,7 @@
     long_jobs(cluster)
     cluster.run(40)
     machine = next(iter(cluster.checker.machine_by_task.values()))
-    old = [machine.report() for _ in range(2)]
+    old = [machine.heartbeat() for _ in range(2)]
     for name in cluster.names:
         cluster.cut(name, machine.name, 90.0)
     cluster.kill(cluster.leader(), None)
@@ -661,7 +669,7 @@
     leader = cluster.leader()
     term = cluster.nodes[leader].leader
     for body in old:
-        assert cluster.deliver_report(leader, body).status == 200
+        assert cluster.deliver_heartbeat(leader, body).status == 200
     known = term.cluster.machines[machine.name]
     assert known.placements
     assert not known.claimed
@@ -683,7 +691,7 @@
         cluster.cut(machine.name, name, 90.0)
     known.lease_renewed_at = cluster.now - 11.9
     machine.epoch += 1
-    term.heartbeats.process(messages.parse_heartbeat(machine.report()))
+    term.heartbeats.process(messages.parse_heartbeat(machine.heartbeat()))
     assert not term.worker_leases.has_expired(known, cluster.now + 12.0)
     assert term.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
 
@@ -704,10 +712,10 @@
     cluster.kill(cluster.leader(), None)
     cluster.run(4)
     leader = cluster.leader()
-    assert cluster.deliver_report(leader, machine.report()).status == 503
+    assert cluster.deliver_heartbeat(leader, machine.heartbeat()).status == 503
     cluster.state.handle = scan  # type: ignore[method-assign]
     cluster.run(2)
-    answer = cluster.deliver_report(leader, machine.report())
+    answer = cluster.deliver_heartbeat(leader, machine.heartbeat())
     assert answer.status == 200
     assert answer.body["baton"] == cluster.nodes[leader].leader.tokens.first
 
@@ -731,7 +739,7 @@
     term.watch.on_change(job, None, cluster.state.revision)
     assert term.cluster.jobs[job].reload_pending
     assert not term.cluster.machines[machine.name].claimed
-    told = cluster.deliver_report(leader, machine.report()).body["orders"]
+    told = cluster.deliver_heartbeat(leader, machine.heartbeat()).body["orders"]
     assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
         name for name, on in cluster.checker.machine_by_task.items() if on is machine and name.startswith(job)
     }
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -444,7 +444,7 @@
     cluster.inbound_blocked[name] = cluster.now + 11.0
     for seconds in (5.0, 10.0):
         cluster.clock.callLater(
-            seconds, lambda: cluster.deliver_report(cluster.leader(), cluster.all_machines[name].report())
+            seconds, lambda: cluster.deliver_heartbeat(cluster.leader(), cluster.all_machines[name].heartbeat())
         )
     cluster.run(10.5)
     assert cluster.now - machine.last_heartbeat_at < term.timeouts.heartbeat_overdue_s
@@ -462,8 +462,8 @@
     leader = cluster.leader()
     term = cluster.nodes[leader].leader
     name = next(m.name for m in cluster.cloud.machines.values() if m.up)
-    body = cluster.all_machines[name].report()
-    cluster.deliver_report(leader, body)
+    body = cluster.all_machines[name].heartbeat()
+    cluster.deliver_heartbeat(leader, body)
     machine = term.cluster.machines[name]
     cluster.cut(name, leader, 20.0)
     cluster.run(3.0)
@@ -475,7 +475,7 @@
         machine.sequence,
     )
     # The worker would accept an answer with our token as one that renews its lease.
-    assert cluster.deliver_report(leader, body).body == {"baton": 0, "orders": []}
+    assert cluster.deliver_heartbeat(leader, body).body == {"baton": 0, "orders": []}
     assert (
         machine.last_heartbeat_at,
         machine.lease_renewed_at,
@@ -484,7 +484,7 @@
         machine.sequence,
     ) == before
     peer = next(n for n in cluster.names if n != leader)
-    cluster.deliver_report(peer, body)
+    cluster.deliver_heartbeat(peer, body)
     seen = tuple(cluster.nodes[peer].administration.view().machines[name])
     assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -158,10 +158,10 @@
     """What a user asks a controller, with its answer traced."""
 
     def __init__(self, cluster: "TracedCluster", ask: Callable[[Any], Any], job: str) -> None:
-        self._cluster, self._ask, self._job = cluster, ask, job
+        self._cluster, self._request, self._job = cluster, ask, job
 
     def __call__(self, node: Any) -> Any:
-        asked: defer.Deferred[Any] = defer.ensureDeferred(self._ask(node))
+        asked: defer.Deferred[Any] = defer.ensureDeferred(self._request(node))
         return asked.addCallbacks(self._answered, self._refused)
 
     def _answered(self, answer: Any) -> Any:
@@ -186,20 +186,20 @@
         super().__init__(**options)
         self.state.changes = StoredChanges(self)
 
-    def deliver_report(self, name: str, body: Any) -> Reply:
-        reply = super().deliver_report(name, body)
+    def deliver_heartbeat(self, name: str, body: Any) -> Reply:
+        reply = super().deliver_heartbeat(name, body)
         self.trace.add("heartbeat", self.now, name, body, reply.status, reply.body)
         return reply
 
-    def copy_report(self, name: str, body: Any) -> None:
+    def deliver_duplicate(self, name: str, body: Any) -> None:
         self.trace.add("copy", self.now, name, body)
-        super().copy_report(name, body)
+        super().deliver_duplicate(name, body)
 
-    def _ask(self, ask: Callable[[Any], Any], told: Callable[[str, Any], None], job: str) -> None:
-        super()._ask(self._traced(ask, job), told, job)
+    def _request(self, ask: Callable[[Any], Any], told: Callable[[str, Any], None], job: str) -> None:
+        super()._request(self._traced(ask, job), told, job)
 
-    def _look(self, name: str, ask: Callable[[Any], Any], job: str) -> None:
-        super()._look(name, self._traced(ask, job), job)
+    def _request_once(self, name: str, ask: Callable[[Any], Any], job: str) -> None:
+        super()._request_once(name, self._traced(ask, job), job)
 
     def _traced(self, ask: Callable[[Any], Any], job: str) -> TracedQuestion:
         return ask if isinstance(ask, TracedQuestion) else TracedQuestion(self, ask, job)
