--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -13,7 +13,7 @@
 
 from stileloft.leadership.invariants import InvariantMonitor
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.network import Hold
+from tests.simulation.network import MessageDelay
 
 Fault = Callable[[SimulatedCluster], None]
 LONG_JOBS, SMALL_JOBS = 9, 4
@@ -32,7 +32,9 @@
 
     faults: tuple[tuple[float, Fault], ...] = ()
     """Seconds after the small jobs are submitted, and what happens then."""
-    hold: Callable[[SimulatedCluster], Hold] = lambda cluster: Hold(cluster.now + 6.0, 45.0, 80.0, verb="launch")
+    hold: Callable[[SimulatedCluster], MessageDelay] = lambda cluster: MessageDelay(
+        cluster.now + 6.0, 45.0, 80.0, verb="launch"
+    )
     small: dict[str, Any] = field(default_factory=dict)
     """What the small jobs have instead of the usual."""
     loses_tasks: bool = False
@@ -75,9 +77,9 @@
     return [job["nameId"] for job in jobs]
 
 
-def hold_and_cancel(cluster: SimulatedCluster, least_s: float = 45.0, most_s: float = 60.0) -> list[str]:
+def hold_and_cancel(cluster: SimulatedCluster, min_s: float = 45.0, max_s: float = 60.0) -> list[str]:
     """Small jobs whose starts are held, and which are then cancelled."""
-    cluster.holds.append(Hold(cluster.now + 6.0, least_s, most_s, verb="launch"))
+    cluster.message_delays.append(MessageDelay(cluster.now + 6.0, min_s, max_s, verb="launch"))
     jobs = submit_small_jobs(cluster)
     cluster.run(CANCEL_AT_S)
     for job in jobs:
@@ -96,7 +98,7 @@
 def play(scenario: Scenario, seed: int) -> tuple[SimulatedCluster, Outcome]:
     """A day with a scenario."""
     cluster = busy_cluster(seed)
-    cluster.holds.append(scenario.hold(cluster))
+    cluster.message_delays.append(scenario.hold(cluster))
     for after_s, fault in scenario.faults:
         cluster.clock.callLater(after_s, fault, cluster)
     jobs = submit_small_jobs(cluster, scenario.small)
@@ -190,7 +192,7 @@
     def start(cluster: SimulatedCluster) -> None:
         for machine in up(cluster)[::2]:
             for name in cluster.names:
-                cluster.cut(name, machine.name, seconds, hold=True)
+                cluster.partition(name, machine.name, seconds, hold=True)
 
     return start
 
@@ -228,9 +230,9 @@
     return start
 
 
-def hold_all(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[SimulatedCluster], Hold]:
+def hold_all(min_s: float, max_s: float, spell_s: float, **more: Any) -> Callable[[SimulatedCluster], MessageDelay]:
     """Messages sent during a spell are held for between so many seconds; `more` picks which."""
-    return lambda cluster: Hold(cluster.now + spell_s, least_s, most_s, **more)
+    return lambda cluster: MessageDelay(cluster.now + spell_s, min_s, max_s, **more)
 
 
 SCENARIOS: dict[str, Scenario] = {
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -80,7 +80,7 @@
         keep = self.keep()
         connections = cluster.connections[self.name]
         connections[address] = math.inf
-        held = cluster.held_for(target, sent) if target in cluster.all_machines else (0.0, 0.0)
+        held = cluster.message_delay_s(target, sent) if target in cluster.all_machines else (0.0, 0.0)
         waiting = cluster.send(self.name, target, work, held)
         timer = cluster.clock.callLater(timeout_s, cluster.run_in_process, self.name, waiting.cancel)
         try:
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -11,13 +11,13 @@
 
 
 @dataclass(frozen=True)
-class Hold:
+class MessageDelay:
     """A spell in which direct commands to machines, or their answers, stay on their way for long."""
 
     until: float
     """Simulated time at which the spell ends; what is held by then stays held."""
-    least_s: float
-    most_s: float
+    min_s: float
+    max_s: float
     share: float = 1.0
     """The part of the messages that is held."""
     verb: str | None = None
@@ -27,7 +27,7 @@
     answers: bool = False
     """The command is executed in time, and its answer is held."""
 
-    def concerns(self, now: float, target: str, body: Any) -> bool:
+    def applies_to(self, now: float, target: str, body: Any) -> bool:
         """Whether a message to a machine is one of those that may be held."""
         orders = body.get("orders", ()) if isinstance(body, dict) else ()
         return (
@@ -42,28 +42,28 @@
 
     def init_network(self) -> None:
         """Before any message is sent."""
-        self.cuts: dict[frozenset[str], tuple[float, bool]] = {}
-        self.held: list[tuple[frozenset[str], Callable[[], None]]] = []
+        self.partitions: dict[frozenset[str], tuple[float, bool]] = {}
+        self.queued_messages: list[tuple[frozenset[str], Callable[[], None]]] = []
         """Messages that wait for the end of a cut."""
-        self.holds: list[Hold] = []
+        self.message_delays: list[MessageDelay] = []
         """Spells in which direct commands are held up; the first that concerns a message counts."""
 
-    def held_for(self, target: str, body: Any) -> tuple[float, float]:
+    def message_delay_s(self, target: str, body: Any) -> tuple[float, float]:
         """For how many seconds a message to a machine, and its answer, are held up."""
-        for hold in self.holds:
-            if hold.concerns(self.now, target, body) and self.random.random() < hold.share:
-                seconds = self.random.uniform(hold.least_s, hold.most_s)
+        for hold in self.message_delays:
+            if hold.applies_to(self.now, target, body) and self.random.random() < hold.share:
+                seconds = self.random.uniform(hold.min_s, hold.max_s)
                 return (0.0, seconds) if hold.answers else (seconds, 0.0)
         return 0.0, 0.0
 
-    def cut(self, one: str, other: str, seconds: float, hold: bool = False) -> None:
+    def partition(self, one: str, other: str, seconds: float, hold: bool = False) -> None:
         """No packets between two hosts; with `hold` they arrive when the cut ends."""
         pair = frozenset((one, other))
-        self.cuts[pair] = self.now + seconds, hold
+        self.partitions[pair] = self.now + seconds, hold
 
         def heal() -> None:
-            late = [deliver for where, deliver in self.held if where == pair]
-            self.held = [item for item in self.held if item[0] != pair]
+            late = [deliver for where, deliver in self.queued_messages if where == pair]
+            self.queued_messages = [item for item in self.queued_messages if item[0] != pair]
             for deliver in late:
                 deliver()
 
@@ -82,7 +82,7 @@
         def back(result: Any) -> None:
             if self.inbound_blocked.get(source, 0.0) > self.now:
                 return
-            if self.cut_now(pair) or self.random.random() < self.loss:
+            if self.active_partition(pair) or self.random.random() < self.loss:
                 return
             self.clock.callLater(self.delay() + held[1], fire, result)
 
@@ -116,10 +116,10 @@
             with contextlib.suppress(ConnectionFailedError, NoResponseError):
                 work()
 
-        cut = self.cut_now(pair)
+        cut = self.active_partition(pair)
         if cut is not None:
             if cut:
-                self.held.append((pair, arrive))
+                self.queued_messages.append((pair, arrive))
             return answered
         draw = self.random.random()
         if draw < self.loss:
@@ -136,9 +136,9 @@
             self.clock.callLater(self.random.uniform(1.0, 40.0), repeat)
         return answered
 
-    def cut_now(self, pair: frozenset[str]) -> bool | None:
+    def active_partition(self, pair: frozenset[str]) -> bool | None:
         """None without a cut, else whether it holds packets back."""
-        until, hold = self.cuts.get(pair, (0.0, False))
+        until, hold = self.partitions.get(pair, (0.0, False))
         return hold if self.now < until else None
 
     def delay(self) -> float:
--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.network import Hold
+from tests.simulation.network import MessageDelay
 from tests.test_rules import finish
 
 VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
@@ -32,8 +32,8 @@
     @rule(verb=VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
     def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
         now = self.cluster.now
-        self.cluster.holds = [hold for hold in self.cluster.holds if hold.until > now]
-        self.cluster.holds.append(Hold(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
+        self.cluster.message_delays = [hold for hold in self.cluster.message_delays if hold.until > now]
+        self.cluster.message_delays.append(MessageDelay(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
 
     @rule(which=st.integers(0, 2), back_s=st.floats(0.2, 5.0))
     def kill(self, which: int, back_s: float) -> None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -27,7 +27,7 @@
 from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
 from tests.held_starts import busy_cluster, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.network import Hold
+from tests.simulation.network import MessageDelay
 from tests.soak.cluster import COUNTED
 from tests.versions import NEW, production
 
@@ -156,7 +156,7 @@
     fullest = max(cluster.cloud.machines.values(), key=lambda machine: len(machine.tasks))
     assert len(fullest.tasks) > MAX_COMMANDS_PER_ANSWER
     leader = cluster.leader()
-    cluster.cut(leader, fullest.name, 0.0)
+    cluster.partition(leader, fullest.name, 0.0)
     answers: list[dict[str, Any]] = []
     deliver = cluster.deliver_heartbeat
 
@@ -167,7 +167,8 @@
         return reply
 
     cluster.deliver_heartbeat = delivering  # type: ignore[method-assign]
-    cluster.holds.append(Hold(cluster.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
+    # Direct commands don't come through at first.
+    cluster.message_delays.append(MessageDelay(cluster.now + 7.0, 60.0, 60.0))
     cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
         run_watched(cluster, cluster.CANCEL_S + 20.0)
@@ -326,7 +327,7 @@
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
     cluster = busy_cluster(35)
-    cluster.holds.append(Hold(cluster.now + 3.0, 45.0, 45.0, verb="launch"))
+    cluster.message_delays.append(MessageDelay(cluster.now + 3.0, 45.0, 45.0, verb="launch"))
     submit_small_jobs(cluster)
     cluster.run(7)
     shown = leading(cluster).status()["commands"]
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -60,7 +60,7 @@
     assert before is not None
     assert len(running) == 8
     for machine in cluster.cloud.machines:
-        cluster.cut(before, machine, 30.0, hold=True)
+        cluster.partition(before, machine, 30.0, hold=True)
     cluster.run(14)
     assert cluster.leader() not in (None, before)
     lost = len(running - set(cluster.checker.machine_by_task))
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -116,7 +116,7 @@
     def start(cluster: SimulatedCluster) -> None:
         for machine in some_machines(cluster, part):
             for name in cluster.names:
-                cluster.cut(name, machine.name, seconds, hold=True)
+                cluster.partition(name, machine.name, seconds, hold=True)
 
     return start
 
@@ -173,7 +173,7 @@
     def start(cluster: SimulatedCluster) -> None:
         name = cluster.leader() or "node-0"
         for other in ["state", *(n for n in cluster.names if n != name)]:
-            cluster.cut(name, other, seconds, hold=True)
+            cluster.partition(name, other, seconds, hold=True)
 
     return start
 
@@ -190,7 +190,7 @@
         ]
         for one in inside:
             for other in outside:
-                cluster.cut(one, other, seconds, hold=True)
+                cluster.partition(one, other, seconds, hold=True)
 
     return start
 
@@ -663,7 +663,7 @@
     machine = next(iter(cluster.checker.machine_by_task.values()))
     old = [machine.heartbeat() for _ in range(2)]
     for name in cluster.names:
-        cluster.cut(name, machine.name, 90.0)
+        cluster.partition(name, machine.name, 90.0)
     cluster.kill(cluster.leader(), None)
     cluster.run(4)
     leader = cluster.leader()
@@ -688,7 +688,7 @@
     term = cluster.nodes[cluster.leader()].leader
     known = term.cluster.machines[machine.name]
     for name in cluster.names:
-        cluster.cut(machine.name, name, 90.0)
+        cluster.partition(machine.name, name, 90.0)
     known.lease_renewed_at = cluster.now - 11.9
     machine.epoch += 1
     term.heartbeats.process(messages.parse_heartbeat(machine.heartbeat()))
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -96,7 +96,7 @@
 def machines_silent(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][::3]:
         for name in cluster.names:
-            cluster.cut(machine.name, name, 25.0)
+            cluster.partition(machine.name, name, 25.0)
     cluster.state.wipe()
 
 
@@ -111,14 +111,14 @@
     name = next(n for n in cluster.names if n != cluster.leader())
     for other in (*cluster.names, "state"):
         if other != name:
-            cluster.cut(name, other, 20.0)
+            cluster.partition(name, other, 20.0)
     cluster.state.wipe()
 
 
 def zone_cut(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.zone == "a"]:
         for name in cluster.names:
-            cluster.cut(machine.name, name, 22.0, hold=True)
+            cluster.partition(machine.name, name, 22.0, hold=True)
     cluster.state.wipe()
 
 
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -64,7 +64,7 @@
         machines = [machine for machine in self.cluster.cloud.machines.values() if machine.up]
         for machine in machines[which : which + 2]:
             for name in self.cluster.names:
-                self.cluster.cut(machine.name, name, seconds, hold=which % 2 == 0)
+                self.cluster.partition(machine.name, name, seconds, hold=which % 2 == 0)
 
     @rule(seconds=st.floats(0.5, 10.0))
     def outage(self, seconds: float) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -93,20 +93,20 @@
 
 
 def leader_cut_from_state(cluster: SimulatedCluster) -> None:
-    cluster.cut(cluster.leader() or "node-0", "state", 15.0, hold=True)
+    cluster.partition(cluster.leader() or "node-0", "state", 15.0, hold=True)
 
 
 def leader_cut_from_workers(cluster: SimulatedCluster) -> None:
     name = cluster.leader() or "node-0"
     for machine in list(cluster.cloud.machines):
-        cluster.cut(name, machine, 25.0, hold=True)
+        cluster.partition(name, machine, 25.0, hold=True)
 
 
 def leader_cut_from_most_workers(cluster: SimulatedCluster) -> None:
     """As in an incident at Bluebonnet: some machines are still heard, so the leader does not doubt itself."""
     name = cluster.leader() or "node-0"
     for machine in list(cluster.cloud.machines)[1:]:
-        cluster.cut(name, machine, 30.0, hold=True)
+        cluster.partition(name, machine, 30.0, hold=True)
 
 
 def spot_wave(cluster: SimulatedCluster) -> None:
@@ -143,7 +143,7 @@
 def machines_cut(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
         for name in cluster.names:
-            cluster.cut(name, machine.name, 10.0, hold=True)
+            cluster.partition(name, machine.name, 10.0, hold=True)
 
 
 def cloud_outage(cluster: SimulatedCluster) -> None:
@@ -172,7 +172,7 @@
     """No state service and no peers, but all workers; meanwhile users cancel with the others."""
     name = cluster.leader() or "node-0"
     for other in ["state", *(n for n in cluster.names if n != name)]:
-        cluster.cut(name, other, 60.0, hold=True)
+        cluster.partition(name, other, 60.0, hold=True)
 
 
 def zone_with_leader_cut_off(cluster: SimulatedCluster) -> None:
@@ -187,7 +187,7 @@
     ]
     for one in inside:
         for other in outside:
-            cluster.cut(one, other, 55.0, hold=True)
+            cluster.partition(one, other, 55.0, hold=True)
     cluster.cloud.down_until = cluster.now + 55.0
 
 
@@ -226,7 +226,7 @@
         machine.die()
     for machine in up[1::4]:
         for name in cluster.names:
-            cluster.cut(name, machine.name, 18.0, hold=True)
+            cluster.partition(name, machine.name, 18.0, hold=True)
     hang(15.0)(cluster)
     spot_wave(cluster)
 
@@ -465,7 +465,7 @@
     body = cluster.all_machines[name].heartbeat()
     cluster.deliver_heartbeat(leader, body)
     machine = term.cluster.machines[name]
-    cluster.cut(name, leader, 20.0)
+    cluster.partition(name, leader, 20.0)
     cluster.run(3.0)
     before = (
         machine.last_heartbeat_at,
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -32,7 +32,7 @@
 from tests.held_starts import cloud_out, freeze_leader
 from tests.simulation.clients import Connection
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.network import Hold
+from tests.simulation.network import MessageDelay
 from tests.test_gangs import gang, gang_load
 from tests.versions import NEW, production
 
@@ -46,12 +46,12 @@
 
 def hold_starts(cluster: SimulatedCluster) -> None:
     """Start commands stay on their way for longer than a cancellation may take."""
-    cluster.holds.append(Hold(cluster.now + 8.0, 20.0, 60.0, verb="launch"))
+    cluster.message_delays.append(MessageDelay(cluster.now + 8.0, 20.0, 60.0, verb="launch"))
 
 
 def hold_answers(cluster: SimulatedCluster) -> None:
     """Commands are executed in time, and their answers come late."""
-    cluster.holds.append(Hold(cluster.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
+    cluster.message_delays.append(MessageDelay(cluster.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
 
 
 FAULTS: tuple[Fault, ...] = (
