--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -132,7 +132,7 @@
     """The state service refuses the leader's requests for 14 s."""
     name = cluster.leader()
     if name is not None:
-        cluster.state.refuses[name] = cluster.now + 14.0
+        cluster.state.refused_until[name] = cluster.now + 14.0
 
 
 def store_out(cluster: SimulatedCluster) -> None:
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -165,12 +165,12 @@
         self.checker = RuleChecker(self)
         self.state = StateService(self)
         self.cloud = LoopbackCloud(self, capacity=8)
-        self.cloud.boot_s, self.cloud.never_up = 0.5, 0.0
+        self.cloud.boot_s, self.cloud.failed_boot_share = 0.5, 0.0
         self.to_cancel: set[str] = set()
         self.outcome = Outcome()
         self.wiped_at: float | None = None
         self.folder = Path(tempfile.mkdtemp())
-        self.state_port = self.listen(lambda method, path, body: self.state.ask("", method, path, body))
+        self.state_port = self.listen(lambda method, path, body: self.state.receive("", method, path, body))
         self.cloud_port = self.listen(lambda method, path, body: self.cloud.handle("", method, path, body))
         self.processes = {name: self.spawn(name) for name in self.names}
 
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -27,7 +27,7 @@
     return Reply(200, msgspec.to_builtins(peer.view()))
 
 
-class Connection:
+class SimulatedClient:
     """What a node has in place of the pooled client; bodies go through the real encoding."""
 
     def __init__(
@@ -61,7 +61,7 @@
 
         def work() -> Any:
             if target == "state":
-                return cluster.state.ask(self.name, method, path, sent)
+                return cluster.state.receive(self.name, method, path, sent)
             if target == "cloud":
                 return cluster.cloud.handle(self.name, method, path, sent)
             if target in cluster.names:
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stileloft.transport.client import Reply
-from tests.simulation.deployment import TYPES
+from tests.simulation.deployment import MACHINE_TYPES
 from tests.simulation.workers import Machine
 
 if TYPE_CHECKING:
@@ -13,18 +13,18 @@
 
 LIST_LAG_S = 5.0
 # The oldest list that is shown, in lags.
-OLDEST_LIST = 3.0
-MOST_LISTED = 500
-MOST_RENTED = 50
+MAX_LIST_LAGS = 3.0
+MAX_LISTED = 500
+MAX_RENTED = 50
 
 
 class Cloud:
     def __init__(self, cluster: "SimulatedCluster", capacity: int) -> None:
         self.cluster = cluster
         self.capacity = capacity
-        self.most = 1000
+        self.max_machines = 1000
         """Machines of all kinds together."""
-        self.kinds = {kind["label"] for kind in TYPES}
+        self.available_types = {kind["label"] for kind in MACHINE_TYPES}
         """Types of which there are any."""
         self.machines: dict[str, Machine] = {}
         self.requests: dict[str, list[str]] = {}
@@ -32,19 +32,19 @@
         self.rps = 8.0
         self._allowed = (2 * self.rps, 0.0)
         """What is left of the burst of requests, and when that was counted."""
-        self.refused_rates = 0
+        self.throttled_requests = 0
         self.down_until = 0.0
         self.boot_s = 15.0
-        self.never_up = 0.03
+        self.failed_boot_share = 0.03
         """The share of machines that never come up."""
-        self.boots_until = 0.0
-        self.boots = (0.0, 0.0, 0.0)
+        self.boot_faults_until = 0.0
+        self.boot_faults = (0.0, 0.0, 0.0)
         """Until then: the share of machines that never come up, that of late ones, and how long a boot takes."""
         self.loop()
 
     def loop(self) -> None:
         self.cluster.clock.callLater(1.0, self.loop)
-        del self.history[: -math.ceil(OLDEST_LIST * LIST_LAG_S)]
+        del self.history[: -math.ceil(MAX_LIST_LAGS * LIST_LAG_S)]
         self.history.append(
             (
                 self.cluster.now,
@@ -67,10 +67,10 @@
         if self.cluster.now < self.down_until:
             return Reply(503, {"error": "trouble"})
         if not self._within_rate():
-            self.refused_rates += 1
+            self.throttled_requests += 1
             return Reply(429, {"error": "too many"})
         if path == "/machine_types":
-            return Reply(200, {"builds": TYPES})
+            return Reply(200, {"builds": MACHINE_TYPES})
         if path == "/hosts/release":
             for name in body["hosts"]:
                 machine = self.machines.pop(name, None)
@@ -85,7 +85,7 @@
         """A page of the list, as it was a while ago."""
         lag = LIST_LAG_S * self.cluster.random.uniform(0.5, 2.0)
         shown = [listed for at, listed in self.history if at <= self.cluster.now - lag]
-        since, limit = arguments.get("since", ""), min(MOST_LISTED, int(arguments.get("limit", MOST_LISTED)))
+        since, limit = arguments.get("since", ""), min(MAX_LISTED, int(arguments.get("limit", MAX_LISTED)))
         following = [item for item in (shown[-1] if shown else []) if item["nameId"] > since]
         return Reply(200, {"hosts": following[:limit], "more": len(following) > limit})
 
@@ -100,12 +100,12 @@
     def rent(self, body: Any) -> Reply:
         if body["hire"] in self.requests:
             return Reply(200, {"hosts": self.requests[body["hire"]]})
-        kind = next(k for k in TYPES if k["label"] == body["build"])
+        kind = next(k for k in MACHINE_TYPES if k["label"] == body["build"])
         present = [
             m for m in self.machines.values() if (m.kind, m.zone, m.spot) == (kind, body["yard"], body["loaner"])
         ]
-        count = min(body["count"], MOST_RENTED, self.capacity - len(present), self.most - len(self.machines))
-        if count <= 0 or kind["label"] not in self.kinds:
+        count = min(body["count"], MAX_RENTED, self.capacity - len(present), self.max_machines - len(self.machines))
+        if count <= 0 or kind["label"] not in self.available_types:
             return Reply(503, {"error": "no capacity"})
         names = [self.add(kind, body["yard"], body["loaner"]).name for _ in range(count)]
         self.requests[body["hire"]] = names
@@ -121,13 +121,13 @@
         self.cluster.all_machines[name] = machine
         draw = self.cluster.random.random()
         boot_s = self.boot_s * self.cluster.random.uniform(0.6, 1.5)
-        if self.cluster.now < self.boots_until:
-            never, late, self_made = self.boots
+        if self.cluster.now < self.boot_faults_until:
+            never, late, self_made = self.boot_faults
             boot_s = self_made or boot_s
             if draw < never:
                 return machine
             if draw < never + late:
                 boot_s *= 6
-        if draw > self.never_up:
+        if draw > self.failed_boot_share:
             self.cluster.clock.callLater(boot_s, machine.boot)
         return machine
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -11,7 +11,7 @@
 from stileloft.protocol import messages
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import ConnectionFailedError, NoResponseError, Reply
-from tests.simulation.clients import Connection
+from tests.simulation.clients import SimulatedClient
 from tests.simulation.deployment import SETTINGS
 from tests.simulation.gangs import Gang
 from tests.simulation.processes import Process
@@ -24,7 +24,7 @@
 class Controllers:
     """The part of the world that runs nodes."""
 
-    CONNECTION = Connection
+    CLIENT_CLASS = SimulatedClient
     """What nodes have in place of the pooled HTTP client."""
 
     def init_connections(self) -> None:
@@ -66,7 +66,7 @@
             process,
             version.parse_settings(self.settings(name)),
             lambda: self.now + 1000.0,
-            lambda *_, **options: self.CONNECTION(self, name, number, **options),
+            lambda *_, **options: self.CLIENT_CLASS(self, name, number, **options),
             **({"features": self.features[name]} if version is NEW and self.features[name] else {}),
         )
         node.in_thread = lambda function, *arguments: defer.maybeDeferred(function, *arguments)  # type: ignore
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -57,7 +57,7 @@
 max_sockets = 200
 """
 
-TYPES = [
+MACHINE_TYPES = [
     {
         "label": "small",
         "vcpus": 8,
--- a/tests/simulation/fleet.py
+++ b/tests/simulation/fleet.py
@@ -3,7 +3,7 @@
 from stileloft.features import Features
 from stileloft.model import records
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.deployment import TYPES, with_settings
+from tests.simulation.deployment import MACHINE_TYPES, with_settings
 
 JOBS, TASKS = 20, 100
 
@@ -19,12 +19,12 @@
         """`booted`: whether the machines are up; else they are only to be found in the cloud's list."""
         super().__init__(seed, capacity=machines, loss=0.0, features=features)
         self.max_sockets = self.SOCKETS
-        self.cloud.most = 2 * machines
+        self.cloud.max_machines = 2 * machines
         # Operators who keep idle machines, or all of them would be returned before there is work.
         self.state.items[records.SETTINGS] = {"keep_idle_boots": 100.0}, 1, None
         self.state.revision = 1
         for number in range(machines):
-            machine = self.cloud.add(TYPES[0], "ab"[number % 2], True)
+            machine = self.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
             if booted and not machine.up:
                 # They would else all report at the same moments.
                 self.clock.callLater(self.random.uniform(0.0, self.REPORT_S), machine.boot_once)
--- a/tests/simulation/state_service.py
+++ b/tests/simulation/state_service.py
@@ -12,9 +12,9 @@
 
 
 # What an answer holds at the most, and how many changes are kept for watches.
-MOST_ITEMS = 1000
-MOST_BYTES = 512 * 1024
-MOST_CHANGES = 10_000
+MAX_ITEMS = 1000
+MAX_BYTES = 512 * 1024
+MAX_CHANGES = 10_000
 
 
 class StateService:
@@ -30,18 +30,18 @@
         self.compacted = 0
         """Changes up to this revision are no longer known."""
         self.down_until = 0.0
-        self.refuses: dict[str, float] = {}
+        self.refused_until: dict[str, float] = {}
         self.value_bytes = int(cluster.value_kb * 1024)
         self.txn_ops = 12
-        self.refused_sizes = 0
+        self.oversized_requests = 0
         self.rps, self.write_rps = 200.0, 60.0
         self.allowed = {"requests": (self.rps, 0.0), "changes": (self.write_rps, 0.0)}
         """What is left of each limit's burst, and when that was counted."""
-        self.refused_rates = 0
+        self.throttled_requests = 0
         self.late_writes = (0.0, 0.0, False)
         """Until when, of which share of the transactions the answer is lost, and whether they are carried out at once;
         else they are 2 s to 12 s later."""
-        self.slow = (0.0, 0.0)
+        self.slow_responses = (0.0, 0.0)
         """Until when answers take up to how long; what they say is read at the start or at the end of that."""
         cluster.clock.callLater(0.05, self.expire)
 
@@ -52,7 +52,7 @@
         self.allowed[limit] = left - amount * taken, self.cluster.now
         return taken
 
-    def ask(self, caller: str, method: str, path: str, body: Any) -> Any:
+    def receive(self, caller: str, method: str, path: str, body: Any) -> Any:
         """A request as it comes from the network, with the troubles of the service."""
         cluster = self.cluster
         until, share, at_once = self.late_writes
@@ -62,7 +62,7 @@
             else:
                 cluster.clock.callLater(cluster.random.uniform(2.0, 12.0), self.handle, caller, method, path, body)
             raise NoResponseError("the answer is lost")
-        until, longest = self.slow
+        until, longest = self.slow_responses
         if cluster.now >= until:
             return self.handle(caller, method, path, body)
         answered: defer.Deferred = defer.Deferred()
@@ -78,7 +78,7 @@
 
     def down_for(self, caller: str) -> bool:
         now = self.cluster.now
-        return now < self.down_until or now < self.refuses.get(caller, 0.0)
+        return now < self.down_until or now < self.refused_until.get(caller, 0.0)
 
     def outage(self, seconds: float) -> None:
         self.down_until = self.cluster.now + seconds
@@ -93,7 +93,7 @@
         """All records and leases are gone; revisions begin again, unless the service keeps counting."""
         self.restore({}, self.revision if keeps_counting else 0)
 
-    def copy(self) -> tuple[dict[str, tuple[Any, int, int | None]], int]:
+    def backup(self) -> tuple[dict[str, tuple[Any, int, int | None]], int]:
         """The present state, for `restore`."""
         return dict(self.items), self.revision
 
@@ -128,7 +128,7 @@
             return Reply(503, {"error": "trouble"})
         changes = len(body["writes"]) if path == "/commit" else 0
         if not self.within("requests", self.rps, 1) or not self.within("changes", self.write_rps, changes):
-            self.refused_rates += 1
+            self.throttled_requests += 1
             return Reply(429, {"error": "too many"})
         path, _, query = path.partition("?")
         arguments = dict(part.split("=", 1) for part in query.split("&") if part)
@@ -139,7 +139,7 @@
             return Reply(200, {"path": path[4:], "v": item[0], "stamp": item[1], "hold": item[2]})
         if path == "/kv":
             since, limit = arguments.get("since", ""), int(arguments.get("limit", 1000))
-            return self.page(arguments["under"], since, min(limit, MOST_ITEMS))
+            return self.page(arguments["under"], since, min(limit, MAX_ITEMS))
         if path == "/commit":
             return self.commit(body)
         if path == "/holds":
@@ -167,18 +167,18 @@
         for key in keys[:limit]:
             value, version, _ = self.items[key]
             size += len(json.dumps(value)) + len(key)
-            if pairs and size > MOST_BYTES:
+            if pairs and size > MAX_BYTES:
                 break
             pairs.append({"path": key, "v": value, "stamp": version})
         return Reply(200, {"pairs": pairs, "more": len(keys) > len(pairs), "epoch": self.revision})
 
     def commit(self, body: Any) -> Reply:
         if len(body["writes"]) > self.txn_ops or len(body["guards"]) > 4 * self.txn_ops:
-            self.refused_sizes += 1
+            self.oversized_requests += 1
             return Reply(400, {"error": "too many operations"})
         for write in body["writes"]:
             if len(json.dumps(write.get("v"))) > self.value_bytes:
-                self.refused_sizes += 1
+                self.oversized_requests += 1
                 return Reply(400, {"error": f"the value of {write.get('set')} is too large"})
             if write.get("hold") is not None and write["hold"] not in self.leases:
                 return Reply(400, {"error": "no such lease"})
@@ -196,9 +196,9 @@
 
     def watch(self, caller: str, arguments: dict[str, str]) -> defer.Deferred:
         since, prefix = int(arguments["since"]), arguments["under"]
-        if len(self.changes) > MOST_CHANGES:
-            self.compacted = self.changes[-MOST_CHANGES - 1][2]
-            del self.changes[:-MOST_CHANGES]
+        if len(self.changes) > MAX_CHANGES:
+            self.compacted = self.changes[-MAX_CHANGES - 1][2]
+            del self.changes[:-MAX_CHANGES]
         if since < self.compacted:
             answer: defer.Deferred = defer.succeed(Reply(410, {"epoch": self.revision}))
             return answer
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -15,7 +15,7 @@
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 from tests.loopback_cluster import LOCAL, LoopbackCloud, LoopbackCluster, LoopbackMachine
-from tests.simulation.deployment import TYPES, with_settings
+from tests.simulation.deployment import MACHINE_TYPES, with_settings
 from tests.simulation.workers import Machine
 from tests.soak.links import Fault, Links
 from tests.soak.plan import Plan, Trouble
@@ -125,7 +125,7 @@
 
     def _make_cloud(self) -> SoakCloud:
         cloud = SoakCloud(self, capacity=max(8, self.plan.machines))
-        cloud.boot_s, cloud.never_up = 0.5, 0.0
+        cloud.boot_s, cloud.failed_boot_share = 0.5, 0.0
         return cloud
 
     # -- addresses: a port for each link, so that it is known who asks
@@ -142,7 +142,7 @@
         return f"{LOCAL}:{port}"
 
     def state_address(self, name: str) -> str:
-        return self._link(name, "state", lambda method, path, body: self.state.ask(name, method, path, body))
+        return self._link(name, "state", lambda method, path, body: self.state.receive(name, method, path, body))
 
     def cloud_address(self, name: str) -> str:
         return self._link(name, "cloud", lambda method, path, body: self.cloud.handle(name, method, path, body))
@@ -169,7 +169,7 @@
             reactor.callLater(0.1, self.begin)
             return
         for number in range(self.plan.machines):
-            machine = self.cloud.add(TYPES[0], "ab"[number % 2], True)
+            machine = self.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
             reactor.callLater(self.random.uniform(0.0, self.REPORT_S), machine.boot_once)
         self.began_at = self.now
         for number in range(int(self.plan.troubles_s / SUBMIT_S)):
@@ -363,13 +363,13 @@
     def _refuse_leader(self, trouble: Trouble) -> None:
         name = self.leader()
         if name is not None:
-            self.state.refuses[name] = self.now + trouble.for_s
+            self.state.refused_until[name] = self.now + trouble.for_s
 
     def _store_out(self, trouble: Trouble) -> None:
         self.state.outage(trouble.for_s)
 
     def _store_slow(self, trouble: Trouble) -> None:
-        self.state.slow = self.now + trouble.for_s, trouble.most_s
+        self.state.slow_responses = self.now + trouble.for_s, trouble.most_s
 
     def _writes_lost(self, trouble: Trouble) -> None:
         self.state.late_writes = self.now + trouble.for_s, trouble.share, self.random.random() < 0.5
--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -51,7 +51,7 @@
     def refuse_leader(self, seconds: float) -> None:
         name = self.cluster.leader()
         if name is not None:
-            self.cluster.state.refuses[name] = self.cluster.now + seconds
+            self.cluster.state.refused_until[name] = self.cluster.now + seconds
 
     @rule(seconds=st.floats(0.5, 10.0), share=st.floats(0.1, 0.6))
     def late_writes(self, seconds: float, share: float) -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -31,7 +31,7 @@
     cluster.checker.check_cancelled()
     assert cluster.checker.violations == []
     assert finished_jobs(cluster) == JOBS
-    assert cluster.cloud.refused_rates == 0
+    assert cluster.cloud.throttled_requests == 0
 
 
 @pytest.mark.parametrize("keeps", [False, True])
@@ -94,7 +94,7 @@
     cluster = FleetCluster(4, 6000, booted=False)
     cluster.run(20)
     assert len(cluster.nodes[cluster.leader()].leader.cluster.machines) >= 6000
-    assert cluster.cloud.refused_rates == 0
+    assert cluster.cloud.throttled_requests == 0
 
 
 def test_rentals_of_more_than_a_request_holds_are_made_in_several() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -222,8 +222,8 @@
 def test_a_stopped_gang_saves_together_and_goes_on_from_there() -> None:
     """All are told at once: more pressing work takes its place, and nothing of its progress is lost."""
     cluster = SimulatedCluster(seed=41, loss=0.0)
-    cluster.cloud.most = 1
-    cluster.cloud.kinds = {"large"}
+    cluster.cloud.max_machines = 1
+    cluster.cloud.available_types = {"large"}
     cluster.submit(gang(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
     cluster.run_times["j-000001/0"] = 40.0
     cluster.run(45)
@@ -241,8 +241,8 @@
 def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
     """Room for seven of eight is room for none; small tasks that fill each hole do not keep it out for ever."""
     cluster = SimulatedCluster(seed=42, loss=0.0)
-    cluster.cloud.most = 1
-    cluster.cloud.kinds = {"large"}
+    cluster.cloud.max_machines = 1
+    cluster.cloud.available_types = {"large"}
     for number in range(90):
         cluster.clock.callLater(
             1.0 + 2.0 * number,
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -80,7 +80,7 @@
     leader = cluster.leader()
     assert leader is not None
     # The leader hears nothing of it, and ends before it could.
-    cluster.state.refuses[leader] = cluster.now + 60.0
+    cluster.state.refused_until[leader] = cluster.now + 60.0
     cluster.cancel("j-000001")
     while cluster.checker.last_phase.get("j-000001") != "aborted":
         cluster.run(0.1)
@@ -99,7 +99,7 @@
 
 def test_a_job_cancelled_before_it_is_placed_leaves_no_chunk() -> None:
     cluster = cluster_in_newest_format(103)
-    cluster.cloud.kinds.clear()  # there is nowhere to run
+    cluster.cloud.available_types.clear()  # there is nowhere to run
     cluster.submit(cluster.job(1, pieces=2))
     cluster.run(2)
     counted = count_changes(cluster)
@@ -199,14 +199,14 @@
     cluster.submit(cluster.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
     run_until_started(cluster, 40)
     assert cluster.state.items["active/j-000001"][0]["n"] > records.chunk_size(cluster.value_kb) > 20
-    ask, until = cluster.state.ask, cluster.now + 12.0
+    ask, until = cluster.state.receive, cluster.now + 12.0
 
     def asking(caller: str, method: str, path: str, body: Any) -> Any:
         if path == f"/kv/{records.FORMAT}" and cluster.now < until:
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    cluster.state.ask = asking  # type: ignore[method-assign]
+    cluster.state.receive = asking  # type: ignore[method-assign]
     for name in cluster.names:
         cluster.kill(name, 0.2)
     cluster.run(6)
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -47,7 +47,7 @@
 
 def stand_still_at_commits(cluster: SimulatedCluster) -> None:
     """The leader stands still just as its transactions are carried out: their answers wait, and others lead."""
-    leader, ask, left = cluster.leader(), cluster.state.ask, [4]
+    leader, ask, left = cluster.leader(), cluster.state.receive, [4]
 
     def asking(caller: str, method: str, path: str, body: object) -> object:
         answer = ask(caller, method, path, body)
@@ -56,7 +56,7 @@
             cluster.freeze(caller, 4.0)
         return answer
 
-    cluster.state.ask = asking  # type: ignore[method-assign]
+    cluster.state.receive = asking  # type: ignore[method-assign]
 
 
 def stand_still_while_deciding(cluster: SimulatedCluster) -> None:
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -10,7 +10,7 @@
 from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.transport.client import NoResponseError, Reply
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.deployment import TYPES
+from tests.simulation.deployment import MACHINE_TYPES
 from tests.simulation.workers import Machine
 from tests.test_rules import crash_leader, finish, hang_machines, load, spot_wave
 
@@ -42,7 +42,7 @@
 def refuse_leader(cluster: SimulatedCluster, seconds: float = 14.0) -> None:
     name = cluster.leader()
     if name is not None:
-        cluster.state.refuses[name] = cluster.now + seconds
+        cluster.state.refused_until[name] = cluster.now + seconds
 
 
 def watch_over_cancellations(cluster: SimulatedCluster, seconds: float) -> None:
@@ -58,7 +58,7 @@
 
 def slow_store(seconds: float, longest_s: float = 0.6) -> Trouble:
     def start(cluster: SimulatedCluster) -> None:
-        cluster.state.slow = cluster.now + seconds, longest_s
+        cluster.state.slow_responses = cluster.now + seconds, longest_s
 
     return start
 
@@ -93,7 +93,7 @@
 
 def boots(seconds: float, never: float, late: float, boot_s: float) -> Trouble:
     def start(cluster: SimulatedCluster) -> None:
-        cluster.cloud.boots_until, cluster.cloud.boots = cluster.now + seconds, (never, late, boot_s)
+        cluster.cloud.boot_faults_until, cluster.cloud.boot_faults = cluster.now + seconds, (never, late, boot_s)
 
     return start
 
@@ -352,14 +352,14 @@
     cluster = SimulatedCluster(seed=4, loss=0.0)
     long_jobs(cluster)
     cluster.run(40)
-    leader, ask = cluster.leader(), cluster.state.ask
+    leader, ask = cluster.leader(), cluster.state.receive
 
     def ask_but_watch(caller: str, method: str, path: str, body: object) -> object:
         if caller == leader and path.startswith("/watch?under=active/"):
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    cluster.state.ask = ask_but_watch  # type: ignore[method-assign]
+    cluster.state.receive = ask_but_watch  # type: ignore[method-assign]
     cluster.run(6)  # a watch that was open before has ended
     for number in range(4):
         cluster.cancel(f"j-{number:06d}")
@@ -589,7 +589,7 @@
     cluster = SimulatedCluster(seed=3, loss=0.0)
     load(cluster, jobs=12, every=0.5)
     cluster.run(20)
-    ask, asked, answers = cluster.state.ask, [0], []
+    ask, asked, answers = cluster.state.receive, [0], []
     told = cluster.checker.observe_status
 
     def count(caller: str, method: str, path: str, body: object) -> object:
@@ -600,7 +600,7 @@
         answers.append(job)
         told(job, answer, asked_at)
 
-    cluster.state.ask = count  # type: ignore[method-assign]
+    cluster.state.receive = count  # type: ignore[method-assign]
     cluster.checker.observe_status = note  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
@@ -609,7 +609,7 @@
         )
     cluster.run(11)
     assert len(answers) >= 0.99 * 2000
-    assert cluster.state.refused_rates == 0
+    assert cluster.state.throttled_requests == 0
     assert asked[0] < 11 * 0.75 * cluster.state.rps
     assert cluster.checker.violations == []
 
@@ -795,7 +795,7 @@
     checker = cluster.checker
     checker.cancel_requested("j-000001")
     checker.observe_status("j-000001", {"phase": "aborted"})
-    machine = cluster.cloud.add(TYPES[1], "a", True)
+    machine = cluster.cloud.add(MACHINE_TYPES[1], "a", True)
     checker.task_started("j-000001/0", machine, 2.0)
     assert checker.late_starts == []
     checker.task_started("j-000001/0", machine, 10.0)
@@ -841,8 +841,8 @@
     add, fails = cluster.cloud.add, [True]
 
     def adding(kind: dict, zone: str, spot: bool) -> Machine:
-        cluster.cloud.boots_until = cluster.now + 1.0
-        cluster.cloud.boots = (1.0 if fails[0] and zone == "a" else 0.0, 0.0, 8.0)
+        cluster.cloud.boot_faults_until = cluster.now + 1.0
+        cluster.cloud.boot_faults = (1.0 if fails[0] and zone == "a" else 0.0, 0.0, 8.0)
         return add(kind, zone, spot)
 
     def rented_zones(first: int, jobs: int, **changes: object) -> list[str]:
@@ -880,7 +880,7 @@
 def test_late_records_of_rentals_and_images_do_no_harm(kind: str, seed: int) -> None:
     """They get no answer and are carried out seconds later, over newer ones; then leaders change that read them."""
     cluster = SimulatedCluster(seed=seed, loss=0.0, capacity=6)
-    ask, held = cluster.state.ask, []
+    ask, held = cluster.state.receive, []
 
     def asking(caller: str, method: str, path: str, body: dict) -> object:
         keys = [write.get("set") or write["delete"] for write in body["writes"]] if path == "/commit" else []
@@ -890,7 +890,7 @@
             raise NoResponseError("nothing comes back")
         return ask(caller, method, path, body)
 
-    cluster.state.ask = asking  # type: ignore[method-assign]
+    cluster.state.receive = asking  # type: ignore[method-assign]
     load(cluster, jobs=18)
     for number in range(18):
         # Enough images that a machine's record changes again and again.
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -200,7 +200,7 @@
     """Ends and cancellations that it does not know stay; so do jobs that were accepted since."""
     cluster = loaded_cluster(4)
     cluster.run(14.0)
-    older = cluster.state.copy()
+    older = cluster.state.backup()
     cluster.cancel("j-000001")
     cluster.run(14.0)
     assert cluster.checker.is_final("j-000001")
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -17,7 +17,7 @@
     def begin(self, seed: int) -> None:
         self.cluster = SimulatedCluster(seed, features=ON, loss=0.0)
         self.cluster.run(5.0)
-        self.older = self.cluster.state.copy()
+        self.older = self.cluster.state.backup()
         self.losses = 0
 
     @rule(pieces=st.integers(1, 8), length_s=st.floats(1.0, 30.0), gang=st.booleans(), job_class=CLASSES)
@@ -43,7 +43,7 @@
     def remember(self) -> None:
         """The service's operators take a copy."""
         if all(node is not None and node.integrity.is_sound() for node in self.cluster.nodes.values()):
-            self.older = self.cluster.state.copy()
+            self.older = self.cluster.state.backup()
 
     @precondition(lambda self: self.losses < 3)
     @rule(kind=st.sampled_from(["wiped", "counting", "older"]))
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -45,13 +45,13 @@
 def test_without_the_feature_nothing_new_is_stored_or_sent() -> None:
     cluster = loaded_cluster(9, features=Features())
     asked: list[str] = []
-    ask = cluster.state.ask
+    ask = cluster.state.receive
 
     def listening(caller: str, method: str, path: str, body: Any) -> Any:
         asked.append(path)
         return ask(caller, method, path, body)
 
-    cluster.state.ask = listening  # type: ignore[method-assign]
+    cluster.state.receive = listening  # type: ignore[method-assign]
     finish(cluster)
     known = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
     assert all(key.startswith(known) for key in cluster.state.items)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -89,7 +89,7 @@
 def leader_refused(cluster: SimulatedCluster) -> None:
     name = cluster.leader()
     if name is not None:
-        cluster.state.refuses[name] = cluster.now + 25.0
+        cluster.state.refused_until[name] = cluster.now + 25.0
 
 
 def leader_cut_from_state(cluster: SimulatedCluster) -> None:
@@ -362,7 +362,7 @@
 def overloaded(jobs: int) -> SimulatedCluster:
     """Two machines, more pressing work for many times what they can do, and some jobs that may wait."""
     cluster = SimulatedCluster(seed=18, loss=0.0)
-    cluster.cloud.most = 2
+    cluster.cloud.max_machines = 2
     for number in range(130):
         urgent = cluster.job(
             1000 + number,
@@ -396,12 +396,12 @@
 def test_a_crowd_of_wide_jobs_begins_after_machines_are_lost() -> None:
     """More than two machines can begin in what is left of 240 s once jobs are old: their age counts earlier."""
     cluster = overloaded(36)
-    cluster.cloud.most = 4
+    cluster.cloud.max_machines = 4
 
     def lose_half() -> None:
         for machine in list(cluster.cloud.machines.values())[:2]:
             machine.die()
-        cluster.cloud.most = 2
+        cluster.cloud.max_machines = 2
 
     cluster.clock.callLater(60.0, lose_half)
     cluster.run(470)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -9,7 +9,7 @@
 from stileloft.scheduling.scheduling_loop import SchedulingLoop
 from stileloft.transport.sockets import KEEP_USERS_SHARE, SocketUsage
 from tests.simulation.cluster import SimulatedCluster
-from tests.simulation.deployment import TYPES, with_settings
+from tests.simulation.deployment import MACHINE_TYPES, with_settings
 
 MACHINES = 200
 JOBS, TASKS = 20, 40
@@ -59,7 +59,7 @@
     monkeypatch.setattr(cluster.state, "commit", count_changes)
     monkeypatch.setattr(cluster.cloud, "handle", count_releases)
     for number in range(MACHINES):
-        machine = cluster.cloud.add(TYPES[0], "ab"[number % 2], True)
+        machine = cluster.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
         if not machine.up:
             machine.boot()
     for number in range(JOBS):
@@ -118,7 +118,7 @@
         monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
     cluster = LargeCluster(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
-        machine = cluster.cloud.add(TYPES[0], "ab"[number % 2], True)
+        machine = cluster.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
         if not machine.up:
             machine.boot()
     asked: dict[int, int] = {}
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -89,7 +89,7 @@
     cluster = SimulatedCluster(12, loss=0.0)
     cluster.run(10)
     standby = next(name for name in cluster.names if name != cluster.leader())
-    cluster.state.refuses[standby] = cluster.now + 20.0
+    cluster.state.refused_until[standby] = cluster.now + 20.0
     cluster.run(8)
     assert {name: node.healthy() for name, node in cluster.nodes.items()} == {n: n != standby for n in cluster.names}
     cluster.run(20)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -148,7 +148,7 @@
     expected = record_kinds(json.loads(PRODUCTION_DAY.read_text())["items"])
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
     assert record_kinds(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
-    assert cluster.state.refused_sizes == 0
+    assert cluster.state.oversized_requests == 0
     read = read_jobs(NEW, items, 16.0)
     assert sum(len(job["placed"]) for job in read.values()) > 20
     version = production()
@@ -205,7 +205,7 @@
     cluster.checker.faults_until = cluster.now + 20.0
     finish(cluster)
     assert cluster.checker.violations == []
-    assert cluster.state.refused_sizes == 0
+    assert cluster.state.oversized_requests == 0
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
@@ -231,7 +231,7 @@
     cluster.cancel("j-000701")
     finish(cluster, 400)
     assert cluster.checker.violations == []
-    assert cluster.state.refused_sizes == 0
+    assert cluster.state.oversized_requests == 0
     assert cluster.checker.last_phase == {"j-000700": "done", "j-000701": "aborted"}
     cluster.run(20)
     assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
@@ -269,7 +269,7 @@
     cluster.checker.faults_until = 110.0
     finish(cluster)
     assert cluster.checker.violations == []
-    assert cluster.state.refused_sizes == 0
+    assert cluster.state.oversized_requests == 0
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
@@ -283,7 +283,7 @@
     finish(cluster)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
-    assert 0 < cluster.state.refused_sizes < 20
+    assert 0 < cluster.state.oversized_requests < 20
 
 
 def test_limits_are_the_least_known_and_go_down_when_refused() -> None:
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -30,7 +30,7 @@
 from tests import test_overlapping_faults as overlapping
 from tests import test_rules as single
 from tests.held_starts import cloud_out, freeze_leader
-from tests.simulation.clients import Connection
+from tests.simulation.clients import SimulatedClient
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
 from tests.test_gangs import gang, gang_load
@@ -126,7 +126,7 @@
         super().append(change)
 
 
-class TracedConnection(Connection):
+class TracedClient(SimulatedClient):
     """A controller's client whose requests and answers are traced."""
 
     cluster: "TracedCluster"
@@ -179,7 +179,7 @@
 class TracedCluster(SimulatedCluster):
     """A simulated cluster of which every message and stored record is traced."""
 
-    CONNECTION = TracedConnection
+    CLIENT_CLASS = TracedClient
 
     def __init__(self, trace: Trace, **options: Any) -> None:
         self.trace = trace
