--- a/tests/rules.py
+++ b/tests/rules.py
@@ -184,7 +184,7 @@
             name: machine.kind["vcpus"]
             - sum(self.job_of(task)["vcpus"] for task, on in placed.items() if on is machine)
             for name, machine in self.cluster.cloud.machines.items()
-            if machine.up and not machine.hung and machine.notice is None
+            if machine.up and not machine.hung and machine.preempted_at is None
         }
         for name, job in self.cluster.jobs.items():
             tasks = [f"{name}/{i}" for i in range(job["pieces"])]
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -56,7 +56,7 @@
                         "yard": m.zone,
                         "loaner": m.spot,
                         "phase": "running" if m.up else "starting",
-                        "ageS": self.cluster.now - m.rented,
+                        "ageS": self.cluster.now - m.rented_at,
                     }
                     for m in self.machines.values()
                 ],
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -16,11 +16,11 @@
         self.cluster, self.job = cluster, job
         self.members: dict[str, tuple[Machine, dict[str, Any]]] = {}
         self.running_since: float | None = None
-        self.told: dict[str, float] = {}
+        self.stopping_since: dict[str, float] = {}
         """Tasks that were told to stop with time to save, and when."""
         self.progress = 0.0
-        self.over = False
-        self.gathered: list[float] = []
+        self.finished = False
+        self.waiting_since: list[float] = []
         """When each of its tasks began to wait."""
 
     def present(self, name: str) -> bool:
@@ -29,10 +29,10 @@
             not machine.gone and not machine.hung and machine.tasks.get(name) is state and (state["phase"] != "exited")
         )
 
-    def gather(self, name: str, machine: "Machine", state: dict[str, Any]) -> None:
+    def join(self, name: str, machine: "Machine", state: dict[str, Any]) -> None:
         self.members[name] = machine, state
-        self.gathered.append(self.cluster.now)
-        self.cluster.clock.callLater(GANG_WAIT_S, self.give_up, name, state)
+        self.waiting_since.append(self.cluster.now)
+        self.cluster.clock.callLater(GANG_WAIT_S, self.time_out, name, state)
         here = [other for other in self.members if self.present(other)]
         if self.running_since is None and len(here) == self.job["pieces"]:
             self.running_since = self.cluster.now
@@ -42,64 +42,67 @@
                 member.send_heartbeat()
             self.watch(None)
 
-    def give_up(self, name: str, state: dict[str, Any]) -> None:
+    def time_out(self, name: str, state: dict[str, Any]) -> None:
         machine = self.members[name][0]
         if state["phase"] != "gathering" or machine.gone or machine.tasks.get(name) is not state:
             return
         if machine.hung:
-            self.cluster.clock.callLater(0.5, self.give_up, name, state)
+            self.cluster.clock.callLater(0.5, self.time_out, name, state)
         else:
             machine.finish(name, "incomplete")
 
-    def at(self) -> float:
+    def current_progress(self) -> float:
         """Progress of the job by now; it stops with the first stop."""
-        if self.running_since is None or self.told:
+        if self.running_since is None or self.stopping_since:
             return self.progress
         return self.cluster.saved_progress.get(self.job["nameId"], 0.0) + self.cluster.now - self.running_since
 
     def watch(self, lost_at: float | None) -> None:
         """All of a running gang complete together; if one is lost the others notice."""
-        if self.over:
+        if self.finished:
             return
         now = self.cluster.now
         lost = [name for name in self.members if not self.present(name)]
         if lost:
             lost_at = now if lost_at is None else lost_at
             if now - lost_at >= 0.8 * GANG_PEER_S:
-                self.fall_back("mates_gone")
+                self.roll_back("mates_gone")
                 return
-        elif self.told:
-            self.save()
-        elif self.at() >= self.cluster.run_time_s(self.job["nameId"] + "/0"):
-            self.over = True
+        elif self.stopping_since:
+            self.checkpoint()
+        elif self.current_progress() >= self.cluster.run_time_s(self.job["nameId"] + "/0"):
+            self.finished = True
             for name, (machine, _) in self.members.items():
                 machine.finish(name, "done")
         self.cluster.clock.callLater(0.25, self.watch, lost_at)
 
     def stop(self, name: str, machine: "Machine", grace_s: float) -> None:
         if self.job["snapshotS"] <= 0 or grace_s < self.job["stashS"]:
-            self.progress = self.at()
+            self.progress = self.current_progress()
             machine.finish(name, "halted")
             return
-        self.progress = self.at()
-        self.told.setdefault(name, self.cluster.now)
+        self.progress = self.current_progress()
+        self.stopping_since.setdefault(name, self.cluster.now)
         machine.tasks[name]["phase"] = "flushing"
 
-    def save(self) -> None:
-        now, first = self.cluster.now, min(self.told.values())
-        if len(self.told) == len(self.members) and now >= max(self.told.values()) + self.job["stashS"]:
-            self.over = True
+    def checkpoint(self) -> None:
+        now, first = self.cluster.now, min(self.stopping_since.values())
+        if (
+            len(self.stopping_since) == len(self.members)
+            and now >= max(self.stopping_since.values()) + self.job["stashS"]
+        ):
+            self.finished = True
             self.cluster.saved_progress[self.job["nameId"]] = self.progress
             for name, (machine, state) in self.members.items():
                 state["kept"] = True
                 machine.finish(name, "halted")
-        elif len(self.told) < len(self.members) and now - first > GANG_PEER_S:
-            self.fall_back("mates_gone")
+        elif len(self.stopping_since) < len(self.members) and now - first > GANG_PEER_S:
+            self.roll_back("mates_gone")
 
-    def fall_back(self, why: str) -> None:
-        self.over = True
+    def roll_back(self, why: str) -> None:
+        self.finished = True
         every_s = self.job["snapshotS"]
-        progress = self.at()
+        progress = self.current_progress()
         before = self.cluster.saved_progress.get(self.job["nameId"], 0.0)
         self.cluster.saved_progress[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
         self.cluster.gang_rollbacks += 1
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -19,11 +19,11 @@
     def __init__(self, cluster: "SimulatedCluster", name: str, kind: dict, zone: str, spot: bool) -> None:
         self.cluster, self.name, self.kind, self.zone, self.spot = cluster, name, kind, zone, spot
         self.address = f"{name}:9000"
-        self.rented = cluster.now
+        self.rented_at = cluster.now
         self.up = self.gone = self.hung = False
         self.epoch, self.sequence, self.token = 1, 0, 0
-        self.renewed = cluster.now
-        self.notice: float | None = None
+        self.lease_renewed_at = cluster.now
+        self.preempted_at: float | None = None
         self.tasks: dict[str, dict[str, Any]] = {}
         self.target = cluster.random.choice(cluster.names)
         self.connected_to: str | None = None
@@ -34,9 +34,9 @@
     def boot(self) -> None:
         if not self.gone:
             self.up = True
-            self.renewed = self.cluster.now
+            self.lease_renewed_at = self.cluster.now
             self.loop()
-            self.lease_loop()
+            self.check_lease_periodically()
 
     def boot_once(self) -> None:
         if not self.up:
@@ -53,28 +53,28 @@
             "stint": self.epoch,
             "tick": self.sequence,
             "baton": self.token,
-            "warningS": None if self.notice is None else max(0.0, self.notice - self.cluster.now),
+            "warningS": None if self.preempted_at is None else max(0.0, self.preempted_at - self.cluster.now),
             "pieces": [
                 {"piece": t, "try": s["try"], "phase": s["phase"], "cause": s["cause"], "kept": s.get("kept", False)}
                 for t, s in self.tasks.items()
             ],
         }
 
-    def lease_loop(self) -> None:
+    def check_lease_periodically(self) -> None:
         if self.gone:
             return
-        self.cluster.clock.callLater(self.cluster.LEASE_CHECK_S, self.lease_loop)
+        self.cluster.clock.callLater(self.cluster.LEASE_CHECK_S, self.check_lease_periodically)
         if not self.hung:
             self.check_lease()
 
     def check_lease(self) -> None:
-        if self.cluster.now - self.renewed > self.cluster.LEASE_S:
+        if self.cluster.now - self.lease_renewed_at > self.cluster.LEASE_S:
             self.cluster.expired_leases += 1
             for name in list(self.tasks):
                 self.leave(name)
             self.tasks.clear()
             self.epoch += 1
-            self.renewed = self.cluster.now
+            self.lease_renewed_at = self.cluster.now
 
     def loop(self) -> None:
         if self.gone:
@@ -114,7 +114,7 @@
                     if reply.body["baton"] > self.token:
                         self.cluster.clock.callLater(0.5, self.send_heartbeat)
                     self.token = reply.body["baton"]
-                    self.renewed = max(self.renewed, sent)
+                    self.lease_renewed_at = max(self.lease_renewed_at, sent)
                     self.execute(reply.body["orders"])
             else:
                 failed(None)
@@ -226,7 +226,7 @@
         if job["shape"] == "gang":
             state["phase"] = "gathering"
             gang = self.cluster.gangs.setdefault((job["nameId"], state["try"]), Gang(self.cluster, job))
-            gang.gather(name, self, state)
+            gang.join(name, self, state)
             self.send_heartbeat()
             return
         state["phase"] = "running"
@@ -263,7 +263,7 @@
             self.leave(name)
         self.tasks.clear()
         self.epoch, self.sequence, self.token = 1, 0, 0
-        self.renewed = self.cluster.now
+        self.lease_renewed_at = self.cluster.now
 
     def die(self) -> None:
         self.gone = True
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -398,7 +398,7 @@
 
     def _spot_wave(self, trouble: Trouble) -> None:
         for machine in [machine for machine in self._some_machines(trouble) if machine.spot]:
-            machine.notice = self.now + 2.0
+            machine.preempted_at = self.now + 2.0
             reactor.callLater(2.0, self._taken, machine)
 
     def _taken(self, machine: Machine) -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -78,15 +78,15 @@
 
 
 def running(g: Gang) -> bool:
-    return g.running_since is not None and not g.over and g.at() > 5.0
+    return g.running_since is not None and not g.finished and g.current_progress() > 5.0
 
 
 def stopping(g: Gang) -> bool:
-    return bool(g.told) and not g.over
+    return bool(g.stopping_since) and not g.finished
 
 
 def done_on_one(g: Gang) -> bool:
-    return g.over and any(f"{name}" in g.cluster.checker.completed_tasks for name in g.members)
+    return g.finished and any(f"{name}" in g.cluster.checker.completed_tasks for name in g.members)
 
 
 def die_one(g: Gang) -> None:
@@ -97,7 +97,7 @@
 
 def take_back_one(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
-    machine.notice = g.cluster.now + 7.0
+    machine.preempted_at = g.cluster.now + 7.0
 
     def gone() -> None:
         g.cluster.cloud.machines.pop(machine.name, None)
@@ -258,7 +258,7 @@
     assert cluster.checker.started_at["j-000001"] - cluster.checker.submitted_at["j-000001"] < 240
     (only,) = cluster.gangs.values()
     assert cluster.checker.violations == []
-    assert max(only.gathered) - min(only.gathered) < 3.0
+    assert max(only.waiting_since) - min(only.waiting_since) < 3.0
 
 
 def job_of(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -111,7 +111,7 @@
 
 def spot_wave(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.spot][::2]:
-        machine.notice = cluster.now + 6.0
+        machine.preempted_at = cluster.now + 6.0
 
         def taken(machine=machine) -> None:
             cluster.cloud.machines.pop(machine.name, None)
