--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -16,7 +16,7 @@
 from stileloft.scheduling.snapshot import PendingJob, Reservation, Snapshot
 
 
-def trial(
+def find_victims(
     job: JobSpec, machine: MachineView, nominated: list[Nomination], snapshot: Snapshot
 ) -> list[RunningTask] | None:
     """The design's words, with lists and sums only: remove in order, then return in the opposite order."""
@@ -79,16 +79,16 @@
     found = []
     for machine in snapshot.machines.values():
         reservation = snapshot.reservations.get(machine.id)
-        if not may_use(job, machine) or (reservation and reservation.exclusive_job_id not in ("", spec.id)):
+        if not is_eligible(job, machine) or (reservation and reservation.exclusive_job_id not in ("", spec.id)):
             continue
-        victims = trial(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
+        victims = find_victims(spec, machine, [n for n in nominations if n.machine_id == machine.id], snapshot)
         if victims is not None:
             image = 0 if spec.image in machine.images else 1
             found.append(((*preemption_cost(victims), image, machine.id), Preemption(machine.id, victims)))
     return min(found, key=lambda item: item[0])[1] if found else None
 
 
-def may_use(job: PendingJob, machine: MachineView) -> bool:
+def is_eligible(job: PendingJob, machine: MachineView) -> bool:
     """Whether the machine is one for the job's tasks, whatever room it has."""
     return (
         machine.up
@@ -108,7 +108,7 @@
     sizes = MachineSizes(min(kinds), max(kinds), scarce)
     found = []
     for machine in snapshot.machines.values():
-        if not may_use(job, machine):
+        if not is_eligible(job, machine):
             continue
         reservation = snapshot.reservations.get(machine.id)
         if reservation is not None and not reservation.admits(spec, job.estimate_s, job.starving):
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -19,7 +19,7 @@
 def ask_peer(peer: Any, version: Version, path: str, sent: Any) -> Reply:
     """What a node of a version answers another one."""
     if path == CHANGE_NOTICE_PATH:
-        receive_change_notice = version.part(peer, "receive_change_notice")
+        receive_change_notice = version.attribute(peer, "receive_change_notice")
         return Reply(200 if receive_change_notice(sent) else 400, None)
     if path.startswith(SNAPSHOT_PATH):
         piece = peer.snapshot_piece(int(path[len(SNAPSHOT_PATH) :]))
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -16,7 +16,7 @@
 from tests.simulation.state_service import StateService
 from tests.simulation.users import Users
 from tests.simulation.workers import Machine
-from tests.versions import NEW, Version
+from tests.versions import CURRENT, Version
 
 NAMES = ("node-0", "node-1", "node-2")
 
@@ -38,7 +38,7 @@
         loss: float = 0.002,
         value_kb: float = 4.0,
         upcoming_limits: dict[str, float] | None = None,
-        version: Version = NEW,
+        version: Version = CURRENT,
         features: Features | None = None,
     ) -> None:
         """`coming` are the limits that the state service will have; `version` is what the nodes run at first."""
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -15,7 +15,7 @@
 from tests.simulation.deployment import SETTINGS
 from tests.simulation.gangs import Gang
 from tests.simulation.processes import Process
-from tests.versions import NEW, Version
+from tests.versions import CURRENT, Version
 
 # How often connections that were given up are cleared away.
 PRUNE_S = 0.05
@@ -67,7 +67,7 @@
             version.parse_settings(self.settings(name)),
             lambda: self.now + 1000.0,
             lambda *_, **options: self.CLIENT_CLASS(self, name, number, **options),
-            **({"features": self.features[name]} if version is NEW and self.features[name] else {}),
+            **({"features": self.features[name]} if version is CURRENT and self.features[name] else {}),
         )
         node.in_thread = lambda function, *arguments: defer.maybeDeferred(function, *arguments)  # type: ignore
         node.nonce = f"{name}-{number}"
@@ -130,7 +130,7 @@
         return next((name for name, node in self.nodes.items() if node is not None and self._leads(name, node)), None)
 
     def _leads(self, name: str, node: Any) -> bool:
-        holds_lease: Callable[[], bool] = self.versions[name].part(node.election, "holds_lease")
+        holds_lease: Callable[[], bool] = self.versions[name].attribute(node.election, "holds_lease")
         return holds_lease()
 
     def deliver_to_node(self, name: str, work: Callable[[], Any]) -> Any:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -144,7 +144,7 @@
     found = preempt(job, machines, usage)
     assert [(n.free_cpus, sorted(t.key for t in n.tasks)) for n in machines] == [(c, sorted(k)) for c, k in before]
     snapshot = Snapshot(0.0, {}, [], TEAMS, usage, {}, {})
-    victims = {n.id: plain.trial(job, n, [], snapshot) for n in machines}
+    victims = {n.id: plain.find_victims(job, n, [], snapshot) for n in machines}
     expected = {name: None if tasks is None else sorted(t.key for t in tasks) for name, tasks in victims.items()}
     if usage[team].cpus + cpus > TEAMS[team].cpus_max or all(keys is None for keys in expected.values()):
         assert found is None
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -29,7 +29,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
 from tests.soak.cluster import COUNTED
-from tests.versions import NEW, production
+from tests.versions import CURRENT, production
 
 # -- tokens ----------------------------------------------------------------------------------------------------------
 
@@ -363,7 +363,7 @@
     cancel_held(cluster)
     raised = leading(cluster).tokens.highest_issued
     for name in cluster.names:
-        cluster.kill(name, 0.3, production() or NEW)
+        cluster.kill(name, 0.3, production() or CURRENT)
     run_watched(cluster, 100.0)
     leader = cluster.leader()
     assert leader is not None
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -18,7 +18,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.test_rules import crash_leader, finish, load, outage
 from tests.test_upgrade import stored_spec
-from tests.versions import LAST_FORMAT_1, NEW, from_history
+from tests.versions import CURRENT, LAST_FORMAT_1, from_history
 
 needs_history = pytest.mark.skipif(from_history(LAST_FORMAT_1) is None, reason="the checkout lacks the history")
 
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
-    cluster = SimulatedCluster(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or NEW)
+    cluster = SimulatedCluster(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or CURRENT)
     load(cluster, jobs=24)
     for number in range(200, 240):
         cluster.clock.callLater(
@@ -150,14 +150,14 @@
         )
     for number in (205, 212, 219, 226, 233):
         cluster.clock.callLater(0.8 * number - 146, cluster.cancel, f"j-{number:06d}")
-    cluster.clock.callLater(18.0, cluster.kill, "node-0", 1.0, NEW)
+    cluster.clock.callLater(18.0, cluster.kill, "node-0", 1.0, CURRENT)
     cluster.clock.callLater(26.0, cluster.kill, "node-1", 0.3)  # comes back old before its turn
-    cluster.clock.callLater(32.0, cluster.kill, "node-1", 1.0, NEW)
+    cluster.clock.callLater(32.0, cluster.kill, "node-1", 1.0, CURRENT)
     for seconds in range(40):
         cluster.run(1)
         inline = [key for key, item in cluster.state.items.items() if records.INLINE_CHUNK in item[0]]
         assert inline == [], f"after {seconds} s"
-    cluster.kill("node-2", 1.0, NEW)
+    cluster.kill("node-2", 1.0, CURRENT)
     cluster.run(12)
     assert cluster.state.items[records.FORMAT][0]["format"] == 2
     cluster.clock.callLater(3.0, crash_leader, cluster)
@@ -241,7 +241,7 @@
 ) -> None:
     """What is reckoned without encoding decides that a chunk is put into it: less than the truth could be too large."""
     body = SimulatedCluster.job(None, 1, **spec)  # type: ignore[arg-type]
-    job = Job(NEW.messages.parse_job(body), 1e9, 96)
+    job = Job(CURRENT.messages.parse_job(body), 1e9, 96)
     chunk = job.chunk_of(0)
     chunk.done, chunk.attempt = {i for i in done if i < job.spec.tasks}, attempts
     for index in set(range(job.spec.tasks)) - chunk.done:
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -11,7 +11,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.test_rebuild import ON, finish, loaded_cluster, phases
 from tests.test_rebuild_unresolved import unresolved_jobs
-from tests.versions import NEW, production
+from tests.versions import CURRENT, production
 
 
 def test_a_controller_without_the_feature_holds_it_back() -> None:
@@ -34,7 +34,7 @@
     cluster = SimulatedCluster(8, version=production(), features=ON)
     cluster.run(5.0)
     for name in ("node-0", "node-1"):
-        cluster.kill(name, restart_after_s=0.5, version=NEW)
+        cluster.kill(name, restart_after_s=0.5, version=CURRENT)
         cluster.run(4.0)
     for number in range(6):
         cluster.submit(cluster.job(number, guessS=8.0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,7 +20,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.test_gangs import gang, gang_load
 from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
-from tests.versions import LAST_LEGACY, NEW, Version, from_history, production
+from tests.versions import CURRENT, LAST_LEGACY, Version, from_history, production
 
 PRODUCTION_DAY = Path(__file__).parent / "production.json"
 """What controllers of the version in production had stored and told each other: `write_production_day`."""
@@ -41,7 +41,7 @@
         if key.startswith(records.ACTIVE):
             job = version.job_from_record(value, 1, size)
             chunks = [(k, v, 1) for k, v in sorted(items.items()) if k.startswith(f"{records.TASKS}{job.id}/")]
-            if version is NEW:
+            if version is CURRENT:
                 apply_chunk_records(job, chunks)
             elif hasattr(job, "load_chunks"):
                 job.load_chunks(chunks)
@@ -50,11 +50,11 @@
                     number = version.records.split_chunk_key(chunk_key)[1]
                     if number not in job.done_chunks:
                         job.load_chunk(number, chunk, 1)
-            version.part(job, "refresh_counts")()
+            version.attribute(job, "refresh_counts")()
             found[job.id] = {
                 "spec": version.messages.job_to_wire(job.spec),
                 "done": job.done,
-                "size": version.part(job, "chunk_size"),
+                "size": version.attribute(job, "chunk_size"),
                 "free": job.free_tasks(10_000),
                 "attempts": {str(n): c.attempt for n, c in sorted(job.chunks.items())},
                 "placed": sorted([p.index, p.attempt, p.machine, p.zone, p.spot] for p in job.placements()),
@@ -107,7 +107,7 @@
     assert any("+" in key for key in items)
     assert any(records.INLINE_CHUNK in value for value in items.values())
     assert any(value["f"] for key, value in items.items() if key.startswith(records.ACTIVE))
-    read = json.loads(json.dumps(read_jobs(NEW, items, 16.0)))
+    read = json.loads(json.dumps(read_jobs(CURRENT, items, 16.0)))
     assert read == expected
     assert sum(len(job["placed"]) for job in read.values()) > 50
     assert any(job["done"] for job in read.values())
@@ -118,7 +118,7 @@
 
 def test_what_production_stored_and_told_is_read() -> None:
     stored = json.loads(PRODUCTION_DAY.read_text())
-    read = json.loads(json.dumps(read_jobs(NEW, stored["items"], 16.0)))
+    read = json.loads(json.dumps(read_jobs(CURRENT, stored["items"], 16.0)))
     assert read == stored["contents"]
     assert sum(len(job["placed"]) for job in read.values()) > 50
     for view in stored["views"]:
@@ -138,7 +138,7 @@
 
 def test_before_the_change_of_format_records_look_as_production_writes_them() -> None:
     """One node is missing, so nobody knows which version it is: production's form is kept, and its limits."""
-    cluster = play_day(NEW, upcoming_limits=LOWER_LIMITS)
+    cluster = play_day(CURRENT, upcoming_limits=LOWER_LIMITS)
     cluster.kill("node-2", None)
     cluster.apply_upcoming_limits()
     cluster.run(60)
@@ -149,7 +149,7 @@
     # A job's first record, of its acceptance, has no count of stopped tasks in either version.
     assert record_kinds(items) <= expected | {("active", False, ("c", "f", "s", "t"))}
     assert cluster.state.oversized_requests == 0
-    read = read_jobs(NEW, items, 16.0)
+    read = read_jobs(CURRENT, items, 16.0)
     assert sum(len(job["placed"]) for job in read.values()) > 20
     version = production()
     if version is not None:
@@ -164,7 +164,7 @@
 def test_old_and_new_lead_in_turn(seed: int) -> None:
     """Take-overs in the middle of placements, stops and completions; then all are new, and the limits come."""
     cluster = SimulatedCluster(
-        seed=70 + seed, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or NEW
+        seed=70 + seed, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or CURRENT
     )
     load(cluster, jobs=30)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
@@ -174,17 +174,17 @@
     def turn() -> None:
         """All of the other kind die while one of them leads, until one of this kind does; then the next is wanted."""
         name = cluster.leader()
-        new = name is not None and cluster.versions[name] is NEW
+        new = name is not None and cluster.versions[name] is CURRENT
         if name is not None and new is wanted[len(leaders)]:
             leaders.append(new)
         elif name is not None:
             for other in cluster.names:
-                if (cluster.versions[other] is NEW) is new and cluster.nodes[other] is not None:
+                if (cluster.versions[other] is CURRENT) is new and cluster.nodes[other] is not None:
                     cluster.kill(other, 2.5)
         if len(leaders) < len(wanted):
             cluster.clock.callLater(3.0 if leaders and name and new is leaders[-1] else 0.5, turn)
 
-    cluster.clock.callLater(24.0, cluster.kill, "node-0", 0.5, NEW)
+    cluster.clock.callLater(24.0, cluster.kill, "node-0", 0.5, CURRENT)
     cluster.clock.callLater(28.0, turn)
     cluster.clock.callLater(33.0, spot_wave, cluster)
     cluster.clock.callLater(46.0, machines_die, cluster)
@@ -192,11 +192,11 @@
         cluster.clock.callLater(34.0 + number, cluster.cancel, f"j-{number:06d}")
     # One dies and comes back old before its turn, then the rest of the roll.
     cluster.clock.callLater(58.0, cluster.kill, "node-1", 0.3)
-    cluster.clock.callLater(62.0, cluster.kill, "node-1", 2.0, NEW)
+    cluster.clock.callLater(62.0, cluster.kill, "node-1", 2.0, CURRENT)
     cluster.run(64)
     assert leaders == wanted
     assert records.FORMAT not in cluster.state.items
-    cluster.clock.callLater(4.0, cluster.kill, "node-2", 2.0, NEW)
+    cluster.clock.callLater(4.0, cluster.kill, "node-2", 2.0, CURRENT)
     cluster.run(12)
     assert records.FORMAT in cluster.state.items
     cluster.apply_upcoming_limits()
@@ -213,7 +213,7 @@
 def test_large_records_of_production_are_brought_into_small_pieces() -> None:
     """Its leader had stored more placements in one value than the limit to come allows."""
     cluster = SimulatedCluster(
-        seed=81, loss=0.0, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or NEW
+        seed=81, loss=0.0, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or CURRENT
     )
     cluster.submit(cluster.job(700, pieces=90, vcpus=0.5, memGb=0.2, guessS=200.0))
     cluster.submit(cluster.job(701, pieces=70, vcpus=0.5, memGb=0.2, guessS=200.0, crew="edge"))
@@ -222,7 +222,7 @@
     large = [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048]
     assert len(large) == 2
     for number, name in enumerate(cluster.names):
-        cluster.clock.callLater(2.0 * number, cluster.kill, name, 0.5, NEW)
+        cluster.clock.callLater(2.0 * number, cluster.kill, name, 0.5, CURRENT)
     cluster.run(20)
     cluster.apply_upcoming_limits()
     assert [key for key, item in cluster.state.items.items() if len(json.dumps(item[0])) > 2048] == []
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -46,7 +46,7 @@
     records: Any
     is_legacy: bool
 
-    def part(self, owner: Any, name: str) -> Any:
+    def attribute(self, owner: Any, name: str) -> Any:
         """An attribute under the name that this version has for it."""
         return getattr(owner, LEGACY_NAMES.get(name, name) if self.is_legacy else name)
 
@@ -56,8 +56,8 @@
 
     def handle_heartbeat(self, controller: Any, body: Any) -> Any:
         """A controller's answer to a heartbeat, given as it came on the wire."""
-        heartbeat = self.part(self.messages, "parse_heartbeat")(body)
-        return self.part(controller, "handle_heartbeat")(heartbeat)
+        heartbeat = self.attribute(self.messages, "parse_heartbeat")(body)
+        return self.attribute(controller, "handle_heartbeat")(heartbeat)
 
 
 def _module(package: str, *names: str) -> Any:
@@ -88,7 +88,7 @@
     )
 
 
-NEW = _version("stileloft")
+CURRENT = _version("stileloft")
 
 
 def production() -> Version | None:
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -34,7 +34,7 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
 from tests.test_gangs import gang, gang_load
-from tests.versions import NEW, production
+from tests.versions import CURRENT, production
 
 DIGESTS = Path(__file__).parent / "wire_digests.json"
 SEEDS = range(1, 25)
@@ -227,7 +227,7 @@
 def _replace_old_version(cluster: SimulatedCluster, dice: random.Random) -> None:
     """The processes of the version in production are replaced one after the other."""
     for number, name in enumerate(dice.sample(cluster.names, 3)):
-        cluster.clock.callLater(26.0 + 16.0 * number, cluster.kill, name, 1.5, NEW)
+        cluster.clock.callLater(26.0 + 16.0 * number, cluster.kill, name, 1.5, CURRENT)
 
 
 def _options(seed: int, dice: random.Random) -> dict[str, Any]:
