--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -27,7 +27,7 @@
 from stileloft.protocol import messages
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
-from tests.rules import Rules
+from tests.rules import RuleChecker
 from tests.simulation.cloud import Cloud
 from tests.simulation.deployment import SETTINGS, with_settings
 from tests.simulation.gangs import Gang
@@ -101,21 +101,21 @@
 class LoopbackMachine(Machine):
     """A worker with an address of its own."""
 
-    def __init__(self, world: "LoopbackCluster", *arguments: Any) -> None:
-        super().__init__(world, *arguments)
-        self.address = f"{LOCAL}:{world.listen(lambda _method, _path, body: self.command(body))}"
+    def __init__(self, cluster: "LoopbackCluster", *arguments: Any) -> None:
+        super().__init__(cluster, *arguments)
+        self.address = f"{LOCAL}:{cluster.listen(lambda _method, _path, body: self.command(body))}"
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
         return defer.ensureDeferred(self._deliver(target, body))
 
     async def _deliver(self, target: str, body: Any) -> Reply:
-        reply = await self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
+        reply = await self.cluster.client.request("POST", self.cluster.public[target], HEARTBEAT_PATH, body, 4.0)
         return Reply(reply.status, reply.body)
 
 
 class LoopbackCloud(Cloud):
     def machine(self, name: str, kind: dict, zone: str, spot: bool) -> Machine:
-        return LoopbackMachine(self.world, name, kind, zone, spot)
+        return LoopbackMachine(self.cluster, name, kind, zone, spot)
 
 
 @dataclass
@@ -137,7 +137,7 @@
 class LoopbackCluster(Users):
     """Everything that controllers talk to, on real time and real sockets."""
 
-    REPORT_S, LEASE_S, CANCEL_S, LAPSE_S = 0.5, 4.0, 14.0, 0.1
+    REPORT_S, LEASE_S, CANCEL_S, LEASE_CHECK_S = 0.5, 4.0, 14.0, 0.1
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -158,25 +158,25 @@
             idle_s=30.0,
         )
         self.value_kb = 4.0
-        self.most_sockets, self.sessions_lost = 10_000, 0
-        self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
+        self.max_sockets, self.expired_leases = 10_000, 0
+        self.heartbeat_connections: dict[str, set[str]] = {name: set() for name in self.names}
         self.jobs: dict[str, dict[str, Any]] = {}
-        self.lengths: dict[str, float] = {}
+        self.run_times: dict[str, float] = {}
         self.gangs: dict[tuple[str, int], Gang] = {}
-        self.saved: dict[str, float] = {}
-        self.lost_gangs, self.close_looks = 0, 0.0
-        self.mistaken: set[str] = set()
-        self.faulty: set[str] = set()
-        self.every_machine: dict[str, Machine] = {}
-        self.rules = Rules(self)
+        self.saved_progress: dict[str, float] = {}
+        self.gang_rollbacks, self.dense_polling_until = 0, 0.0
+        self.failing_jobs: set[str] = set()
+        self.faulty_machines: set[str] = set()
+        self.all_machines: dict[str, Machine] = {}
+        self.checker = RuleChecker(self)
         self.state = StateService(self)
         self.cloud = LoopbackCloud(self, capacity=8)
-        self.cloud.boot_s, self.cloud.never_up = 0.5, 0.0
+        self.cloud.boot_s, self.cloud.failed_boot_share = 0.5, 0.0
         self.to_cancel: set[str] = set()
         self.outcome = Outcome()
         self.wiped_at: float | None = None
         self.folder = Path(tempfile.mkdtemp())
-        self.state_port = self.listen(lambda method, path, body: self.state.ask("", method, path, body))
+        self.state_port = self.listen(lambda method, path, body: self.state.receive("", method, path, body))
         self.cloud_port = self.listen(lambda method, path, body: self.cloud.handle("", method, path, body))
         self.processes = {name: self.spawn(name) for name in self.names}
 
@@ -206,14 +206,14 @@
     def sockets(self, _name: str) -> int:
         return 0
 
-    def keeps_report_connection(self, _name: str) -> bool:
+    def keeps_heartbeat_connection(self, _name: str) -> bool:
         return True
 
     def gang_of(self, task: str, attempt: int) -> Gang | None:
         return self.gangs.get((split_task(task)[0], attempt))
 
-    def run_s(self, task: str) -> float:
-        return self.lengths.setdefault(task, self.jobs[split_task(task)[0]]["guessS"])
+    def run_time_s(self, task: str) -> float:
+        return self.run_times.setdefault(task, self.jobs[split_task(task)[0]]["guessS"])
 
     # -- controllers ---------------------------------------------------------------------
 
@@ -223,7 +223,9 @@
             for other in self.names
             if other != name
         )
-        text = SETTINGS.format(n=self.names.index(name), zone="a", peers=peers, value_kb=self.value_kb, coming="")
+        text = SETTINGS.format(
+            n=self.names.index(name), zone="a", peers=peers, value_kb=self.value_kb, upcoming_limits=""
+        )
         number = self.names.index(name)
         changes = {
             f"10.0.0.{number}:8080": self.public[name],
@@ -256,7 +258,7 @@
 
     # -- users ---------------------------------------------------------------------------
 
-    def _ask(self, ask: Any, told: Any, job: str) -> None:
+    def _request(self, ask: Any, told: Any, job: str) -> None:
         """Users over HTTP: `ask` is a request rather than a call of a node."""
         defer.ensureDeferred(self._ask_http(ask, told, job))
 
@@ -264,7 +266,7 @@
         method, path, body = ask
         while True:
             asked_at = self.now
-            self.rules.asked(job)
+            self.checker.request_sent(job)
             try:
                 address = self.public[self.random.choice(self.names)]
                 reply = await self.client.request(method, address, path, body, 2.0)
@@ -272,8 +274,8 @@
                 reply = Reply(503, None)
             if reply.status in (200, 201, 404):
                 answer = reply.body if reply.status != 404 else None
-                self.rules.told(job, answer, asked_at)
-                self.rules.answered(job)
+                self.checker.observe_status(job, answer, asked_at)
+                self.checker.request_answered(job)
                 told(job, answer)
                 return
             await self.sleep(POLL_S)
@@ -283,25 +285,27 @@
         self.clock.callLater(seconds, done.callback, None)
         return done
 
-    def _accepted(self, job: str, _result: Any) -> None:
+    def _on_accepted(self, job: str, _result: Any) -> None:
         if job in self.to_cancel:
             self.clock.callLater(CANCEL_AFTER_S, self.cancel, job)
         self._poll(job)
 
     def _poll(self, job: str) -> None:
-        if not self.rules.is_final(job):
-            self.clock.callLater(POLL_S, self._ask, self._question(job), lambda other, _: self._poll(other), job)
+        if not self.checker.is_final(job):
+            self.clock.callLater(
+                POLL_S, self._request, self._status_request(job), lambda other, _: self._poll(other), job
+            )
 
     @staticmethod
-    def _question(job: str) -> Any:
+    def _status_request(job: str) -> Any:
         return "GET", f"/v2/runs/{job}", None
 
-    def _submission(self, body: dict[str, Any]) -> Any:
+    def _submit_request(self, body: dict[str, Any]) -> Any:
         return "POST", "/v2/runs", body
 
     def cancel(self, job: str) -> None:
-        self.rules.cancelling(job)
-        self._ask(("POST", f"/v2/runs/{job}/cancel", {}), lambda *_: None, job)
+        self.checker.cancel_requested(job)
+        self._request(("POST", f"/v2/runs/{job}/cancel", {}), lambda *_: None, job)
 
     # -- the batch -------------------------------------------------------------------------
 
@@ -337,7 +341,7 @@
 
     def lose_state(self) -> None:
         self.wiped_at = self.now
-        self.starts_at_wipe = self.rules.starts
+        self.starts_at_wipe = self.checker.starts
         leader = self.leader()
         self.state.wipe()
         if self.options.kill_leader:
@@ -347,12 +351,12 @@
 
     def look(self) -> None:
         """Ends the run when all jobs have, or it takes too long."""
-        self.rules.check_cancelled()
+        self.checker.check_cancelled()
         awaited = self.wiped_at is not None and self.outcome.first_start_after_s is None
-        if awaited and self.rules.starts > self.starts_at_wipe:
+        if awaited and self.checker.starts > self.starts_at_wipe:
             self.outcome.first_start_after_s = round(self.now - self.wiped_at, 2)
         all_there = len(self.jobs) == self.options.jobs
-        if (all_there and all(self.rules.is_final(job) for job in self.jobs)) or self.now > self.options.longest_s:
+        if (all_there and all(self.checker.is_final(job) for job in self.jobs)) or self.now > self.options.longest_s:
             self.finish()
         else:
             self.clock.callLater(0.1, self.look)
@@ -362,9 +366,13 @@
             process.kill()
             process.wait()
         outcome = self.outcome
-        outcome.answers = {job: self.rules.last.get(job, "unanswered") for job in sorted(self.jobs)}
-        outcome.broken, outcome.starts, outcome.took_s = self.rules.broken, self.rules.starts, round(self.now, 1)
-        outcome.repeated = sorted(task for task, times in self.rules.starts_by_task.items() if times > 1)
+        outcome.answers = {job: self.checker.last_phase.get(job, "unanswered") for job in sorted(self.jobs)}
+        outcome.broken, outcome.starts, outcome.took_s = (
+            self.checker.violations,
+            self.checker.starts,
+            round(self.now, 1),
+        )
+        outcome.repeated = sorted(task for task, times in self.checker.starts_by_task.items() if times > 1)
         for name in self.names:
             text = (self.folder / f"{name}.log").read_text(errors="replace")
             outcome.rebuilt += [(float(s), int(n)) for s, n in REBUILT.findall(text)]
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -15,7 +15,7 @@
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import Client, ConnectionFailedError, NoResponseError, Reply
 from tests.loopback_cluster import LOCAL, LoopbackCloud, LoopbackCluster, LoopbackMachine
-from tests.simulation.deployment import TYPES, with_settings
+from tests.simulation.deployment import MACHINE_TYPES, with_settings
 from tests.simulation.workers import Machine
 from tests.soak.links import Fault, Links
 from tests.soak.plan import Plan, Trouble
@@ -65,30 +65,32 @@
 class SoakMachine(LoopbackMachine):
     """A worker whose links may fail."""
 
-    def __init__(self, world: "SoakCluster", name: str, *arguments: Any) -> None:
-        Machine.__init__(self, world, name, *arguments)
-        port = world.listen(lambda _method, _path, body: world.links.carry("leader", name, body, self._command(body)))
+    def __init__(self, cluster: "SoakCluster", name: str, *arguments: Any) -> None:
+        Machine.__init__(self, cluster, name, *arguments)
+        port = cluster.listen(
+            lambda _method, _path, body: cluster.links.carry("leader", name, body, self._command(body))
+        )
         self.address = f"{LOCAL}:{port}"
 
     def _command(self, body: Any) -> Any:
         def work() -> Reply:
-            if self.gone or not self.up or self.world.deaf.get(self.name, 0.0) > self.world.now:
+            if self.gone or not self.up or self.cluster.inbound_blocked.get(self.name, 0.0) > self.cluster.now:
                 raise NoResponseError("silence")
             return self.command(body)
 
         return work
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
-        return self.world.links.carry(self.name, target, body, lambda: self._report(target, body))
+        return self.cluster.links.carry(self.name, target, body, lambda: self._report(target, body))
 
     def _report(self, target: str, body: Any) -> defer.Deferred:
-        if self.world.mute.get(self.name, 0.0) > self.world.now:
+        if self.cluster.outbound_blocked.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
-        answered = self.world.client.request("POST", self.world.public[target], HEARTBEAT_PATH, body, 4.0)
+        answered = self.cluster.client.request("POST", self.cluster.public[target], HEARTBEAT_PATH, body, 4.0)
         return defer.ensureDeferred(answered).addCallback(self._unless_deaf)
 
     def _unless_deaf(self, reply: Reply) -> Reply:
-        if self.world.deaf.get(self.name, 0.0) > self.world.now:
+        if self.cluster.inbound_blocked.get(self.name, 0.0) > self.cluster.now:
             raise NoResponseError("silence")
         return reply
 
@@ -97,7 +99,7 @@
     """Rents workers whose links may fail."""
 
     def machine(self, name: str, kind: dict, zone: str, spot: bool) -> Machine:
-        return SoakMachine(self.world, name, kind, zone, spot)
+        return SoakMachine(self.cluster, name, kind, zone, spot)
 
 
 class SoakCluster(LoopbackCluster):
@@ -111,8 +113,8 @@
         self.result = Result(plan.seed)
         if plan.machines:
             self.REPORT_S, self.LEASE_S, self.CANCEL_S = self.MANY_REPORT_S, self.MANY_LEASE_S, self.MANY_CANCEL_S
-        self.deaf: dict[str, float] = {}
-        self.mute: dict[str, float] = {}
+        self.inbound_blocked: dict[str, float] = {}
+        self.outbound_blocked: dict[str, float] = {}
         self.ended_by_us: set[str] = set()
         self.troubled_until = 0.0
         self.links = Links(reactor, lambda: self.now, random.Random(f"links {plan.seed}"))
@@ -125,7 +127,7 @@
 
     def _make_cloud(self) -> SoakCloud:
         cloud = SoakCloud(self, capacity=max(8, self.plan.machines))
-        cloud.boot_s, cloud.never_up = 0.5, 0.0
+        cloud.boot_s, cloud.failed_boot_share = 0.5, 0.0
         return cloud
 
     # -- addresses: a port for each link, so that it is known who asks
@@ -142,7 +144,7 @@
         return f"{LOCAL}:{port}"
 
     def state_address(self, name: str) -> str:
-        return self._link(name, "state", lambda method, path, body: self.state.ask(name, method, path, body))
+        return self._link(name, "state", lambda method, path, body: self.state.receive(name, method, path, body))
 
     def cloud_address(self, name: str) -> str:
         return self._link(name, "cloud", lambda method, path, body: self.cloud.handle(name, method, path, body))
@@ -169,7 +171,7 @@
             reactor.callLater(0.1, self.begin)
             return
         for number in range(self.plan.machines):
-            machine = self.cloud.add(TYPES[0], "ab"[number % 2], True)
+            machine = self.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
             reactor.callLater(self.random.uniform(0.0, self.REPORT_S), machine.boot_once)
         self.began_at = self.now
         for number in range(int(self.plan.troubles_s / SUBMIT_S)):
@@ -200,7 +202,7 @@
         self.submit(body)
         return body["nameId"]
 
-    def _accepted(self, job: str, _result: Any) -> None:
+    def _on_accepted(self, job: str, _result: Any) -> None:
         self._poll(job)
 
     def _keep_asking(self) -> None:
@@ -208,8 +210,8 @@
         reactor.callLater(ASK_S, self._keep_asking)
         jobs = list(self.jobs)
         for job in self.random.sample(jobs, min(3, len(jobs))):
-            asks = [self._question(job), self._question(job), self._submission(self.jobs[job])]
-            if job in self.rules.cancels:
+            asks = [self._status_request(job), self._status_request(job), self._submit_request(self.jobs[job])]
+            if job in self.checker.cancel_requests:
                 asks.append(("POST", f"/v2/runs/{job}/cancel", {}))
             for name in self.names:
                 defer.ensureDeferred(self._look_once(name, self.random.choice(asks), job))
@@ -221,35 +223,36 @@
         except (ConnectionFailedError, NoResponseError):
             return
         if reply.status in (200, 201, 404):
-            self.rules.told(job, reply.body if reply.status != 404 else None, asked_at)
+            self.checker.observe_status(job, reply.body if reply.status != 404 else None, asked_at)
         elif reply.status in (400, 422):
             self.fail(f"{name} answers {reply.status} about {job}")
 
     def told_cancelled(self) -> None:
         """Counts what was confirmed while something was wrong."""
-        self.result.cancelled = len(self.rules.cancelled_at)
+        self.result.cancelled = len(self.checker.cancelled_at)
         until = self.began_at + self.troubled_until
-        self.result.cancelled_in_trouble = sum(1 for at in self.rules.cancelled_at.values() if at < until)
+        self.result.cancelled_in_trouble = sum(1 for at in self.checker.cancelled_at.values() if at < until)
 
     def _look_after(self) -> None:
         """Checks the rules, and ends the run when all jobs have ended, or it takes too long."""
-        self.rules.check_cancelled()
+        self.checker.check_cancelled()
         for name, process in self.processes.items():
             if process.poll() is not None and name not in self.ended_by_us:
                 self.fail(f"{name} ended by itself, code {process.returncode}")
         elapsed = self.now - self.began_at
-        self.rules.troubled_until = self.began_at + max(self.plan.ends_s, self.troubled_until)
-        self.rules.check_known()
+        self.checker.faults_until = self.began_at + max(self.plan.ends_s, self.troubled_until)
+        self.checker.check_answered()
         if elapsed > self.plan.ends_s + 1.0:
             self._end_long_jobs()
-            left = [job for job in self.jobs if not self.rules.is_final(job)]
+            left = [job for job in self.jobs if not self.checker.is_final(job)]
             if not left and elapsed > min(self.troubled_until, self.plan.ends_s + self.plan.settle_s):
                 self.finish()
                 return
             if elapsed > self.plan.ends_s + self.plan.settle_s:
                 if left:
                     self.fail(
-                        f"{len(left)} jobs have not ended: {[(job, self.rules.last.get(job)) for job in left[:5]]}"
+                        f"{len(left)} jobs have not ended: "
+                        f"{[(job, self.checker.last_phase.get(job)) for job in left[:5]]}"
                     )
                 self.finish()
                 return
@@ -257,7 +260,7 @@
 
     def _end_long_jobs(self) -> None:
         for job, body in list(self.jobs.items()):
-            if body["guessS"] == LONG_S and job not in self.rules.cancels:
+            if body["guessS"] == LONG_S and job not in self.checker.cancel_requests:
                 self.cancel(job)
 
     def fail(self, what: str) -> None:
@@ -269,16 +272,16 @@
         for process in self.processes.values():
             process.kill()
             process.wait()
-        result, rules = self.result, self.rules
+        result, checker = self.result, self.checker
         self.told_cancelled()
-        result.failures += rules.broken[:20]
-        result.jobs, result.starts, result.took_s = len(self.jobs), rules.starts, round(self.now, 1)
-        result.longest_part = round(rules.longest_after_cancel_s / self.CANCEL_S, 3)
+        result.failures += checker.violations[:20]
+        result.jobs, result.starts, result.took_s = len(self.jobs), checker.starts, round(self.now, 1)
+        result.longest_part = round(checker.longest_after_cancel_s / self.CANCEL_S, 3)
         result.refused_by_token, result.refused_by_session = (
-            rules.refused_starts["token"],
-            rules.refused_starts["session"],
+            checker.refused_starts["token"],
+            checker.refused_starts["epoch"],
         )
-        result.sessions_lost, result.messages_hit = self.sessions_lost, self.links.hit
+        result.sessions_lost, result.messages_hit = self.expired_leases, self.links.hit
         result.folder = str(self.folder)
         self._read_logs()
         reactor.stop()
@@ -362,13 +365,13 @@
     def _refuse_leader(self, trouble: Trouble) -> None:
         name = self.leader()
         if name is not None:
-            self.state.refuses[name] = self.now + trouble.for_s
+            self.state.refused_until[name] = self.now + trouble.for_s
 
     def _store_out(self, trouble: Trouble) -> None:
         self.state.outage(trouble.for_s)
 
     def _store_slow(self, trouble: Trouble) -> None:
-        self.state.slow = self.now + trouble.for_s, trouble.most_s
+        self.state.slow_responses = self.now + trouble.for_s, trouble.most_s
 
     def _writes_lost(self, trouble: Trouble) -> None:
         self.state.late_writes = self.now + trouble.for_s, trouble.share, self.random.random() < 0.5
@@ -387,17 +390,17 @@
     @staticmethod
     def _wake(machine: Machine) -> None:
         machine.hung = False
-        machine.lapse()
+        machine.check_lease()
 
     def _deaf(self, trouble: Trouble) -> None:
-        self.deaf |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        self.inbound_blocked |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
 
     def _mute(self, trouble: Trouble) -> None:
-        self.mute |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        self.outbound_blocked |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
 
     def _spot_wave(self, trouble: Trouble) -> None:
         for machine in [machine for machine in self._some_machines(trouble) if machine.spot]:
-            machine.notice = self.now + 2.0
+            machine.preempted_at = self.now + 2.0
             reactor.callLater(2.0, self._taken, machine)
 
     def _taken(self, machine: Machine) -> None:
@@ -405,7 +408,7 @@
         machine.die()
 
     def _cancel_running(self, trouble: Trouble) -> None:
-        running = list(dict.fromkeys(records.split_task(task)[0] for task in self.rules.where))
+        running = list(dict.fromkeys(records.split_task(task)[0] for task in self.checker.machine_by_task))
         for job in self.random.sample(running, min(trouble.count, len(running))):
             self.cancel(job)
 
