--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -6,7 +6,7 @@
 
 from tests.simulation.network import Hold
 from tests.simulation.world import World
-from tests.test_rules import finish
+from tests.test_rules import run_until_jobs_end
 
 VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
 
@@ -79,7 +79,7 @@
 
     def teardown(self) -> None:
         if hasattr(self, "world"):
-            finish(self.world)
+            run_until_jobs_end(self.world)
             assert self.world.rules.broken == []
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -15,20 +15,20 @@
 from tests.simulation.workers import Machine
 from tests.simulation.world import World
 from tests.test_rules import (
-    burst,
-    crash_all_at_once,
+    block_traffic_to_machines,
     crash_leader,
-    deaf_machines,
-    finish,
-    hang,
-    late_copies,
-    leader_cut_from_state,
-    load,
-    machines_cut,
-    machines_die,
+    crash_machines,
+    duplicate_messages,
+    hang_two_machines,
     outage,
-    spot_wave,
-    zone_with_leader_cut_off,
+    partition_leader_from_state_service,
+    partition_machines,
+    partition_zone_of_leader,
+    reclaim_spot_machines,
+    restart_all_controllers,
+    run_until_jobs_end,
+    submit_burst,
+    submit_mixed_jobs,
 )
 
 
@@ -121,7 +121,7 @@
     if moment == "stopping":
         when(world, running, take_back_one)
     met = when(world, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
-    finish(world, 300)
+    run_until_jobs_end(world, 300)
     assert met
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
@@ -154,7 +154,7 @@
     while not commits:
         world.run(0.5)
     assert {len(launches), len(world.gangs)} == {0} or stored != "in part"
-    finish(world, 200)
+    run_until_jobs_end(world, 200)
     assert world.rules.broken == []
     assert world.rules.last["j-000001"] == "done"
     # Taken back: a second attempt. Started in part: the first goes on.
@@ -193,28 +193,32 @@
 
 TROUBLES: dict[str, list[Callable[[World], None]]] = {
     "quiet": [],
-    "machines die": [machines_die, machines_die],
-    "machines hang past the lease": [hang(20.0), crash_leader],
-    "machines hang shortly": [hang(2.0), hang(5.0)],
-    "machines hear nothing": [deaf_machines(8.0), deaf_machines(40.0)],
-    "machines cut off, late copies": [late_copies, machines_cut, crash_leader],
-    "outage, then all crash": [outage, crash_all_at_once],
-    "leader cut from the state service, spot wave": [leader_cut_from_state, spot_wave, burst],
-    "zone with the leader cut off": [zone_with_leader_cut_off],
+    "machines die": [crash_machines, crash_machines],
+    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
+    "machines hang shortly": [hang_two_machines(2.0), hang_two_machines(5.0)],
+    "machines hear nothing": [block_traffic_to_machines(8.0), block_traffic_to_machines(40.0)],
+    "machines cut off, late copies": [duplicate_messages, partition_machines, crash_leader],
+    "outage, then all crash": [outage, restart_all_controllers],
+    "leader cut from the state service, spot wave": [
+        partition_leader_from_state_service,
+        reclaim_spot_machines,
+        submit_burst,
+    ],
+    "zone with the leader cut off": [partition_zone_of_leader],
 }
 
 
 @pytest.mark.parametrize("name", TROUBLES)
 def test_day_with_gangs(name: str) -> None:
     world = World(seed=50 + len(name), loss=0.004)
-    load(world, jobs=12)
+    submit_mixed_jobs(world, jobs=12)
     gang_load(world, count=10)
     for number, trouble in enumerate(TROUBLES[name]):
         world.clock.callLater(33.0 + 9.0 * number, trouble, world)
     world.clock.callLater(34.0, world.cancel, "j-000101")
     world.clock.callLater(45.0, world.cancel, "j-000104")
     world.rules.troubled_until = 110.0
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
@@ -229,7 +233,7 @@
     world.run(45)
     assert [g.running_since is not None for g in world.gangs.values()] == [True]
     world.submit(world.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
-    finish(world, 250)
+    run_until_jobs_end(world, 250)
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
     assert world.lost_gangs == 0
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -16,7 +16,7 @@
 from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
 from tests.simulation.world import World
-from tests.test_rules import crash_leader, finish, load, outage
+from tests.test_rules import crash_leader, outage, run_until_jobs_end, submit_mixed_jobs
 from tests.test_upgrade import stored_spec
 from tests.versions import LAST_FORMAT_1, NEW, from_history
 
@@ -62,7 +62,7 @@
     counted = count_changes(world)
     for number in range(30):
         world.clock.callLater(number * 1.0, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=8.0))
-    finish(world)
+    run_until_jobs_end(world)
     jobs = {kind: count for kind, count in counted.items() if "active" in kind or "final" in kind or "tasks" in kind}
     assert set(world.rules.last.values()) == {"done"}
     assert world.rules.broken == []
@@ -119,7 +119,7 @@
     world.run(8)
     assert world.rules.starts == starts
     assert len(world.rules.where) == 12
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
 
@@ -131,7 +131,7 @@
     run_until_started(world, 40)
     assert records.INLINE_CHUNK in world.state.items["active/j-000001"][0]
     world.state.value_bytes = 1024
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert world.rules.last == {"j-000001": "done"}
     world.run(20)
@@ -143,7 +143,7 @@
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
     world = World(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or NEW)
-    load(world, jobs=24)
+    submit_mixed_jobs(world, jobs=24)
     for number in range(200, 240):
         world.clock.callLater(0.8 * number - 150, world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=12.0))
     for number in (205, 212, 219, 226, 233):
@@ -161,7 +161,7 @@
     world.clock.callLater(3.0, crash_leader, world)
     world.clock.callLater(14.0, outage, world)
     world.rules.troubled_until = world.now + 40.0
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
@@ -220,7 +220,7 @@
     world.cancel("j-000001")
     world.run(0.5)
     crash_leader(world)
-    finish(world)
+    run_until_jobs_end(world)
     world.run(30)
     assert world.rules.where == {}
     assert world.rules.broken == []
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -8,7 +8,7 @@
 from tests.simulation.world import World
 from tests.test_inline_records import count_changes
 from tests.test_overlapping_faults import all_away, boots, cancel_now, close_looks, late_writes, many_questions, outage
-from tests.test_rules import crash_leader, finish, load, spot_wave
+from tests.test_rules import crash_leader, reclaim_spot_machines, run_until_jobs_end, submit_mixed_jobs
 
 Trouble = Callable[[World], None]
 
@@ -93,8 +93,12 @@
 
 
 DAYS: dict[str, list[tuple[float, Trouble]]] = {
-    "boots late or never": [(0.0, boots(60.0, 0.3, 0.4, 0.0)), (1.0, spot_wave)],
-    "boots late or never, the leader ends": [(0.0, boots(60.0, 0.3, 0.4, 0.0)), (1.0, spot_wave), (20.0, crash_leader)],
+    "boots late or never": [(0.0, boots(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)],
+    "boots late or never, the leader ends": [
+        (0.0, boots(60.0, 0.3, 0.4, 0.0)),
+        (1.0, reclaim_spot_machines),
+        (20.0, crash_leader),
+    ],
     "all silent for a minute": [(0.0, all_away(65.0))],
     "cancelled, and all silent for a minute": [(0.0, cancel_now(4)), (0.4, all_away(65.0)), (66.0, close_looks(20.0))],
     "stands still for seconds": [(0.0, stand_still(5.0)), (12.0, stand_still(3.0))],
@@ -104,7 +108,7 @@
     "stands still at its commits": [(0.0, stand_still_at_commits)],
     "stands still at its commits, jobs cancelled": [(0.0, stand_still_at_commits), (4.0, cancel_now(4))],
     "stands still while it decides": [(0.0, stand_still_while_deciding)],
-    "stands still while it decides, machines taken": [(0.0, stand_still_while_deciding), (3.0, spot_wave)],
+    "stands still while it decides, machines taken": [(0.0, stand_still_while_deciding), (3.0, reclaim_spot_machines)],
     "many questions": [(0.0, many_questions)],
     "many questions, an outage": [(0.0, many_questions), (20.0, outage(12.0))],
     "guests": [(0.0, guests)],
@@ -118,11 +122,11 @@
 
 def play(name: str, seed: int) -> World:
     world = World(seed=seed, loss=0.002, capacity=6)
-    load(world, jobs=18)
+    submit_mixed_jobs(world, jobs=18)
     for at, trouble in DAYS[name]:
         world.clock.callLater(35.0 + at, trouble, world)
     world.rules.troubled_until = 35.0 + 100.0
-    finish(world)
+    run_until_jobs_end(world)
     return world
 
 
@@ -138,10 +142,10 @@
     taken: list[float] = []
     for trouble in ([], [(0.0, guests)]):
         world = World(seed=17, loss=0.0, capacity=6)
-        load(world, jobs=18)
+        submit_mixed_jobs(world, jobs=18)
         for at, start in trouble:
             world.clock.callLater(20.0 + at, start, world)
-        finish(world)
+        run_until_jobs_end(world)
         assert world.rules.broken == []
         others = [job for job in world.jobs if world.jobs[job]["crew"] != "guest"]
         taken.append(sum(world.rules.final_at[job] - world.rules.submitted_at[job] for job in others) / len(others))
@@ -165,7 +169,7 @@
     term = world.nodes[world.leader()].leader
     assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
     world.cancel("j-000900")
-    finish(world, 60)
+    run_until_jobs_end(world, 60)
     assert world.rules.last["j-000900"] == "aborted"
     assert world.rules.broken == []
 
@@ -173,7 +177,7 @@
 def test_polls_do_not_starve_the_leader_or_submissions() -> None:
     """Users ask forty times a second; what they submit meanwhile is accepted, and begins."""
     world = World(seed=19, loss=0.0)
-    load(world, jobs=8, every=1.0)
+    submit_mixed_jobs(world, jobs=8, every=1.0)
     world.run(30)
     many_questions(world)
     for number in range(100, 110):
@@ -182,7 +186,7 @@
     late = [f"j-{n:06d}" for n in range(100, 110)]
     assert all(world.rules.accepted_at[job] - world.rules.submitted_at[job] < 2.0 for job in late)
     assert all(world.rules.begun_at[job] - world.rules.submitted_at[job] < 20.0 for job in late)
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
 
 
@@ -211,6 +215,6 @@
     world.run(2)
     assert not term.lease.active
     assert sent == []
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert world.rules.last == {"j-000001": "done"}
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -12,7 +12,7 @@
 from tests.simulation.deployment import TYPES
 from tests.simulation.workers import Machine
 from tests.simulation.world import World
-from tests.test_rules import crash_leader, finish, hang_machines, load, spot_wave
+from tests.test_rules import crash_leader, hang_machines, reclaim_spot_machines, run_until_jobs_end, submit_mixed_jobs
 
 CANCEL_S = World.CANCEL_S
 
@@ -544,11 +544,11 @@
 def play(name: str, seed: int) -> World:
     troubles, over_s = DAYS[name]
     world = World(seed=seed, loss=0.003)
-    load(world)
+    submit_mixed_jobs(world)
     for seconds, trouble in troubles:
         world.clock.callLater(34.0 + seconds, trouble, world)
     world.rules.troubled_until = 34.0 + over_s
-    finish(world)
+    run_until_jobs_end(world)
     return world
 
 
@@ -572,7 +572,7 @@
 def test_many_questions_share_reads_and_leave_the_store_to_the_leader() -> None:
     """Two hundred questions a second are answered with a few reads; each read begins after its questions came."""
     world = World(seed=3, loss=0.0)
-    load(world, jobs=12, every=0.5)
+    submit_mixed_jobs(world, jobs=12, every=0.5)
     world.run(20)
     ask, asked, answers = world.state.ask, [0], []
     told = world.rules.told
@@ -630,7 +630,7 @@
             world.clock.advance(0.01)
     # It has been read again; were it carried out now, its placements would come on top of what follows.
     assert handle(*late[0]).status == 409
-    finish(world, 120)
+    run_until_jobs_end(world, 120)
     assert world.rules.broken == []
     assert world.rules.last["j-000001"] == "done"
 
@@ -854,7 +854,7 @@
     world.run(200)  # all is done, and machines go back
     assert term.boots.unreliable_offers() == set()
     assert "a" in rented_zones(40, 8)
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
 
 
@@ -874,15 +874,15 @@
         return ask(caller, method, path, body)
 
     world.state.ask = asking  # type: ignore[method-assign]
-    load(world, jobs=18)
+    submit_mixed_jobs(world, jobs=18)
     for number in range(18):
         # Enough images that a machine's record changes again and again.
         world.clock.callLater(3.0 * number, world.submit, world.job(100 + number, pieces=2, bundle=f"img-{number}"))
     for at in (30.0, 52.0, 74.0):
         world.clock.callLater(at, crash_leader, world)
-    world.clock.callLater(60.0, spot_wave, world)
+    world.clock.callLater(60.0, reclaim_spot_machines, world)
     world.rules.troubled_until = 110.0
-    finish(world)
+    run_until_jobs_end(world)
     assert len(held) >= 3
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
@@ -911,5 +911,5 @@
         assert term.boots.unreliable_offers() == set()
         assert before <= set(world.cloud.machines)
         assert len(world.cloud.machines) <= len(before) + 3
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,7 @@
 from tests.simulation.world import World
 
 
-def load(world: World, jobs: int = 24, every: float = 3.0) -> None:
+def submit_mixed_jobs(world: World, jobs: int = 24, every: float = 3.0) -> None:
     """A mix of classes, teams and constraints, spread over the first minute or so."""
     for number in range(jobs):
         kind = number % 6
@@ -35,7 +35,7 @@
         world.clock.callLater(1.0 + number * every, world.submit, world.job(number, **changes))
 
 
-def finish(world: World, seconds: float = 400.0) -> None:
+def run_until_jobs_end(world: World, seconds: float = 400.0) -> None:
     """Runs until all users know how their jobs ended."""
     end = world.now + seconds
     wanted = [job for job in world.jobs if job not in world.rules.impossible]
@@ -56,27 +56,27 @@
         world.kill(name)
 
 
-def crash_all(world: World) -> None:
+def crash_all_controllers(world: World) -> None:
     for name in world.names:
         world.kill(name, 4.0)
 
 
-def crash_all_at_once(world: World) -> None:
+def restart_all_controllers(world: World) -> None:
     for name in world.names:
         world.kill(name, 0.2)
 
 
-def crash_all_in_outage(world: World) -> None:
+def crash_all_controllers_in_outage(world: World) -> None:
     world.state.outage(12.0)
-    crash_all(world)
+    crash_all_controllers(world)
 
 
-def roll(world: World) -> None:
+def rolling_restart(world: World) -> None:
     for number, name in enumerate(world.names):
         world.clock.callLater(number * 8.0, world.kill, name, 0.3)
 
 
-def restart_in_election(world: World) -> None:
+def restart_during_elections(world: World) -> None:
     """The leader dies and each node restarts within a fraction of a second, again and again."""
     for number in range(6):
         world.clock.callLater(number * 0.7, world.kill, world.names[number % 3], 0.2)
@@ -86,30 +86,30 @@
     world.state.outage(20.0)
 
 
-def leader_refused(world: World) -> None:
+def refuse_leader(world: World) -> None:
     name = world.leader()
     if name is not None:
         world.state.refuses[name] = world.now + 25.0
 
 
-def leader_cut_from_state(world: World) -> None:
+def partition_leader_from_state_service(world: World) -> None:
     world.cut(world.leader() or "node-0", "state", 15.0, hold=True)
 
 
-def leader_cut_from_workers(world: World) -> None:
+def partition_leader_from_workers(world: World) -> None:
     name = world.leader() or "node-0"
     for machine in list(world.cloud.machines):
         world.cut(name, machine, 25.0, hold=True)
 
 
-def leader_cut_from_most_workers(world: World) -> None:
+def partition_leader_from_most_workers(world: World) -> None:
     """As in an incident at Bluebonnet: some machines are still heard, so the leader does not doubt itself."""
     name = world.leader() or "node-0"
     for machine in list(world.cloud.machines)[1:]:
         world.cut(name, machine, 30.0, hold=True)
 
 
-def spot_wave(world: World) -> None:
+def reclaim_spot_machines(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.spot][::2]:
         machine.notice = world.now + 6.0
 
@@ -120,7 +120,7 @@
         world.clock.callLater(6.0, taken)
 
 
-def machines_die(world: World) -> None:
+def crash_machines(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
         machine.die()
 
@@ -136,11 +136,11 @@
         machine.world.clock.callLater(seconds, on)
 
 
-def hang(seconds: float) -> Callable[[World], None]:
+def hang_two_machines(seconds: float) -> Callable[[World], None]:
     return lambda world: hang_machines([m for m in world.cloud.machines.values() if m.up][:2], seconds)
 
 
-def machines_cut(world: World) -> None:
+def partition_machines(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
         for name in world.names:
             world.cut(name, machine.name, 10.0, hold=True)
@@ -150,11 +150,11 @@
     world.cloud.down_until = world.now + 25.0
 
 
-def faulty_machine(world: World) -> None:
+def make_machine_faulty(world: World) -> None:
     world.faulty.update([m.name for m in world.cloud.machines.values() if m.up][:1])
 
 
-def deaf_machines(seconds: float) -> Callable[[World], None]:
+def block_traffic_to_machines(seconds: float) -> Callable[[World], None]:
     """Their reports arrive, but answers and commands don't reach them."""
 
     def start(world: World) -> None:
@@ -164,18 +164,18 @@
     return start
 
 
-def late_copies(world: World) -> None:
+def duplicate_messages(world: World) -> None:
     world.copies = 0.3
 
 
-def leader_alone_with_its_workers(world: World) -> None:
+def isolate_leader_with_workers(world: World) -> None:
     """No state service and no peers, but all workers; meanwhile users cancel with the others."""
     name = world.leader() or "node-0"
     for other in ["state", *(n for n in world.names if n != name)]:
         world.cut(name, other, 60.0, hold=True)
 
 
-def zone_with_leader_cut_off(world: World) -> None:
+def partition_zone_of_leader(world: World) -> None:
     """The leader and half of the machines on one side, all the rest on the other; nothing can be returned."""
     name = world.leader() or "node-0"
     inside = [name, *(m.name for m in world.cloud.machines.values() if m.zone == "a")]
@@ -203,23 +203,23 @@
             world.freeze(name, 14.0)
 
 
-def freeze_in_elections(world: World) -> None:
+def freeze_during_elections(world: World) -> None:
     """The leader stands still and each node after it, a moment after it was elected or while it is."""
     for number in range(24):
-        world.clock.callLater(number * 0.35, freeze_now_and_then, world, number)
+        world.clock.callLater(number * 0.35, freeze_leader_or_candidate, world, number)
 
 
-def freeze_now_and_then(world: World, number: int) -> None:
+def freeze_leader_or_candidate(world: World, number: int) -> None:
     name = world.leader() or world.names[number % 3]
     if number % 2 == 0 and world.frozen.get(name, 0.0) <= world.now:
         world.freeze(name, world.random.uniform(1.0, 6.0))
 
 
-def peers_refuse(world: World) -> None:
+def refuse_peer_connections(world: World) -> None:
     world.peers_refuse = world.now + 40.0
 
 
-def most_machines_at_once(world: World) -> None:
+def fail_most_machines(world: World) -> None:
     """Some die, some hang, some are cut off, and half of the spot machines are taken back."""
     up = [m for m in world.cloud.machines.values() if m.up]
     for machine in up[::4]:
@@ -227,60 +227,60 @@
     for machine in up[1::4]:
         for name in world.names:
             world.cut(name, machine.name, 18.0, hold=True)
-    hang(15.0)(world)
-    spot_wave(world)
+    hang_two_machines(15.0)(world)
+    reclaim_spot_machines(world)
 
 
-def burst(world: World) -> None:
+def submit_burst(world: World) -> None:
     for number in range(12):
         world.submit(world.job(500 + number, pieces=4, vcpus=2.0, guessS=6.0, crew=("core", "edge")[number % 2]))
 
 
-def machines_restart(world: World) -> None:
+def restart_machines(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.up][:3]:
         machine.restart()
 
 
-TROUBLES: dict[str, list[Callable[[World], None]]] = {
+FAULT_SEQUENCES: dict[str, list[Callable[[World], None]]] = {
     "quiet": [],
     "leader crashes": [crash_leader, crash_leader],
-    "all crash in an outage": [crash_all_in_outage],
-    "roll in a wave": [roll, spot_wave],
-    "restarts in elections": [restart_in_election, restart_in_election],
+    "all crash in an outage": [crash_all_controllers_in_outage],
+    "roll in a wave": [rolling_restart, reclaim_spot_machines],
+    "restarts in elections": [restart_during_elections, restart_during_elections],
     "outage, then crash": [outage, crash_leader],
-    "leader refused by the state service": [leader_refused, machines_die],
-    "leader cut from the state service": [leader_cut_from_state, crash_leader],
-    "leader cut from the workers": [leader_cut_from_workers, spot_wave],
-    "leader cut from most workers": [leader_cut_from_most_workers],
-    "machines hang past the lease": [hang(20.0), crash_leader],
-    "machines hang just short of the lease": [hang(10.0), crash_leader],
-    "machines cut off and cloud down": [cloud_outage, machines_cut],
-    "machines hear nothing, shorter than a lease": [deaf_machines(8.0), crash_leader],
-    "machines hear nothing, longer than a lease": [deaf_machines(40.0), crash_leader],
-    "copies come late": [late_copies, crash_leader, spot_wave, roll],
-    "copies come late, machines hang": [late_copies, hang(20.0), crash_all],
-    "leader alone with its workers": [leader_alone_with_its_workers],
-    "leader alone, then others crash": [leader_alone_with_its_workers, spot_wave, crash_leader],
-    "zone with the leader cut off, cloud down": [zone_with_leader_cut_off],
-    "machines restart at once": [machines_restart, machines_restart, restart_in_election],
+    "leader refused by the state service": [refuse_leader, crash_machines],
+    "leader cut from the state service": [partition_leader_from_state_service, crash_leader],
+    "leader cut from the workers": [partition_leader_from_workers, reclaim_spot_machines],
+    "leader cut from most workers": [partition_leader_from_most_workers],
+    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
+    "machines hang just short of the lease": [hang_two_machines(10.0), crash_leader],
+    "machines cut off and cloud down": [cloud_outage, partition_machines],
+    "machines hear nothing, shorter than a lease": [block_traffic_to_machines(8.0), crash_leader],
+    "machines hear nothing, longer than a lease": [block_traffic_to_machines(40.0), crash_leader],
+    "copies come late": [duplicate_messages, crash_leader, reclaim_spot_machines, rolling_restart],
+    "copies come late, machines hang": [duplicate_messages, hang_two_machines(20.0), crash_all_controllers],
+    "leader alone with its workers": [isolate_leader_with_workers],
+    "leader alone, then others crash": [isolate_leader_with_workers, reclaim_spot_machines, crash_leader],
+    "zone with the leader cut off, cloud down": [partition_zone_of_leader],
+    "machines restart at once": [restart_machines, restart_machines, restart_during_elections],
     "leader stands still": [freeze_leader, crash_leader],
-    "leader stands still, copies come late": [late_copies, burst, freeze_leader, spot_wave],
+    "leader stands still, copies come late": [duplicate_messages, submit_burst, freeze_leader, reclaim_spot_machines],
     "leader stands still while the store is down": [outage, freeze_leader],
     "standbys stand still, then the leader dies": [freeze_standbys, crash_leader],
-    "nodes stand still in elections": [freeze_in_elections, burst, freeze_in_elections],
-    "all crash under a burst, back at once": [burst, crash_all_at_once, burst, roll],
-    "most machines at once, cloud down": [burst, most_machines_at_once, cloud_outage],
-    "most machines at once, leader cut off": [most_machines_at_once, leader_cut_from_state, crash_leader],
-    "peers refuse, leader cut from the workers": [peers_refuse, leader_cut_from_workers, crash_leader],
-    "faulty machine, machines die": [faulty_machine, machines_die, crash_leader],
+    "nodes stand still in elections": [freeze_during_elections, submit_burst, freeze_during_elections],
+    "all crash under a burst, back at once": [submit_burst, restart_all_controllers, submit_burst, rolling_restart],
+    "most machines at once, cloud down": [submit_burst, fail_most_machines, cloud_outage],
+    "most machines at once, leader cut off": [fail_most_machines, partition_leader_from_state_service, crash_leader],
+    "peers refuse, leader cut from the workers": [refuse_peer_connections, partition_leader_from_workers, crash_leader],
+    "faulty machine, machines die": [make_machine_faulty, crash_machines, crash_leader],
 }
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_day(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_SEQUENCES)
+def test_rules_hold_under_a_sequence_of_faults(name: str) -> None:
     world = World(seed=len(name), loss=0.004)
-    load(world)
-    for number, trouble in enumerate(TROUBLES[name]):
+    submit_mixed_jobs(world)
+    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
         world.clock.callLater(35.0 + 9.0 * number, trouble, world)
     for number in (2, 8, 15):
         world.clock.callLater(20.0 + 3 * number, world.cancel, f"j-{number:06d}")
@@ -288,28 +288,28 @@
         # These fall into the trouble; whoever tells it must be right.
         world.clock.callLater(48.0 + number / 2, world.cancel, f"j-{number:06d}")
     world.rules.troubled_until = 110.0
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     unfinished = [job for job in world.jobs if not world.rules.is_final(job)]
     assert unfinished == []
     assert world.rules.starts > 38
 
 
-def test_a_mistaken_job_blocks_nobody() -> None:
+def test_a_job_that_always_fails_does_not_block_other_jobs() -> None:
     world = World(seed=5)
     world.mistaken.add("j-000900")
     world.submit(world.job(900, pieces=6, urgency="urgent"))
-    load(world, jobs=10)
+    submit_mixed_jobs(world, jobs=10)
     world.run(150)
     others = [job for job in world.jobs if job != "j-000900"]
     assert all(world.rules.last.get(job) == "done" for job in others)
     world.cancel("j-000900")
-    finish(world, 60)
+    run_until_jobs_end(world, 60)
     assert world.rules.last["j-000900"] == "aborted"
     assert world.rules.broken == []
 
 
-def test_a_slow_machine_is_emptied_and_returned() -> None:
+def test_a_slow_machine_is_drained_and_released() -> None:
     world = World(seed=16, loss=0.0)
     for number in range(12):
         world.clock.callLater(1.0 + 6 * number, world.submit, world.job(number, pieces=8, vcpus=2.0, guessS=8.0))
@@ -317,21 +317,21 @@
     slow = next(iter(world.rules.where.values())).name
     plain = world.run_s
     world.run_s = lambda name: plain(name) * (5 if name in world.every_machine[slow].tasks else 1)  # type: ignore
-    world.lengths = SameLength()
-    finish(world)
+    world.lengths = FixedTaskLength()
+    run_until_jobs_end(world)
     assert slow not in world.cloud.machines
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
 
 
-class SameLength(dict):
+class FixedTaskLength(dict):
     """All tasks take eight seconds on a good machine."""
 
     def setdefault(self, _name: str, _length: float) -> float:  # type: ignore[override]
         return 8.0
 
 
-def test_a_service_runs_until_it_is_cancelled() -> None:
+def test_a_standing_job_runs_until_it_is_cancelled() -> None:
     world = World(seed=17)
     world.submit(world.job(1, shape="standing", pieces=3, guessS=1000.0))
     world.clock.callLater(60.0, crash_leader, world)
@@ -345,7 +345,7 @@
     assert world.rules.broken == []
 
 
-def test_a_large_job_is_one_record_until_its_tasks_start() -> None:
+def test_a_large_job_is_stored_as_few_records_until_its_tasks_start() -> None:
     world = World(seed=6)
     world.submit(world.job(1, pieces=100_000, vcpus=1.0, guessS=600.0))
     world.run(60)
@@ -359,7 +359,7 @@
     assert [key for key in world.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
-def overloaded(jobs: int) -> World:
+def overloaded_world(jobs: int) -> World:
     """Two machines, more pressing work for many times what they can do, and some jobs that may wait."""
     world = World(seed=18, loss=0.0)
     world.cloud.most = 2
@@ -382,9 +382,9 @@
     return world
 
 
-def test_old_jobs_begin_under_a_lasting_overload() -> None:
+def test_aged_jobs_start_under_sustained_overload() -> None:
     """The widest too: their age brings them forward, and what they begin is not stopped again."""
-    world = overloaded(8)
+    world = overloaded_world(8)
     world.run(400)
     world.rules.check_served()
     waits = [world.rules.begun_at[f"j-{n:06d}"] - world.rules.submitted_at[f"j-{n:06d}"] for n in range(8)]
@@ -393,9 +393,9 @@
     assert [line for line in world.rules.broken if "quick" not in line and "team" not in line] == []
 
 
-def test_a_crowd_of_wide_jobs_begins_after_machines_are_lost() -> None:
+def test_many_wide_jobs_start_in_time_after_machines_are_lost() -> None:
     """More than two machines can begin in what is left of 240 s once jobs are old: their age counts earlier."""
-    world = overloaded(36)
+    world = overloaded_world(36)
     world.cloud.most = 4
 
     def lose_half() -> None:
@@ -410,10 +410,10 @@
     assert [line for line in world.rules.broken if "not_served" not in line] == []
 
 
-def test_the_checker_sees_unserved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_starved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without ageing the overload keeps old jobs out; a node that answers no question about one job forgets it."""
     monkeypatch.setattr(PendingJobs, "_is_aged", lambda *_: False)
-    world = overloaded(4)
+    world = overloaded_world(4)
 
     plain = Admission.status
 
@@ -431,7 +431,7 @@
     assert all("j-000001" in line for line in world.rules.broken if "forgotten" in line)
 
 
-def test_a_machine_that_hears_nothing_gets_nothing_and_is_used_again() -> None:
+def test_a_machine_that_receives_no_answers_gets_no_tasks_until_it_is_reachable_again() -> None:
     """Being heard is not being reachable."""
     world = World(seed=19, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=90.0))
@@ -452,7 +452,7 @@
     assert world.rules.broken == []
 
 
-def test_late_copies_show_no_sign_of_life() -> None:
+def test_duplicate_heartbeats_do_not_count_as_signs_of_life() -> None:
     """A copy renews nothing, and a peer that gets one does not say that it hears the machine."""
     world = World(seed=20, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=60.0))
@@ -487,7 +487,7 @@
     assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
 
-def test_a_stopped_attempt_stays_known_while_repeats_of_its_start_may_come() -> None:
+def test_a_stopped_attempt_is_remembered_while_duplicates_of_its_start_may_arrive() -> None:
     world = World(seed=21, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=80.0))
     world.lengths["j-000001/0"] = 200.0
@@ -507,7 +507,7 @@
     assert world.rules.where["j-000001/0"].name != name
 
 
-def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
+def test_the_renewal_grace_ends_within_the_cancellation_bound() -> None:
     for lease_s, heartbeat_s, cancel_s in ((19.0, 3.0, 44.0), (10.0, 1.0, 30.0), (12.0, 2.0, 12.0)):
         workers = Workers(heartbeat_s, lease_s, cancel_s)
         grace_s = renewal_grace(workers, 0.1 * lease_s, STATE_TIMEOUT_S)
@@ -515,17 +515,17 @@
         assert grace_s == 0 or grace_s + lease_s < cancel_s
 
 
-def test_the_checker_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_task_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the wait for a silent machine's lease the checker must object."""
     monkeypatch.setattr(WorkerLeases, "has_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
     world = World(seed=7)
-    load(world)
-    world.clock.callLater(35.0, hang(10.0), world)
-    finish(world, 120)
+    submit_mixed_jobs(world)
+    world.clock.callLater(35.0, hang_two_machines(10.0), world)
+    run_until_jobs_end(world, 120)
     assert any("ran_twice" in line for line in world.rules.broken)
 
 
-def test_the_leader_hears_of_cancellations_after_a_failed_attempt_to_read_all_jobs() -> None:
+def test_the_watch_resumes_after_a_failed_full_read_of_the_jobs() -> None:
     """Its watch was too old, and reading all jobs anew was refused: it used to end for good."""
     world = World(seed=23, loss=0.0)
     world.submit(world.job(1, guessS=100.0))
@@ -551,7 +551,7 @@
     assert world.rules.broken == []
 
 
-class StrictLock:
+class NonReentrantLock:
     """A lock that objects where a real one would wait for itself for ever."""
 
     def __init__(self) -> None:
@@ -565,12 +565,12 @@
         self.held = False
 
 
-def test_a_job_that_is_over_before_anything_of_it_was_stored_is_let_go() -> None:
+def test_a_job_that_ends_before_its_first_write_is_removed() -> None:
     """Nothing is to be written of it, so that its end follows at once, while the ledger still holds the lock."""
     world = World(seed=24, loss=0.0)
     world.run(12)
     term = world.nodes[world.leader()].leader
-    term.lock = StrictLock()
+    term.lock = NonReentrantLock()
     job = Job(messages.parse_job(world.job(7)), world.now, 24)
     job.end_phase = EndPhase.CANCELLED
     job.chunk_of(0).dirty = True
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,14 @@
 from stileloft.store.limits import StoreLimits
 from tests.simulation.world import World
 from tests.test_gangs import gang, gang_load
-from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
+from tests.test_rules import (
+    crash_leader,
+    crash_machines,
+    outage,
+    reclaim_spot_machines,
+    run_until_jobs_end,
+    submit_mixed_jobs,
+)
 from tests.versions import LAST_LEGACY, NEW, Version, from_history, production
 
 PRODUCTION_DAY = Path(__file__).parent / "production.json"
@@ -65,7 +72,7 @@
 def play_day(version: Version, **more: Any) -> World:
     """A day of arrays, with one job of many tasks, on controllers of one version."""
     world = World(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
-    load(world, jobs=12, every=2.0)
+    submit_mixed_jobs(world, jobs=12, every=2.0)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
     return world
 
@@ -154,7 +161,7 @@
     version = production()
     if version is not None:
         assert read_jobs(version, items, 16.0) == read
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
 
@@ -164,7 +171,7 @@
 def test_old_and_new_lead_in_turn(seed: int) -> None:
     """Take-overs in the middle of placements, stops and completions; then all are new, and the limits come."""
     world = World(seed=70 + seed, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS, version=production() or NEW)
-    load(world, jobs=30)
+    submit_mixed_jobs(world, jobs=30)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
     wanted = [True, False, True, False]
     leaders: list[bool] = []
@@ -184,8 +191,8 @@
 
     world.clock.callLater(24.0, world.kill, "node-0", 0.5, NEW)
     world.clock.callLater(28.0, turn)
-    world.clock.callLater(33.0, spot_wave, world)
-    world.clock.callLater(46.0, machines_die, world)
+    world.clock.callLater(33.0, reclaim_spot_machines, world)
+    world.clock.callLater(46.0, crash_machines, world)
     for number in (2, 8, 15):
         world.clock.callLater(34.0 + number, world.cancel, f"j-{number:06d}")
     # One dies and comes back old before its turn, then the rest of the roll.
@@ -201,7 +208,7 @@
     gang_load(world, count=6)
     world.clock.callLater(15.0, crash_leader, world)
     world.rules.troubled_until = world.now + 20.0
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert world.state.refused_sizes == 0
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
@@ -225,7 +232,7 @@
     world.run(5)
     crash_leader(world)
     world.cancel("j-000701")
-    finish(world, 400)
+    run_until_jobs_end(world, 400)
     assert world.rules.broken == []
     assert world.state.refused_sizes == 0
     assert world.rules.last == {"j-000700": "done", "j-000701": "aborted"}
@@ -253,17 +260,17 @@
 def test_a_day_under_limits_that_come_without_notice() -> None:
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
     world = World(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
-    load(world, jobs=18)
+    submit_mixed_jobs(world, jobs=18)
     gang_load(world, count=8)
     world.submit(world.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
     world.submit(gang(world, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
     world.clock.callLater(30.0, world.lower_limits)
-    for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, machines_die), (80.0, crash_leader)):
+    for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, crash_machines), (80.0, crash_leader)):
         world.clock.callLater(at, trouble, world)
     for number in (2, 8, 15):
         world.clock.callLater(45.0 + number, world.cancel, f"j-{number:06d}")
     world.rules.troubled_until = 110.0
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert world.state.refused_sizes == 0
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
@@ -272,11 +279,11 @@
 def test_a_change_that_is_refused_for_its_size_is_split_and_repeated() -> None:
     """The limits become lower than was announced."""
     world = World(seed=93, loss=0.0, value_kb=16.0)
-    load(world, jobs=12)
+    submit_mixed_jobs(world, jobs=12)
     world.submit(world.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
     world.coming = LOWER_LIMITS
     world.clock.callLater(30.0, world.lower_limits)
-    finish(world)
+    run_until_jobs_end(world)
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
     assert 0 < world.state.refused_sizes < 20
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -56,24 +56,24 @@
 
 FAULTS: tuple[Fault, ...] = (
     single.crash_leader,
-    single.crash_all,
-    single.restart_in_election,
+    single.crash_all_controllers,
+    single.restart_during_elections,
     single.outage,
-    single.leader_refused,
-    single.leader_cut_from_state,
-    single.leader_cut_from_workers,
-    single.spot_wave,
-    single.machines_die,
-    single.hang(9.0),
-    single.hang(20.0),
-    single.machines_cut,
+    single.refuse_leader,
+    single.partition_leader_from_state_service,
+    single.partition_leader_from_workers,
+    single.reclaim_spot_machines,
+    single.crash_machines,
+    single.hang_two_machines(9.0),
+    single.hang_two_machines(20.0),
+    single.partition_machines,
     single.cloud_outage,
-    single.faulty_machine,
-    single.deaf_machines(9.0),
-    single.late_copies,
+    single.make_machine_faulty,
+    single.block_traffic_to_machines(9.0),
+    single.duplicate_messages,
     single.freeze_leader,
-    single.peers_refuse,
-    single.machines_restart,
+    single.refuse_peer_connections,
+    single.restart_machines,
     overlapping.late_writes(12.0, 0.4),
     overlapping.late_writes(12.0, 0.4, at_once=True),
     overlapping.slow_store(12.0),
@@ -213,7 +213,7 @@
 
 def _submit_jobs(world: World) -> None:
     """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
-    single.load(world, jobs=14, every=2.5)
+    single.submit_mixed_jobs(world, jobs=14, every=2.5)
     gang_load(world, count=5, every=7.0)
     world.clock.callLater(6.0, world.submit, gang(world, 300, pieces=3, loaner=True))
     world.clock.callLater(9.0, world.submit, world.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
