--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -7,7 +7,15 @@
 from stileloft.controller.controller import Controller
 from tests.simulation.world import World
 from tests.test_inline_records import count_changes
-from tests.test_overlapping_faults import all_away, boots, cancel_now, close_looks, late_writes, many_questions, outage
+from tests.test_overlapping_faults import (
+    cancel_running_jobs,
+    delay_writes,
+    flood_with_queries,
+    outage,
+    query_all_after_answers,
+    set_boot_failures,
+    stop_all_controllers,
+)
 from tests.test_rules import crash_leader, reclaim_spot_machines, run_until_jobs_end, submit_mixed_jobs
 
 Trouble = Callable[[World], None]
@@ -93,27 +101,35 @@
 
 
 DAYS: dict[str, list[tuple[float, Trouble]]] = {
-    "boots late or never": [(0.0, boots(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)],
+    "boots late or never": [(0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)],
     "boots late or never, the leader ends": [
-        (0.0, boots(60.0, 0.3, 0.4, 0.0)),
+        (0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)),
         (1.0, reclaim_spot_machines),
         (20.0, crash_leader),
     ],
-    "all silent for a minute": [(0.0, all_away(65.0))],
-    "cancelled, and all silent for a minute": [(0.0, cancel_now(4)), (0.4, all_away(65.0)), (66.0, close_looks(20.0))],
+    "all silent for a minute": [(0.0, stop_all_controllers(65.0))],
+    "cancelled, and all silent for a minute": [
+        (0.0, cancel_running_jobs(4)),
+        (0.4, stop_all_controllers(65.0)),
+        (66.0, query_all_after_answers(20.0)),
+    ],
     "stands still for seconds": [(0.0, stand_still(5.0)), (12.0, stand_still(3.0))],
-    "stands still while jobs are cancelled": [(0.0, stand_still(5.0)), (0.5, cancel_now(5)), (9.0, cancel_now(2))],
+    "stands still while jobs are cancelled": [
+        (0.0, stand_still(5.0)),
+        (0.5, cancel_running_jobs(5)),
+        (9.0, cancel_running_jobs(2)),
+    ],
     "stands still in elections": [(0.0, stand_still_in_elections), (15.0, stand_still_in_elections)],
-    "stands still in elections, transactions late": [(0.0, late_writes(25.0, 0.2)), (2.0, stand_still_in_elections)],
+    "stands still in elections, transactions late": [(0.0, delay_writes(25.0, 0.2)), (2.0, stand_still_in_elections)],
     "stands still at its commits": [(0.0, stand_still_at_commits)],
-    "stands still at its commits, jobs cancelled": [(0.0, stand_still_at_commits), (4.0, cancel_now(4))],
+    "stands still at its commits, jobs cancelled": [(0.0, stand_still_at_commits), (4.0, cancel_running_jobs(4))],
     "stands still while it decides": [(0.0, stand_still_while_deciding)],
     "stands still while it decides, machines taken": [(0.0, stand_still_while_deciding), (3.0, reclaim_spot_machines)],
-    "many questions": [(0.0, many_questions)],
-    "many questions, an outage": [(0.0, many_questions), (20.0, outage(12.0))],
+    "many questions": [(0.0, flood_with_queries)],
+    "many questions, an outage": [(0.0, flood_with_queries), (20.0, outage(12.0))],
     "guests": [(0.0, guests)],
     "guests, the leader ends": [(0.0, guests), (25.0, crash_leader)],
-    "guests, all silent for a minute": [(0.0, guests), (30.0, all_away(62.0))],
+    "guests, all silent for a minute": [(0.0, guests), (30.0, stop_all_controllers(62.0))],
     "mistaken jobs": [(0.0, mistaken_jobs)],
     "mistaken jobs, the leader ends": [(0.0, mistaken_jobs), (15.0, crash_leader)],
     "mistaken jobs, a faulty machine": [(0.0, mistaken_jobs), (2.0, faulty_machine)],
@@ -179,7 +195,7 @@
     world = World(seed=19, loss=0.0)
     submit_mixed_jobs(world, jobs=8, every=1.0)
     world.run(30)
-    many_questions(world)
+    flood_with_queries(world)
     for number in range(100, 110):
         world.clock.callLater(2.0 * (number - 99), world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=2.0))
     world.run(40)
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -18,10 +18,10 @@
 
 # -- troubles ----------------------------------------------------------------------------------------------------
 
-Trouble = Callable[[World], None]
+Fault = Callable[[World], None]
 
 
-def long_jobs(world: World, jobs: int = 9) -> None:
+def submit_long_jobs(world: World, jobs: int = 9) -> None:
     """Work that is still running when the troubles are over."""
     for number in range(jobs):
         world.clock.callLater(
@@ -31,11 +31,11 @@
         )
 
 
-def some_machines(world: World, part: int = 2) -> list:
+def every_nth_machine(world: World, part: int = 2) -> list:
     return [m for m in world.cloud.machines.values() if m.up][::part]
 
 
-def nothing(world: World) -> None:
+def no_fault(world: World) -> None:
     pass
 
 
@@ -45,83 +45,83 @@
         world.state.refuses[name] = world.now + seconds
 
 
-def watch_over_cancellations(world: World, seconds: float) -> None:
+def run_checking_cancellations(world: World, seconds: float) -> None:
     end = world.now + seconds
     while world.now < end:
         world.run(0.25)
         world.rules.check_cancelled()
 
 
-def outage(seconds: float) -> Trouble:
+def outage(seconds: float) -> Fault:
     return lambda world: world.state.outage(seconds)
 
 
-def slow_store(seconds: float, longest_s: float = 0.6) -> Trouble:
+def slow_state_service(seconds: float, longest_s: float = 0.6) -> Fault:
     def start(world: World) -> None:
         world.state.slow = world.now + seconds, longest_s
 
     return start
 
 
-def late_writes(seconds: float, share: float, at_once: bool = False) -> Trouble:
+def delay_writes(seconds: float, share: float, at_once: bool = False) -> Fault:
     def start(world: World) -> None:
         world.state.late_writes = world.now + seconds, share, at_once
 
     return start
 
 
-def close_looks(seconds: float) -> Trouble:
+def query_all_after_answers(seconds: float) -> Fault:
     def start(world: World) -> None:
         world.close_looks = world.now + seconds
 
     return start
 
 
-def reports_for_the_next(seconds: float) -> Trouble:
+def replay_heartbeats_to_next_leader(seconds: float) -> Fault:
     def start(world: World) -> None:
         world.keep_for_next = world.now + seconds
 
     return start
 
 
-def held_commands(seconds: float, longest_s: float = 9.0) -> Trouble:
+def delay_commands(seconds: float, longest_s: float = 9.0) -> Fault:
     def start(world: World) -> None:
         world.slow_commands = world.now + seconds, longest_s
 
     return start
 
 
-def boots(seconds: float, never: float, late: float, boot_s: float) -> Trouble:
+def set_boot_failures(seconds: float, never: float, late: float, boot_s: float) -> Fault:
     def start(world: World) -> None:
         world.cloud.boots_until, world.cloud.boots = world.now + seconds, (never, late, boot_s)
 
     return start
 
 
-def silence(which: str, seconds: float, part: int = 2) -> Trouble:
+def block_one_direction(which: str, seconds: float, part: int = 2) -> Fault:
     """Machines that hear nothing (`deaf`), or reach no controller (`mute`)."""
 
     def start(world: World) -> None:
-        for machine in some_machines(world, part):
+        for machine in every_nth_machine(world, part):
             getattr(world, which)[machine.name] = world.now + seconds
 
     return start
 
 
-def hang_all(seconds: float, part: int = 2) -> Trouble:
-    return lambda world: hang_machines(some_machines(world, part), seconds)
+def hang_every_nth_machine(seconds: float, part: int = 2) -> Fault:
+    return lambda world: hang_machines(every_nth_machine(world, part), seconds)
 
 
-def cut_machines(seconds: float, part: int = 3) -> Trouble:
+def partition_every_nth_machine(seconds: float, part: int = 3) -> Fault:
     def start(world: World) -> None:
-        for machine in some_machines(world, part):
+        for machine in every_nth_machine(world, part):
             for name in world.names:
                 world.cut(name, machine.name, seconds, hold=True)
 
     return start
 
 
-def cancel_now(count: int, hang_s: float = 0.0) -> Trouble:
+def cancel_running_jobs(count: int, hang_s: float = 0.0) -> Fault:
     """Users call off jobs that run, within a fifth of a second; some of their machines hang."""
 
     def start(world: World) -> None:
@@ -135,7 +135,7 @@
     return start
 
 
-def cancel_at_end(world: World) -> None:
+def cancel_at_completion(world: World) -> None:
     """For a minute, jobs are called off at the moment at which their last task ends."""
     completed = world.rules.completed
 
@@ -150,7 +150,7 @@
     world.clock.callLater(60.0, setattr, world.rules, "completed", completed)
 
 
-def hand_over(times: int, apart_s: float) -> Trouble:
+def restart_leaders(times: int, apart_s: float) -> Fault:
     """The leadership goes to and fro: whoever leads ends, and is back at once."""
 
     def start(world: World) -> None:
@@ -165,7 +165,7 @@
     return start
 
 
-def leader_alone(seconds: float) -> Trouble:
+def isolate_leader_with_workers(seconds: float) -> Fault:
     """No state service and no peers, but all its workers and users."""
 
     def start(world: World) -> None:
@@ -176,7 +176,7 @@
     return start
 
 
-def zone_cut(seconds: float, zone: str = "a") -> Trouble:
+def partition_zone(seconds: float, zone: str = "a") -> Fault:
     def start(world: World) -> None:
         inside = ["node-1", "node-2"] if zone == "a" else ["node-0"]
         inside += [m.name for m in world.cloud.machines.values() if m.zone == zone]
@@ -193,7 +193,7 @@
     return start
 
 
-def all_away(seconds: float) -> Trouble:
+def stop_all_controllers(seconds: float) -> Fault:
     def start(world: World) -> None:
         for name in world.names:
             world.kill(name, seconds)
@@ -201,19 +201,19 @@
     return start
 
 
-def one_returns(world: World) -> None:
+def restart_controllers_one_by_one(world: World) -> None:
     """All end, and one returns at once, the others later."""
     for number, name in enumerate(world.names):
         world.kill(name, 0.3 + 6.0 * number)
 
 
-def full_teams(world: World) -> None:
+def exhaust_team_quotas(world: World) -> None:
     """Every team is at its limit, with more waiting."""
     for number in range(16):
         world.submit(world.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
 
 
-def small_jobs(world: World) -> None:
+def submit_one_task_jobs(world: World) -> None:
     """One-task jobs, four a second for a minute; a quarter is cancelled soon."""
     for number in range(240):
         job = world.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
@@ -222,23 +222,23 @@
             world.clock.callLater(number / 4 + world.random.uniform(1.0, 8.0), world.cancel, job["nameId"])
 
 
-def zone_jobs(world: World) -> None:
+def submit_zone_bound_jobs(world: World) -> None:
     """Jobs bound to a zone, to one zone together, or to both by halves."""
     for number, bound in enumerate([{"yard": "a"}, {"together": True}, {"spread": True}, {"yard": "b"}] * 3):
         changes: dict = {"pieces": 5, "vcpus": 2.0, "guessS": 30.0, "crew": ("core", "edge")[number % 2]} | bound
         world.submit(world.job(700 + number, **changes))
 
 
-def machines_die(world: World) -> None:
-    for machine in some_machines(world, 3):
+def crash_machines(world: World) -> None:
+    for machine in every_nth_machine(world, 3):
         machine.die()
 
 
-def refused_then(seconds: float) -> Trouble:
+def refuse_leader_for(seconds: float) -> Fault:
     return lambda world: refuse_leader(world, seconds)
 
 
-def odd_requests(world: World) -> None:
+def submit_infeasible_and_repeated_jobs(world: World) -> None:
     """Jobs that no machine or team can take, and repeats of what is known, over all nodes."""
     odd = [
         {"vcpus": 64.0},
@@ -261,7 +261,7 @@
                 world.clock.callLater(0.3, world._look, name, world._submission(world.jobs[job]), job)
 
 
-def many_questions(world: World) -> None:
+def flood_with_queries(world: World) -> None:
     """Users ask fifty times as often, for a minute."""
     for number in range(2400):
         job = world.random.choice(list(world.jobs))
@@ -271,9 +271,11 @@
 # -- the gap: a leader refused alone, cancellations confirmed by others, then an outage for all ----------------
 
 
-def gap(seed: int, apart_s: float, trouble: Trouble, outage_s: float = CANCEL_S + 12.0, twice: bool = False) -> World:
+def run_outage_after_cancellations(
+    seed: int, apart_s: float, trouble: Fault, outage_s: float = CANCEL_S + 12.0, twice: bool = False
+) -> World:
     world = World(seed=seed, loss=0.002)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     assert len(world.rules.where) > 15
     for first in (0,) if not twice else (0, 4):
@@ -282,33 +284,39 @@
         for number in range(first, first + 4):
             world.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), world.cancel, f"j-{number:06d}")
         world.clock.callLater(apart_s, world.state.outage, outage_s)
-        watch_over_cancellations(world, apart_s + outage_s + 25.0)
+        run_checking_cancellations(world, apart_s + outage_s + 25.0)
     return world
 
 
 @pytest.mark.parametrize(
     "trouble",
-    [nothing, hang_all(9.0), cut_machines(9.0, 2), silence("deaf", 9.0), silence("mute", 9.0)],
+    [
+        no_fault,
+        hang_every_nth_machine(9.0),
+        partition_every_nth_machine(9.0, 2),
+        block_one_direction("deaf", 9.0),
+        block_one_direction("mute", 9.0),
+    ],
     ids=["none", "hang", "cut off", "deaf", "mute"],
 )
 @pytest.mark.parametrize("apart_s", [0.24, 0.8, 1.3, 1.6, 2.4, 3.6])
-def test_the_gap(apart_s: float, trouble: Trouble) -> None:
+def test_cancellations_unseen_by_the_leader_end_tasks_in_time_despite_an_outage(apart_s: float, trouble: Fault) -> None:
     """What users were told is cancelled is gone in time, though its leader never hears of it while it answers."""
-    world = gap(int(apart_s * 10), apart_s, trouble)
+    world = run_outage_after_cancellations(int(apart_s * 10), apart_s, trouble)
     assert world.rules.cancelled_at
     assert world.rules.broken == []
 
 
-def test_the_gap_twice_in_a_row() -> None:
-    world = gap(5, 1.0, nothing, twice=True)
+def test_cancellations_unseen_by_the_leader_and_an_outage_twice_in_a_row() -> None:
+    world = run_outage_after_cancellations(5, 1.0, no_fault, twice=True)
     assert len(world.rules.cancelled_at) >= 4
     assert world.rules.broken == []
 
 
-def graces_in_a_row(seed: int, wait_s: float) -> World:
+def run_short_leaderships_before_outage(seed: int, wait_s: float) -> World:
     """Standbys are elected and end at once, until the outage comes that long after an election."""
     world = World(seed=seed, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     refuse_leader(world)
     for number in range(4):
@@ -323,24 +331,24 @@
             world.clock.callLater(wait_s, world.state.outage, CANCEL_S + 12.0)
 
     world.on_leader.append(on_leader)
-    watch_over_cancellations(world, CANCEL_S + 40.0)
+    run_checking_cancellations(world, CANCEL_S + 40.0)
     assert len(elected) >= 4
     return world
 
 
 @pytest.mark.parametrize("wait_s", [0.012, 0.4])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_graces_are_not_added_up(seed: int, wait_s: float) -> None:
+def test_renewal_graces_of_successive_leaders_do_not_add_up(seed: int, wait_s: float) -> None:
     """The last has read the store or not; workers go from one leader that can't ask to another."""
-    world = graces_in_a_row(seed, wait_s)
+    world = run_short_leaderships_before_outage(seed, wait_s)
     assert len(world.rules.cancelled_at) == 4
     assert world.rules.broken == []
 
 
-def test_a_leader_whose_watch_fails_answers_no_longer_than_its_grace() -> None:
+def test_a_leader_with_a_failed_watch_renews_leases_only_for_its_grace() -> None:
     """Its lease is renewed all the time, but it hears of no cancellation."""
     world = World(seed=4, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     leader, ask = world.leader(), world.state.ask
 
@@ -353,196 +361,273 @@
     world.run(6)  # a watch that was open before has ended
     for number in range(4):
         world.cancel(f"j-{number:06d}")
-    watch_over_cancellations(world, CANCEL_S + 30.0)
+    run_checking_cancellations(world, CANCEL_S + 30.0)
     assert len(world.rules.cancelled_at) == 4
     assert world.rules.broken == []
 
 
-def test_the_checker_sees_a_leader_that_answers_without_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_unbounded_lease_renewal(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Leader, "may_renew_worker_leases", lambda _: True)
-    broken = [line for seed in (1, 2, 3) for line in graces_in_a_row(seed, 0.012).rules.broken]
+    broken = [line for seed in (1, 2, 3) for line in run_short_leaderships_before_outage(seed, 0.012).rules.broken]
     assert any("ran_cancelled" in line for line in broken)
 
 
 # -- the other meetings: a day for each --------------------------------------------------------------------------
 
-Day = tuple[list[tuple[float, Trouble]], float]
+FaultSchedule = tuple[list[tuple[float, Fault]], float]
 """Troubles, each with its time, and when all are over."""
 
-DAYS: dict[str, Day] = {
-    "all controllers away for longer than a lease": ([(0.0, all_away(15.0)), (2.0, full_teams)], 60.0),
+FAULT_SCHEDULES: dict[str, FaultSchedule] = {
+    "all controllers away for longer than a lease": (
+        [(0.0, stop_all_controllers(15.0)), (2.0, exhaust_team_quotas)],
+        60.0,
+    ),
     "more work than room over slow links": (
-        [(0.0, full_teams), (1.0, slow_store(40.0)), (2.0, held_commands(30.0, 3.0)), (10.0, crash_leader)],
+        [
+            (0.0, exhaust_team_quotas),
+            (1.0, slow_state_service(40.0)),
+            (2.0, delay_commands(30.0, 3.0)),
+            (10.0, crash_leader),
+        ],
         60.0,
     ),
     "a report is held back until a new leader has acted": (
-        [(0.0, reports_for_the_next(20.0)), (1.0, cut_machines(9.0)), (8.0, crash_leader), (16.0, crash_leader)],
+        [
+            (0.0, replay_heartbeats_to_next_leader(20.0)),
+            (1.0, partition_every_nth_machine(9.0)),
+            (8.0, crash_leader),
+            (16.0, crash_leader),
+        ],
         50.0,
     ),
     "the store is slow while users cancel and ask": (
-        [(0.0, slow_store(50.0, 1.2)), (1.0, close_looks(60.0)), (5.0, cancel_now(3)), (20.0, cancel_now(3))],
+        [
+            (0.0, slow_state_service(50.0, 1.2)),
+            (1.0, query_all_after_answers(60.0)),
+            (5.0, cancel_running_jobs(3)),
+            (20.0, cancel_running_jobs(3)),
+        ],
         70.0,
     ),
     "the store is slow, then refuses the leader, then all": (
         [
-            (0.0, slow_store(10.0, 1.2)),
-            (4.0, refused_then(12.0)),
-            (4.4, cancel_now(4)),
+            (0.0, slow_state_service(10.0, 1.2)),
+            (4.0, refuse_leader_for(12.0)),
+            (4.4, cancel_running_jobs(4)),
             (5.6, outage(34.0)),
-            (0.0, close_looks(60.0)),
+            (0.0, query_all_after_answers(60.0)),
         ],
         70.0,
     ),
     "teams at their limits, machines hang, the leader changes": (
-        [(0.0, full_teams), (12.0, hang_all(10.0)), (12.5, cancel_now(5)), (13.0, crash_leader)],
+        [
+            (0.0, exhaust_team_quotas),
+            (12.0, hang_every_nth_machine(10.0)),
+            (12.5, cancel_running_jobs(5)),
+            (13.0, crash_leader),
+        ],
         60.0,
     ),
     "teams at their limits, machines cut off, the leader changes": (
-        [(0.0, full_teams), (12.0, cut_machines(20.0, 2)), (12.5, crash_leader), (12.7, cancel_now(6))],
+        [
+            (0.0, exhaust_team_quotas),
+            (12.0, partition_every_nth_machine(20.0, 2)),
+            (12.5, crash_leader),
+            (12.7, cancel_running_jobs(6)),
+        ],
         70.0,
     ),
     "a zone with workers and controllers is cut off": (
-        [(0.0, zone_cut(25.0)), (3.0, cancel_now(4)), (20.0, cancel_now(2))],
+        [(0.0, partition_zone(25.0)), (3.0, cancel_running_jobs(4)), (20.0, cancel_running_jobs(2))],
         70.0,
     ),
     "leaders change ten times": (
-        [(0.0, hand_over(10, 4.0)), (1.0, cancel_now(2)), (9.0, cancel_now(2)), (18.0, cancel_now(3))],
+        [
+            (0.0, restart_leaders(10, 4.0)),
+            (1.0, cancel_running_jobs(2)),
+            (9.0, cancel_running_jobs(2)),
+            (18.0, cancel_running_jobs(3)),
+        ],
         80.0,
     ),
     "leaders change inside an outage": (
-        [(0.0, outage(20.0)), (1.0, hand_over(5, 4.0)), (19.0, hand_over(5, 1.0)), (19.5, cancel_now(4))],
+        [
+            (0.0, outage(20.0)),
+            (1.0, restart_leaders(5, 4.0)),
+            (19.0, restart_leaders(5, 1.0)),
+            (19.5, cancel_running_jobs(4)),
+        ],
         70.0,
     ),
     "leaders change within tenths of a second": (
-        [(0.0, hand_over(12, 0.7)), (0.5, cancel_now(3)), (3.0, close_looks(20.0)), (4.0, cancel_now(3))],
+        [
+            (0.0, restart_leaders(12, 0.7)),
+            (0.5, cancel_running_jobs(3)),
+            (3.0, query_all_after_answers(20.0)),
+            (4.0, cancel_running_jobs(3)),
+        ],
         60.0,
     ),
     "an old report reaches all as a new leader begins": (
         [
-            (0.0, reports_for_the_next(30.0)),
-            (6.0, refused_then(20.0)),
-            (6.5, silence("mute", 6.0)),
-            (20.0, hang_all(8.0)),
+            (0.0, replay_heartbeats_to_next_leader(30.0)),
+            (6.0, refuse_leader_for(20.0)),
+            (6.5, block_one_direction("mute", 6.0)),
+            (20.0, hang_every_nth_machine(8.0)),
             (21.0, crash_leader),
         ],
         60.0,
     ),
     "a leader alone with its workers, cancellations elsewhere": (
-        [(0.0, leader_alone(40.0)), (2.0, cancel_now(4)), (10.0, cancel_now(3))],
+        [(0.0, isolate_leader_with_workers(40.0)), (2.0, cancel_running_jobs(4)), (10.0, cancel_running_jobs(3))],
         80.0,
     ),
     "only the answer is lost while others read": (
-        [(0.0, late_writes(40.0, 0.3, at_once=True)), (0.0, close_looks(40.0)), (8.0, cancel_now(4))],
+        [
+            (0.0, delay_writes(40.0, 0.3, at_once=True)),
+            (0.0, query_all_after_answers(40.0)),
+            (8.0, cancel_running_jobs(4)),
+        ],
         70.0,
     ),
     "close looks at everything": (
-        [(0.0, close_looks(60.0)), (5.0, full_teams), (9.0, cancel_now(5)), (10.0, crash_leader)],
+        [
+            (0.0, query_all_after_answers(60.0)),
+            (5.0, exhaust_team_quotas),
+            (9.0, cancel_running_jobs(5)),
+            (10.0, crash_leader),
+        ],
         70.0,
     ),
-    "jobs bound to zones lose machines": ([(0.0, zone_jobs), (20.0, machines_die), (26.0, machines_die)], 50.0),
+    "jobs bound to zones lose machines": (
+        [(0.0, submit_zone_bound_jobs), (20.0, crash_machines), (26.0, crash_machines)],
+        50.0,
+    ),
     "jobs bound to zones, a zone cut off": (
-        [(0.0, zone_jobs), (18.0, zone_cut(15.0, "b")), (22.0, machines_die)],
+        [(0.0, submit_zone_bound_jobs), (18.0, partition_zone(15.0, "b")), (22.0, crash_machines)],
         60.0,
     ),
     "a command or its answer is held up": (
         [
-            (0.0, held_commands(40.0)),
-            (3.0, cancel_now(4)),
-            (12.0, full_teams),
+            (0.0, delay_commands(40.0)),
+            (3.0, cancel_running_jobs(4)),
+            (12.0, exhaust_team_quotas),
             (20.0, crash_leader),
-            (22.0, cancel_now(4)),
+            (22.0, cancel_running_jobs(4)),
         ],
         70.0,
     ),
     "a cancellation meets the end of the last task": (
-        [(0.0, cancel_at_end), (0.0, close_looks(60.0)), (2.0, full_teams)],
+        [(0.0, cancel_at_completion), (0.0, query_all_after_answers(60.0)), (2.0, exhaust_team_quotas)],
         70.0,
     ),
-    "one-task jobs four a second": ([(0.0, small_jobs), (30.0, crash_leader)], 80.0),
+    "one-task jobs four a second": ([(0.0, submit_one_task_jobs), (30.0, crash_leader)], 80.0),
     "at the limit, machines can't be asked, a cancellation, a new leader": (
         [
-            (0.0, full_teams),
-            (14.0, silence("deaf", 15.0)),
+            (0.0, exhaust_team_quotas),
+            (14.0, block_one_direction("deaf", 15.0)),
             (15.0, crash_leader),
-            (15.3, cancel_now(5)),
+            (15.3, cancel_running_jobs(5)),
             (24.0, crash_leader),
         ],
         70.0,
     ),
     "boots within two seconds while writes lag, the leader ends": (
         [
-            (0.0, boots(40.0, 0.0, 0.0, 1.2)),
-            (0.5, late_writes(30.0, 0.3)),
-            (1.0, full_teams),
+            (0.0, set_boot_failures(40.0, 0.0, 0.0, 1.2)),
+            (0.5, delay_writes(30.0, 0.3)),
+            (1.0, exhaust_team_quotas),
             (3.5, crash_leader),
             (8.0, crash_leader),
-            (12.0, machines_die),
+            (12.0, crash_machines),
         ],
         70.0,
     ),
     "boots that are late or never end": (
-        [(0.0, boots(60.0, 0.25, 0.25, 0.0)), (1.0, full_teams), (10.0, machines_die)],
+        [(0.0, set_boot_failures(60.0, 0.25, 0.25, 0.0)), (1.0, exhaust_team_quotas), (10.0, crash_machines)],
         90.0,
     ),
     "transactions carried out late": (
         [
-            (0.0, late_writes(40.0, 0.25)),
-            (3.0, full_teams),
-            (8.0, cancel_now(3)),
+            (0.0, delay_writes(40.0, 0.25)),
+            (3.0, exhaust_team_quotas),
+            (8.0, cancel_running_jobs(3)),
             (16.0, crash_leader),
-            (24.0, cancel_now(3)),
+            (24.0, cancel_running_jobs(3)),
         ],
         80.0,
     ),
     "transactions carried out late, zones": (
         [
-            (0.0, zone_jobs),
-            (0.2, late_writes(40.0, 0.3)),
-            (8.0, machines_die),
-            (20.0, cancel_now(3)),
-            (20.0, close_looks(30.0)),
+            (0.0, submit_zone_bound_jobs),
+            (0.2, delay_writes(40.0, 0.3)),
+            (8.0, crash_machines),
+            (20.0, cancel_running_jobs(3)),
+            (20.0, query_all_after_answers(30.0)),
         ],
         80.0,
     ),
     "a leader ends while machines can't be reached": (
-        [(0.0, cut_machines(14.0, 2)), (1.0, crash_leader), (20.0, silence("deaf", 14.0)), (21.0, crash_leader)],
+        [
+            (0.0, partition_every_nth_machine(14.0, 2)),
+            (1.0, crash_leader),
+            (20.0, block_one_direction("deaf", 14.0)),
+            (21.0, crash_leader),
+        ],
         60.0,
     ),
     "an old report after newer ones, from an earlier session": (
         [
             (0.0, lambda world: setattr(world, "copies", 0.3)),
-            (4.0, hang_all(14.0)),
+            (4.0, hang_every_nth_machine(14.0)),
             (10.0, crash_leader),
             (30.0, lambda world: setattr(world, "copies", 0.0)),
         ],
         80.0,
     ),
     "all end and one returns": (
-        [(0.0, one_returns), (8.0, one_returns), (8.4, cancel_now(3)), (12.0, crash_leader)],
+        [
+            (0.0, restart_controllers_one_by_one),
+            (8.0, restart_controllers_one_by_one),
+            (8.4, cancel_running_jobs(3)),
+            (12.0, crash_leader),
+        ],
         60.0,
     ),
     "machines mute while commands reach them": (
-        [(0.0, silence("mute", 18.0)), (2.0, cancel_now(4)), (6.0, crash_leader)],
+        [(0.0, block_one_direction("mute", 18.0)), (2.0, cancel_running_jobs(4)), (6.0, crash_leader)],
         60.0,
     ),
     "jobs cancelled while the work changes hands": (
-        [(0.0, crash_leader), *((0.2 + 0.35 * n, cancel_now(1)) for n in range(9)), (2.0, close_looks(20.0))],
+        [
+            (0.0, crash_leader),
+            *((0.2 + 0.35 * n, cancel_running_jobs(1)) for n in range(9)),
+            (2.0, query_all_after_answers(20.0)),
+        ],
         50.0,
     ),
     "odd requests in a hand-over": (
-        [(0.0, odd_requests), (1.0, hand_over(3, 2.0)), (2.0, odd_requests), (5.0, odd_requests)],
+        [
+            (0.0, submit_infeasible_and_repeated_jobs),
+            (1.0, restart_leaders(3, 2.0)),
+            (2.0, submit_infeasible_and_repeated_jobs),
+            (5.0, submit_infeasible_and_repeated_jobs),
+        ],
         40.0,
     ),
-    "many questions, an outage between": ([(0.0, many_questions), (20.0, outage(8.0)), (30.0, cancel_now(3))], 70.0),
+    "many questions, an outage between": (
+        [(0.0, flood_with_queries), (20.0, outage(8.0)), (30.0, cancel_running_jobs(3))],
+        70.0,
+    ),
     "hangs within the lease meet a cancellation": (
-        [(0.0, cancel_now(6, hang_s=9.0)), (3.0, crash_leader), (20.0, cancel_now(6, hang_s=16.0))],
+        [(0.0, cancel_running_jobs(6, hang_s=9.0)), (3.0, crash_leader), (20.0, cancel_running_jobs(6, hang_s=16.0))],
         60.0,
     ),
 }
 
 
-def play(name: str, seed: int) -> World:
-    troubles, over_s = DAYS[name]
+def run_schedule(name: str, seed: int) -> World:
+    troubles, over_s = FAULT_SCHEDULES[name]
     world = World(seed=seed, loss=0.003)
     submit_mixed_jobs(world)
     for seconds, trouble in troubles:
@@ -553,14 +638,14 @@
 
 
 # Two seeds each, and those that once broke a rule.
-SEEDS = [(name, seed) for name in DAYS for seed in (1, 2)] + [
+CASES = [(name, seed) for name in FAULT_SCHEDULES for seed in (1, 2)] + [
     ("one-task jobs four a second", 4),
 ]
 
 
-@pytest.mark.parametrize(("name", "seed"), SEEDS)
+@pytest.mark.parametrize(("name", "seed"), CASES)
 def test_overlapping_faults(name: str, seed: int) -> None:
-    world = play(name, seed)
+    world = run_schedule(name, seed)
     assert world.rules.broken == []
     wanted = [job for job in world.jobs if job not in world.rules.impossible]
     assert [job for job in wanted if not world.rules.is_final(job)] == []
@@ -569,7 +654,7 @@
 # -- close looks ---------------------------------------------------------------------------------------------------
 
 
-def test_many_questions_share_reads_and_leave_the_store_to_the_leader() -> None:
+def test_many_queries_share_reads_of_the_state_service() -> None:
     """Two hundred questions a second are answered with a few reads; each read begins after its questions came."""
     world = World(seed=3, loss=0.0)
     submit_mixed_jobs(world, jobs=12, every=0.5)
@@ -598,7 +683,7 @@
 
 
 @pytest.mark.parametrize("inline", [True, False])
-def test_a_lost_answer_is_not_believed_before_the_late_copy_is_barred(
+def test_a_delayed_transaction_is_rejected_after_the_job_was_reloaded(
     monkeypatch: pytest.MonkeyPatch, inline: bool
 ) -> None:
     """The placements of a transaction that got no answer come after a reload, when others have that room by then."""
@@ -638,10 +723,10 @@
 # -- old reports and a new leader ------------------------------------------------------------------------------------
 
 
-def test_an_old_report_does_not_shorten_the_wait_for_a_former_leader() -> None:
+def test_an_old_heartbeat_does_not_shorten_the_wait_for_a_former_leader() -> None:
     """It comes first, is answered, and shows nothing: its worker may hear the former leader for a grace still."""
     world = World(seed=8, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     machine = next(iter(world.rules.where.values()))
     old = [machine.report() for _ in range(2)]
@@ -662,10 +747,10 @@
     assert term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 1.2 * 12.0)
 
 
-def test_a_new_session_that_nobody_answered_lasts_for_a_lease() -> None:
+def test_an_epoch_without_an_answer_lasts_for_a_lease() -> None:
     """What was started in it is not over when the lease of the session before is."""
     world = World(seed=8, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     machine = next(iter(world.rules.where.values()))
     term = world.nodes[world.leader()].leader
@@ -679,9 +764,9 @@
     assert term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
 
 
-def test_before_the_store_is_read_no_lease_is_renewed() -> None:
+def test_no_lease_is_renewed_before_the_store_is_read() -> None:
     world = World(seed=8, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     machine = next(iter(world.rules.where.values()))
     scan = world.state.handle
@@ -703,10 +788,10 @@
     assert answer.body["baton"] == world.nodes[leader].leader.tokens.first
 
 
-def test_a_worker_with_an_older_token_is_told_what_is_cancelled() -> None:
+def test_a_worker_with_an_older_token_receives_stops_of_cancelled_jobs() -> None:
     """With the answer that renews its lease, also while the job is being read again, which an outage holds up."""
     world = World(seed=8, loss=0.0)
-    long_jobs(world)
+    submit_long_jobs(world)
     world.run(40)
     (task, machine), *_ = world.rules.where.items()
     job = task.rpartition("/")[0]
@@ -731,15 +816,15 @@
 # -- the checker ---------------------------------------------------------------------------------------------------
 
 
-def told_world() -> World:
+def world_with_one_job() -> World:
     world = World(seed=1)
     world.jobs["j-000001"] = world.job(1, pieces=1)
     return world
 
 
-def test_the_checker_sees_an_older_answer_of_another_node() -> None:
+def test_the_checker_detects_a_stale_answer_of_another_controller() -> None:
     """Asked after a node had told the end, or that the job is known; what was asked before may be answered older."""
-    rules = told_world().rules
+    rules = world_with_one_job().rules
     rules.cancelling("j-000001")
     rules.told("j-000001", {"phase": "aborted"}, -1.0)
     rules.told("j-000001", {"phase": "running"}, -0.5)
@@ -750,16 +835,16 @@
     assert [line.split()[1] for line in rules.broken] == ["went_back:", "forgotten:"]
 
 
-def test_the_checker_sees_an_impossible_job_that_is_accepted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_an_accepted_infeasible_job(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("stileloft.jobs.feasibility.infeasibility_reason", lambda *_: None)
     world = World(seed=1)
     world.run(5)
-    odd_requests(world)
+    submit_infeasible_and_repeated_jobs(world)
     world.run(5)
     assert any("accepted" in line for line in world.rules.broken)
 
 
-def test_the_checker_sees_what_waits_beside_room(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_job_that_waits_despite_free_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
     plain = DecisionApplier._place
     monkeypatch.setattr(
         DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and plain(applier, key, *more)
@@ -773,8 +858,8 @@
     assert {line.split()[2] for line in world.rules.broken if "left_waiting" in line} == {"j-000001"}
 
 
-def test_the_checker_sees_a_start_after_a_cancellation() -> None:
-    world = told_world()
+def test_the_checker_detects_a_start_after_a_cancellation() -> None:
+    world = world_with_one_job()
     rules = world.rules
     rules.cancelling("j-000001")
     rules.told("j-000001", {"phase": "aborted"})
@@ -796,15 +881,15 @@
 )
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
     """Where no command is held up on its way, beyond what was on it."""
-    world = play(name, 3)
+    world = run_schedule(name, 3)
     assert len(world.rules.cancelled_at) >= 3
     assert world.rules.started_after == []
 
 
-def test_a_replacement_is_rented_before_a_late_machine_is_given_up() -> None:
+def test_a_replacement_is_provisioned_before_an_overdue_machine_is_released() -> None:
     """What never comes up counts as coming for 1.6 boots, not for the 3 after which it is returned."""
     world = World(seed=9, loss=0.0)
-    boots(10.0, 1.0, 0.0, 0.0)(world)
+    set_boot_failures(10.0, 1.0, 0.0, 0.0)(world)
     world.submit(world.job(1, pieces=2))
     world.run(10)
     lost = set(world.cloud.machines)
@@ -818,7 +903,7 @@
     assert world.rules.broken == []
 
 
-def test_a_zone_whose_boots_fail_is_tried_less_and_again_later() -> None:
+def test_a_zone_with_failing_boots_is_avoided_and_retried_later() -> None:
     """Machines of one zone never come up for a while: others are rented meanwhile, and then there again."""
     world = World(seed=12, loss=0.0, capacity=12)
     add, fails = world.cloud.add, [True]
@@ -860,7 +945,7 @@
 
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_late_records_of_rentals_and_images_do_no_harm(kind: str, seed: int) -> None:
+def test_delayed_writes_of_provisioning_and_image_records_do_no_harm(kind: str, seed: int) -> None:
     """They get no answer and are carried out seconds later, over newer ones; then leaders change that read them."""
     world = World(seed=seed, loss=0.0, capacity=6)
     ask, held = world.state.ask, []
@@ -893,7 +978,7 @@
     assert len(world.cloud.machines) <= 6
 
 
-def test_a_new_leader_takes_no_machine_that_is_up_for_late() -> None:
+def test_a_new_leader_does_not_treat_running_machines_as_overdue() -> None:
     """It has heard of none yet. Taken for late, they would be replaced, or returned if idle (inc-e1be)."""
     world = World(seed=13, loss=0.0, capacity=8)
     world.submit(world.job(1, pieces=8, vcpus=4.0, guessS=120.0))
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -12,7 +12,7 @@
 from stileloft.features import Features, RebuildFeature
 from stileloft.rebuild.store_status import StorePhase
 from tests.simulation.world import World
-from tests.test_overlapping_faults import DAYS, test_overlapping_faults
+from tests.test_overlapping_faults import FAULT_SCHEDULES, test_overlapping_faults
 
 ON = Features(rebuild=RebuildFeature(enabled=True))
 JOBS = 14
@@ -175,7 +175,7 @@
     assert phases(world) == {StorePhase.SOUND}
 
 
-@pytest.mark.parametrize("name", DAYS)
+@pytest.mark.parametrize("name", FAULT_SCHEDULES)
 def test_no_other_trouble_looks_like_a_loss(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
