--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -17,11 +17,11 @@
 
 Fault = Callable[[World], None]
 LONG_JOBS, SMALL_JOBS = 9, 4
-FIRST_SMALL = 100
+FIRST_SMALL_JOB = 100
 """Number of the first small job."""
-CANCEL_AT_S = 4.0
+CANCEL_AFTER_S = 4.0
 """The small jobs are cancelled so long after their submission, in seconds."""
-WATCHED_S = 115.0
+RUN_AFTER_SUBMISSION_S = 115.0
 """The day ends so long after their submission, in seconds."""
 OUTAGE_S = World.CANCEL_S + 15.0
 
@@ -69,7 +69,7 @@
 def submit_small_jobs(world: World, changes: dict[str, Any] | None = None) -> list[str]:
     """Jobs of two small tasks that find room beside the long ones."""
     usual: dict[str, Any] = {"pieces": 2, "vcpus": 0.5, "memGb": 0.5, "guessS": 200.0} | (changes or {})
-    jobs = [world.job(FIRST_SMALL + number, **usual) for number in range(SMALL_JOBS)]
+    jobs = [world.job(FIRST_SMALL_JOB + number, **usual) for number in range(SMALL_JOBS)]
     for job in jobs:
         world.submit(job)
     return [job["nameId"] for job in jobs]
@@ -79,13 +79,13 @@
     """Small jobs whose starts are held, and which are then cancelled."""
     world.holds.append(Hold(world.now + 6.0, least_s, most_s, verb="launch"))
     jobs = submit_small_jobs(world)
-    world.run(CANCEL_AT_S)
+    world.run(CANCEL_AFTER_S)
     for job in jobs:
         world.cancel(job)
     return jobs
 
 
-def run_watched(world: World, seconds: float) -> None:
+def run_checking_cancellations(world: World, seconds: float) -> None:
     """Lets time pass, with an eye on what runs of cancelled jobs."""
     end = world.now + seconds
     while world.now < end:
@@ -93,7 +93,7 @@
         world.rules.check_cancelled()
 
 
-def play(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
+def run_scenario(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
     """A day with a scenario."""
     world = busy_world(seed)
     world.holds.append(scenario.hold(world))
@@ -101,8 +101,8 @@
         world.clock.callLater(after_s, fault, world)
     jobs = submit_small_jobs(world, scenario.small)
     for job in jobs:
-        world.clock.callLater(CANCEL_AT_S, world.cancel, job)
-    run_watched(world, WATCHED_S)
+        world.clock.callLater(CANCEL_AFTER_S, world.cancel, job)
+    run_checking_cancellations(world, RUN_AFTER_SUBMISSION_S)
     rules = world.rules
     long_tasks = [f"j-{number:06d}/{index}" for number in range(LONG_JOBS) for index in range(3)]
     outcome = Outcome(
@@ -119,7 +119,7 @@
 # -- faults ------------------------------------------------------------------------------------------------------
 
 
-def end_leader(world: World) -> None:
+def crash_leader(world: World) -> None:
     """The leader's process ends."""
     name = world.leader()
     if name is not None:
@@ -133,46 +133,46 @@
         world.state.refuses[name] = world.now + 14.0
 
 
-def store_out(world: World) -> None:
+def state_service_outage(world: World) -> None:
     """The state service is down for longer than a cancellation may take."""
     world.state.outage(OUTAGE_S)
 
 
-def cloud_out(world: World) -> None:
+def cloud_outage(world: World) -> None:
     """The cloud is down for 90 s."""
     world.cloud.down_until = world.now + 90.0
 
 
-def writes_lost(world: World) -> None:
+def delay_writes(world: World) -> None:
     """Transactions get no answer, and are carried out later: records are read again."""
     world.state.late_writes = world.now + 10.0, 0.4, False
 
 
-def copies(world: World) -> None:
+def duplicate_messages(world: World) -> None:
     """Messages are delivered again, late."""
     world.copies = 0.3
 
 
-def up(world: World) -> list[Any]:
+def machines_up(world: World) -> list[Any]:
     """Machines that are up."""
     return [machine for machine in world.cloud.machines.values() if machine.up]
 
 
-def silent(which: str, seconds: float) -> Fault:
+def block_one_direction(which: str, seconds: float) -> Fault:
     """Half of the machines hear nothing (`deaf`), or reach no controller (`mute`)."""
 
     def start(world: World) -> None:
-        for machine in up(world)[::2]:
+        for machine in machines_up(world)[::2]:
             getattr(world, which)[machine.name] = world.now + seconds
 
     return start
 
 
-def hang(seconds: float) -> Fault:
+def hang_machines(seconds: float) -> Fault:
     """Half of the machines stand still for so long."""
 
     def start(world: World) -> None:
-        for machine in up(world)[::2]:
+        for machine in machines_up(world)[::2]:
             machine.hung = True
 
             def go_on(machine=machine) -> None:
@@ -184,11 +184,11 @@
     return start
 
 
-def cut_off(seconds: float) -> Fault:
+def partition_machines(seconds: float) -> Fault:
     """Half of the machines are cut off; what was sent meanwhile arrives at the end."""
 
     def start(world: World) -> None:
-        for machine in up(world)[::2]:
+        for machine in machines_up(world)[::2]:
             for name in world.names:
                 world.cut(name, machine.name, seconds, hold=True)
 
@@ -209,7 +209,7 @@
     world.freeze(world.leader() or world.names[0], 20.0)
 
 
-def in_series(times: int, apart_s: float) -> Fault:
+def restart_leaders(times: int, apart_s: float) -> Fault:
     """Whoever leads ends, and is back at once."""
 
     def end() -> None:
@@ -228,53 +228,58 @@
     return start
 
 
-def hold_all(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[World], Hold]:
+def hold_messages(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[World], Hold]:
     """Messages sent during a spell are held for between so many seconds; `more` picks which."""
     return lambda world: Hold(world.now + spell_s, least_s, most_s, **more)
 
 
 SCENARIOS: dict[str, Scenario] = {
     "heartbeats go on": Scenario(),
-    "any command, any time": Scenario(hold=hold_all(0.0, 80.0, 8.0)),
-    "the answers are held": Scenario(hold=hold_all(45.0, 80.0, 6.0, answers=True)),
-    "stops are held": Scenario(hold=hold_all(20.0, 80.0, 30.0, verb="stop")),
+    "any command, any time": Scenario(hold=hold_messages(0.0, 80.0, 8.0)),
+    "the answers are held": Scenario(hold=hold_messages(45.0, 80.0, 6.0, answers=True)),
+    "stops are held": Scenario(hold=hold_messages(20.0, 80.0, 30.0, verb="stop")),
     "stops with an old grace are held": Scenario(
-        ((2.0, release_machines), (2.0, cloud_out)),
-        hold=hold_all(20.0, 80.0, 30.0, verb="stop"),
+        ((2.0, release_machines), (2.0, cloud_outage)),
+        hold=hold_messages(20.0, 80.0, 30.0, verb="stop"),
         small={"snapshotS": 5.0, "stashS": 3.0},
         loses_tasks=True,
     ),
-    "forgets are held": Scenario(hold=hold_all(20.0, 80.0, 60.0, verb="forget")),
+    "forgets are held": Scenario(hold=hold_messages(20.0, 80.0, 60.0, verb="forget")),
     "a gang with a start held": Scenario(
-        hold=hold_all(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
+        hold=hold_messages(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
     ),
-    "the store is out after it": Scenario(((CANCEL_AT_S + 0.6, store_out),)),
+    "the store is out after it": Scenario(((CANCEL_AFTER_S + 0.6, state_service_outage),)),
     "the leader is refused, then the store is out": Scenario(
-        ((CANCEL_AT_S - 0.5, refuse_leader), (CANCEL_AT_S + 0.7, store_out))
+        ((CANCEL_AFTER_S - 0.5, refuse_leader), (CANCEL_AFTER_S + 0.7, state_service_outage))
     ),
-    "the cloud is out": Scenario(((0.0, cloud_out),)),
+    "the cloud is out": Scenario(((0.0, cloud_outage),)),
     "machines are released, the cloud is out": Scenario(
-        ((CANCEL_AT_S - 1.0, release_machines), (0.0, cloud_out)), loses_tasks=True
+        ((CANCEL_AFTER_S - 1.0, release_machines), (0.0, cloud_outage)), loses_tasks=True
     ),
-    "the leader ends before it": Scenario(((2.0, end_leader),)),
-    "the leader ends after it": Scenario(((CANCEL_AT_S + 0.6, end_leader),)),
-    "the leader ends, and claims are held": Scenario(((2.0, end_leader),), hold=hold_all(30.0, 80.0, 25.0)),
-    "leaders end in series": Scenario(((1.0, in_series(6, 2.5)),)),
-    "leaders end in series, any command held": Scenario(((1.0, in_series(8, 1.5)),), hold=hold_all(0.0, 80.0, 20.0)),
-    "the leader stands still": Scenario(((CANCEL_AT_S - 0.05, freeze_leader),), hold=hold_all(5.0, 80.0, 8.0)),
-    "records are read again": Scenario(((0.0, writes_lost),)),
-    "copies come late": Scenario(((0.0, copies),)),
-    "machines hear nothing, past a lease": Scenario(((1.0, silent("deaf", 20.0)),), loses_tasks=True),
-    "machines hear nothing, within a lease": Scenario(((3.0, silent("deaf", 9.0)),)),
-    "machines reach nobody, past a lease": Scenario(((1.0, silent("mute", 20.0)),), loses_tasks=True),
-    "machines reach nobody, cloud out": Scenario(((1.0, silent("mute", 9.0)), (0.0, cloud_out)), loses_tasks=True),
-    "machines hang within a lease": Scenario(((3.0, hang(9.0)),), loses_tasks=True),
-    "machines hang past a lease": Scenario(((3.0, hang(20.0)),), loses_tasks=True),
+    "the leader ends before it": Scenario(((2.0, crash_leader),)),
+    "the leader ends after it": Scenario(((CANCEL_AFTER_S + 0.6, crash_leader),)),
+    "the leader ends, and claims are held": Scenario(((2.0, crash_leader),), hold=hold_messages(30.0, 80.0, 25.0)),
+    "leaders end in series": Scenario(((1.0, restart_leaders(6, 2.5)),)),
+    "leaders end in series, any command held": Scenario(
+        ((1.0, restart_leaders(8, 1.5)),), hold=hold_messages(0.0, 80.0, 20.0)
+    ),
+    "the leader stands still": Scenario(((CANCEL_AFTER_S - 0.05, freeze_leader),), hold=hold_messages(5.0, 80.0, 8.0)),
+    "records are read again": Scenario(((0.0, delay_writes),)),
+    "copies come late": Scenario(((0.0, duplicate_messages),)),
+    "machines hear nothing, past a lease": Scenario(((1.0, block_one_direction("deaf", 20.0)),), loses_tasks=True),
+    "machines hear nothing, within a lease": Scenario(((3.0, block_one_direction("deaf", 9.0)),)),
+    "machines reach nobody, past a lease": Scenario(((1.0, block_one_direction("mute", 20.0)),), loses_tasks=True),
+    "machines reach nobody, cloud out": Scenario(
+        ((1.0, block_one_direction("mute", 9.0)), (0.0, cloud_outage)), loses_tasks=True
+    ),
+    "machines hang within a lease": Scenario(((3.0, hang_machines(9.0)),), loses_tasks=True),
+    "machines hang past a lease": Scenario(((3.0, hang_machines(20.0)),), loses_tasks=True),
     "machines cut off, then a new leader": Scenario(
-        ((1.0, cut_off(10.0)), (5.0, end_leader), (0.0, cloud_out)), loses_tasks=True
+        ((1.0, partition_machines(10.0)), (5.0, crash_leader), (0.0, cloud_outage)), loses_tasks=True
     ),
     "store out, new leader, cloud out": Scenario(
-        ((CANCEL_AT_S + 0.6, store_out), (CANCEL_AT_S + 5.0, end_leader), (0.0, cloud_out)), loses_tasks=True
+        ((CANCEL_AFTER_S + 0.6, state_service_outage), (CANCEL_AFTER_S + 5.0, crash_leader), (0.0, cloud_outage)),
+        loses_tasks=True,
     ),
 }
 
@@ -293,17 +298,17 @@
 # -- the long run ----------------------------------------------------------------------------------------------------
 
 
-def _play_one(name: str, seed: int) -> tuple[str, int, Outcome, list[str]]:
+def _run_one(name: str, seed: int) -> tuple[str, int, Outcome, list[str]]:
     violations: list[str] = []
     InvariantMonitor.listener = lambda invariant, evidence: violations.append(f"{invariant.name}: {evidence}")
-    return name, seed, play(SCENARIOS[name], seed)[1], violations
+    return name, seed, run_scenario(SCENARIOS[name], seed)[1], violations
 
 
-def run(names: Iterable[str], seeds: int, processes: int) -> int:
+def run_all(names: Iterable[str], seeds: int, processes: int) -> int:
     """Plays scenarios with several seeds each; prints a row for each, and returns how many days failed."""
     failed = 0
     with ProcessPoolExecutor(processes) as pool:
-        days = [pool.submit(_play_one, name, seed) for name in names for seed in range(1, seeds + 1)]
+        days = [pool.submit(_run_one, name, seed) for name in names for seed in range(1, seeds + 1)]
         results = [day.result() for day in days]
     print(f"| {' | '.join(COLUMNS)} |\n|{' --- |' * len(COLUMNS)}")
     for name in names:
@@ -335,7 +340,7 @@
     names = [name for name in SCENARIOS if not options.scenario or any(part in name for part in options.scenario)]
     if not names:
         parser.error(f"scenario: none is called like {options.scenario}")
-    sys.exit(1 if run(names, options.seeds, options.processes) else 0)
+    sys.exit(1 if run_all(names, options.seeds, options.processes) else 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -25,7 +25,7 @@
 from stileloft.transport.client import Client, ConnectionFailedError
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
-from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
+from tests.held_starts import busy_world, hold_and_cancel, run_checking_cancellations, submit_small_jobs
 from tests.simulation.network import Hold
 from tests.simulation.world import World
 from tests.soak.cluster import COUNTED
@@ -170,7 +170,7 @@
     world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
     world.cancel("j-000001")
     with caplog.at_level(logging.INFO):
-        run_watched(world, world.CANCEL_S + 20.0)
+        run_checking_cancellations(world, world.CANCEL_S + 20.0)
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
@@ -186,7 +186,7 @@
     world.run(60)
     assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
     world.cancel("j-000001")
-    run_watched(world, 0.6 * World.LEASE_S)
+    run_checking_cancellations(world, 0.6 * World.LEASE_S)
     assert set(world.rules.where) == {"j-000002/0"}
     assert world.sessions_lost == 0
     assert world.rules.starts_by_task["j-000002/0"] == 1
@@ -319,7 +319,7 @@
     world = busy_world(48)
     with caplog.at_level(logging.INFO):
         hold_and_cancel(world)
-        run_watched(world, 60.0)
+        run_checking_cancellations(world, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
         assert COUNTED[name].search(caplog.text), name
 
@@ -363,7 +363,7 @@
     raised = leading(world).tokens.highest_issued
     for name in world.names:
         world.kill(name, 0.3, production() or NEW)
-    run_watched(world, 100.0)
+    run_checking_cancellations(world, 100.0)
     leader = world.leader()
     assert leader is not None
     assert world.nodes[leader].election.token > raised
@@ -378,7 +378,7 @@
     running, tokens = set(world.rules.where), leading_controller(world).rebuild.tokens
     assert tokens.last_term_token == leading(world).tokens.highest_issued == tokens.highest
     world.state.wipe()
-    run_watched(world, 100.0)
+    run_checking_cancellations(world, 100.0)
     assert leading(world).tokens.first > tokens.last_term_token - 1
     assert world.rules.broken == []
     assert running <= set(world.rules.where), "what ran goes on"
@@ -394,7 +394,7 @@
     monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
-    run_watched(world, 80.0)
+    run_checking_cancellations(world, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
     assert world.rules.broken == []
     assert world.sessions_lost > 0
@@ -413,7 +413,7 @@
     monkeypatch.setattr(Authority, "check_transmission", lambda *_: None)
     world = busy_world(46)
     hold_and_cancel(world)
-    run_watched(world, 60.0)
+    run_checking_cancellations(world, 60.0)
     assert Invariant.NO_START_AFTER_END.name in {line.partition(":")[0] for line in no_violations}
     assert world.rules.broken == []
     no_violations.clear()
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -5,38 +5,47 @@
 
 import pytest
 
-from tests.held_starts import SCENARIOS, SMALL_JOBS, busy_world, hold_and_cancel, play, run_watched
+from tests.held_starts import (
+    SCENARIOS,
+    SMALL_JOBS,
+    busy_world,
+    hold_and_cancel,
+    run_checking_cancellations,
+    run_scenario,
+)
 
-HELD = [name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["heartbeats go on"].hold]
+SCENARIOS_WITH_HELD_STARTS = [
+    name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["heartbeats go on"].hold
+]
 """Scenarios in which the starts themselves are held, for longer than their jobs' cancellation may take."""
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_start_that_was_held_up_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
+def test_a_delayed_start_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
     """The incident: heartbeats go on, each answer carries a stop, and the start comes after them all."""
     world = busy_world(seed)
     jobs = hold_and_cancel(world, 45.0, 80.0)
-    run_watched(world, 100.0)
+    run_checking_cancellations(world, 100.0)
     assert set(jobs) <= world.rules.cancelled_at.keys()
     assert world.rules.broken == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", SCENARIOS)
-def test_a_held_command_together_with_another_fault(name: str, seed: int) -> None:
-    world, outcome = play(SCENARIOS[name], seed)
+def test_a_delayed_command_together_with_another_fault(name: str, seed: int) -> None:
+    world, outcome = run_scenario(SCENARIOS[name], seed)
     assert outcome.broken == ()
     assert outcome.cancelled == SMALL_JOBS
     assert outcome.longest_part <= 1.0
     assert world.rules.started_after == []
-    if name in HELD:
+    if name in SCENARIOS_WITH_HELD_STARTS:
         assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
 
 
 @pytest.mark.parametrize("name", ["heartbeats go on", "the cloud is out", "the leader ends after it"])
-def test_the_other_tasks_of_a_machine_do_not_pay(name: str) -> None:
+def test_fencing_a_start_does_not_disturb_other_tasks_of_the_machine(name: str) -> None:
     """A start is fenced, and what runs beside it goes on: no session ends, and no task begins again."""
-    world, outcome = play(SCENARIOS[name], 3)
+    world, outcome = run_scenario(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0
     assert outcome.long_tasks_lost == 0
     assert world.sessions_lost == 0
@@ -54,11 +63,11 @@
 
     world.send = sending  # type: ignore[method-assign]
     hold_and_cancel(world, 7200.0, 7200.0)
-    run_watched(world, 60.0)
+    run_checking_cancellations(world, 60.0)
     assert held, "nothing was held"
     starts, refused = world.rules.starts, world.rules.refused_starts["token"]
     for arrive in held:
         arrive()  # no matter when: the worker knows a higher token for good
-    run_watched(world, 10.0)
+    run_checking_cancellations(world, 10.0)
     assert world.rules.starts == starts
     assert world.rules.refused_starts["token"] > refused
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -29,7 +29,7 @@
 from stileloft.transport.client import Reply
 from tests import test_overlapping_faults as overlapping
 from tests import test_rules as single
-from tests.held_starts import cloud_out, freeze_leader
+from tests.held_starts import cloud_outage, freeze_leader
 from tests.simulation.clients import Connection
 from tests.simulation.network import Hold
 from tests.simulation.world import World
@@ -89,7 +89,7 @@
     overlapping.flood_with_queries,
     hold_starts,
     hold_answers,
-    cloud_out,
+    cloud_outage,
     freeze_leader,
 )
 
