--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -8,10 +8,10 @@
 from tests.simulation.world import World
 from tests.test_rules import run_until_jobs_end
 
-VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
+HELD_VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
 
 
-class Histories(RuleBasedStateMachine):
+class FencingHistories(RuleBasedStateMachine):
     """A world in which messages stay on their way for up to three times `cancel_s`; at its end every job has ended."""
 
     @initialize(seed=st.integers(0, 10_000))
@@ -29,7 +29,7 @@
         self.world.submit(body)
         self.world.clock.callLater(cancel_s, self.world.cancel, body["nameId"])
 
-    @rule(verb=VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
+    @rule(verb=HELD_VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
     def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
         now = self.world.now
         self.world.holds = [hold for hold in self.world.holds if hold.until > now]
@@ -83,8 +83,8 @@
             assert self.world.rules.broken == []
 
 
-TestHistories = Histories.TestCase
-TestHistories.settings = settings(
+TestFencingHistories = FencingHistories.TestCase
+TestFencingHistories.settings = settings(
     max_examples=25,
     stateful_step_count=16,
     deadline=None,
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -38,7 +38,7 @@
     terms=st.lists(st.lists(st.sampled_from(["commit", "other", "raise"]), max_size=30), min_size=1, max_size=5),
     offset=st.integers(0, 10**6),
 )
-def test_tokens_belong_to_one_leader_and_rise(terms: list[list[str]], offset: int) -> None:
+def test_tokens_are_unique_to_a_leader_and_increase(terms: list[list[str]], offset: int) -> None:
     """Over any series of leaders, compared with a reference of what was given out.
 
     A leader is of this version, or of one that never raises a token.
@@ -73,7 +73,7 @@
         assert tokens.is_from_successor(offset + revision + 1)
 
 
-def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
+def test_spare_tokens_are_bounded_and_issued_in_ascending_order() -> None:
     tokens = FencingTokens(5, 5)
     for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
         tokens.record_commit(revision)
@@ -85,7 +85,7 @@
     assert not tokens.has_spare_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
-def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
+def test_a_start_is_in_flight_until_its_epoch_ends_or_its_token_is_fenced() -> None:
     starts = InflightStarts()
     starts.record_sent("j-1/0", 1, 10.0, 5, 1)
     starts.record_sent("j-1/1", 1, 11.0, 7, 1)
@@ -113,7 +113,7 @@
     return controller
 
 
-def leading(world: World) -> Leader:
+def current_leader(world: World) -> Leader:
     leader = leading_controller(world).leader
     assert leader is not None
     return leader
@@ -124,7 +124,7 @@
     world = World(seed=31, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=400.0))
     world.run(40)
-    leader = leading(world)
+    leader = current_leader(world)
     (name,) = {machine.name for machine in world.rules.where.values()}
     machine, worker = leader.cluster.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
@@ -148,7 +148,7 @@
     assert world.rules.broken == []
 
 
-def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_answer_without_room_for_all_stops_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
     """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
     world = World(seed=32, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
@@ -178,7 +178,7 @@
     assert world.rules.where == {}
 
 
-def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
+def test_stops_beyond_the_limit_of_an_answer_are_sent_directly_in_time() -> None:
     """An answer that can't carry them moves no clock of the direct ones: nobody else's tasks pay with their lease."""
     world = World(seed=39, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
@@ -192,7 +192,7 @@
     assert world.rules.starts_by_task["j-000002/0"] == 1
 
 
-def test_a_start_is_asked_for_again_when_its_connection_is_there() -> None:
+def test_a_start_is_checked_again_after_its_connection_is_made() -> None:
     """To connect takes a while: a start whose job was cancelled meanwhile must not go out."""
     reactor = MemoryReactorClock()
     client = Client(reactor, messages.encode, messages.decode, b"application/cbor", 1, 1.0, 60.0)
@@ -220,10 +220,10 @@
     assert failures[0].check(ConnectionFailedError), "it is certain that it was not executed"
 
 
-def test_what_may_go_out_when_the_connection_is_there_at_last() -> None:
+def test_which_commands_may_be_transmitted_once_connected() -> None:
     """Nothing after the leadership; stops while it lasts; starts only with everything that starts need."""
     world = busy_world(36)
-    leader = leading(world)
+    leader = current_leader(world)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     assert leader.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
@@ -238,9 +238,9 @@
     assert leader.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
 
 
-def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
+def test_a_forget_without_a_spare_token_is_no_invariant_violation(no_violations: list[str]) -> None:
     world = busy_world(37)
-    leader = leading(world)
+    leader = current_leader(world)
     machine = next(iter(leader.cluster.machines.values()))
     before = machine.token
     leader.tokens._spares.clear()
@@ -255,10 +255,10 @@
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
-def test_provisioning_and_releases_are_asked_for_again_when_their_connection_is_there() -> None:
+def test_provisioning_and_releases_are_checked_again_after_connecting() -> None:
     """A leader that was replaced meanwhile would provision twice, or release what its successor uses."""
     world = busy_world(38)
-    leader = leading(world)
+    leader = current_leader(world)
     asked: list[str] = []
     controller = leading_controller(world)
     wire = controller.clients.cloud._client
@@ -280,9 +280,9 @@
     assert set(world.cloud.machines) == machines
 
 
-def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
+def test_a_leader_marks_a_job_cancelled_before_it_answers_the_user() -> None:
     world = busy_world(33)
-    leader = leading(world)
+    leader = current_leader(world)
     job = leader.cluster.jobs["j-000001"]
     seen: list[str | None] = []
     node = leading_controller(world)
@@ -301,9 +301,9 @@
     assert seen[0] is not None
 
 
-def test_a_leader_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
+def test_a_leader_without_a_spare_token_rewrites_a_record_to_get_one() -> None:
     world = busy_world(34)
-    leader = leading(world)
+    leader = current_leader(world)
     leader.tokens._spares.clear()
     commits = leader.commit_queue.commits
     world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
@@ -315,7 +315,7 @@
     assert leader.fencing.machines_awaiting_token == {}
 
 
-def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_patterns_of_the_soak_match_the_log_lines(caplog: pytest.LogCaptureFixture) -> None:
     world = busy_world(48)
     with caplog.at_level(logging.INFO):
         hold_and_cancel(world)
@@ -324,12 +324,12 @@
         assert COUNTED[name].search(caplog.text), name
 
 
-def test_what_the_leader_knows_of_starts_is_shown() -> None:
+def test_the_status_shows_starts_in_doubt() -> None:
     world = busy_world(35)
     world.holds.append(Hold(world.now + 3.0, 45.0, 45.0, verb="launch"))
     submit_small_jobs(world)
     world.run(7)
-    shown = leading(world).status()["commands"]
+    shown = current_leader(world).status()["commands"]
     assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0
     assert shown["starts_sent"] > shown["starts_answered"]
     row = shown["in_doubt"][0]
@@ -347,20 +347,20 @@
 # -- versions, and a lost store ---------------------------------------------------------------------------------------
 
 
-def cancel_held(world: World) -> None:
+def cancel_jobs_with_held_starts(world: World) -> None:
     """Starts are held, their jobs cancelled, and tokens raised for that."""
     hold_and_cancel(world)
     world.run(4)
-    assert leading(world).tokens.issued_count > 0
+    assert current_leader(world).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_version_in_production_leads_after_tokens_were_raised(seed: int) -> None:
+def test_the_version_in_production_leads_after_spare_tokens_were_issued(seed: int) -> None:
     """It knows nothing of raised tokens: its own, the version of its key, is above all of them."""
     world = busy_world(40 + seed)
-    cancel_held(world)
-    raised = leading(world).tokens.highest_issued
+    cancel_jobs_with_held_starts(world)
+    raised = current_leader(world).tokens.highest_issued
     for name in world.names:
         world.kill(name, 0.3, production() or NEW)
     run_checking_cancellations(world, 100.0)
@@ -371,15 +371,15 @@
     assert world.rules.refused_starts["token"] > 0
 
 
-def test_a_store_that_is_lost_after_tokens_were_raised_is_rebuilt() -> None:
+def test_a_store_lost_after_spare_tokens_were_issued_is_rebuilt() -> None:
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
     world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
-    cancel_held(world)
+    cancel_jobs_with_held_starts(world)
     running, tokens = set(world.rules.where), leading_controller(world).rebuild.tokens
-    assert tokens.last_term_token == leading(world).tokens.highest_issued == tokens.highest
+    assert tokens.last_term_token == current_leader(world).tokens.highest_issued == tokens.highest
     world.state.wipe()
     run_checking_cancellations(world, 100.0)
-    assert leading(world).tokens.first > tokens.last_term_token - 1
+    assert current_leader(world).tokens.first > tokens.last_term_token - 1
     assert world.rules.broken == []
     assert running <= set(world.rules.where), "what ran goes on"
 
@@ -387,7 +387,7 @@
 # -- invariants -------------------------------------------------------------------------------------------------------
 
 
-def test_a_fence_that_fails_is_seen_and_renews_no_lease(
+def test_a_failed_fence_is_reported_and_renews_no_lease(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
@@ -402,7 +402,7 @@
     no_violations.clear()
 
 
-def test_a_start_of_a_job_that_is_over_is_seen_and_not_sent(
+def test_a_start_of_an_ended_job_is_reported_and_not_sent(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     monkeypatch.setattr(
@@ -419,7 +419,9 @@
     no_violations.clear()
 
 
-def test_violations_are_counted_and_bounded(caplog: pytest.LogCaptureFixture, no_violations: list[str]) -> None:
+def test_violations_are_counted_and_their_log_lines_bounded(
+    caplog: pytest.LogCaptureFixture, no_violations: list[str]
+) -> None:
     monitor = InvariantMonitor()
     assert monitor.check(True, Invariant.TOKENS_RISE, "%d", "a text that would not fit")
     with caplog.at_level(logging.ERROR):
@@ -434,9 +436,9 @@
     no_violations.clear()
 
 
-def test_a_fenced_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
+def test_a_fenced_start_that_runs_is_reported(no_violations: list[str]) -> None:
     world = busy_world(47)
-    leader = leading(world)
+    leader = current_leader(world)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
     leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -21,7 +21,7 @@
     assert world.nodes[name].election.token > token
 
 
-def test_a_leader_steps_down_when_a_worker_knows_a_higher_token() -> None:
+def test_a_leader_steps_down_when_a_worker_reports_a_higher_token() -> None:
     world = World(4, loss=0.0)
     world.run(10)
     name = world.leader()
@@ -43,15 +43,15 @@
     assert not node.election.leading
 
 
-def test_a_leader_that_cannot_hear_gives_way_before_tasks_are_lost() -> None:
+def test_a_leader_that_receives_no_heartbeats_steps_down_before_most_leases_expire() -> None:
     """With a lease of six reports there is hardly time: a worker cut off just before its next report may be too late.
 
     That is one day in sixteen, with these sources and those before; so four are played, and one machine may be lost.
     """
-    assert sum(lost_to_a_deaf_leader(seed) for seed in (13, 14, 15, 16)) <= 2
+    assert sum(tasks_lost_with_isolated_leader(seed) for seed in (13, 14, 15, 16)) <= 2
 
 
-def lost_to_a_deaf_leader(seed: int) -> int:
+def tasks_lost_with_isolated_leader(seed: int) -> int:
     world = World(seed, loss=0.0)
     world.submit(world.job(1, pieces=8, guessS=100.0))
     while len(world.rules.where) < 8:
@@ -70,7 +70,7 @@
     return lost
 
 
-def test_a_late_report_does_not_bring_a_machine_back() -> None:
+def test_a_delayed_heartbeat_does_not_restore_a_lost_machine() -> None:
     world = World(14, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=30.0))
     world.run(30)
