--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -32,7 +32,7 @@
 )
 
 
-def gang(world: World, number: int, **changes: object) -> dict:
+def gang_job(world: World, number: int, **changes: object) -> dict:
     fields = {
         "lane": "solver",
         "shape": "gang",
@@ -48,16 +48,16 @@
     return world.job(number, **fields)
 
 
-def gang_load(world: World, first: int = 100, count: int = 8, every: float = 4.0) -> None:
+def submit_gangs(world: World, first: int = 100, count: int = 8, every: float = 4.0) -> None:
     for number in range(count):
         pieces = (2, 4, 6, 3)[number % 4]
         # Some may be anywhere, some on spot machines, some never save, some are more pressing.
         changes = ({}, {"together": False}, {"loaner": True, "urgency": "urgent"}, {"snapshotS": 0.0, "stashS": 0.0})
-        body = gang(world, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
+        body = gang_job(world, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
         world.clock.callLater(2.0 + number * every, world.submit, body)
 
 
-def when(world: World, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
+def act_on_first_gang(world: World, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
     """Does something at the first moment at which an attempt of a gang looks so; says when that was."""
     at: list[float] = []
 
@@ -73,29 +73,29 @@
     return at
 
 
-def gathering(g: Gang) -> bool:
+def is_gathering(g: Gang) -> bool:
     return g.running_since is None and 0 < len(g.members) < g.job["pieces"]
 
 
-def running(g: Gang) -> bool:
+def is_running(g: Gang) -> bool:
     return g.running_since is not None and not g.over and g.at() > 5.0
 
 
-def stopping(g: Gang) -> bool:
+def is_stopping(g: Gang) -> bool:
     return bool(g.told) and not g.over
 
 
-def done_on_one(g: Gang) -> bool:
+def has_a_done_task(g: Gang) -> bool:
     return g.over and any(f"{name}" in g.world.rules.done for name in g.members)
 
 
-def die_one(g: Gang) -> None:
+def crash_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
     g.world.cloud.machines.pop(machine.name, None)
     machine.die()
 
 
-def take_back_one(g: Gang) -> None:
+def reclaim_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
     machine.notice = g.world.now + 7.0
 
@@ -106,21 +106,23 @@
     g.world.clock.callLater(7.0, gone)
 
 
-def lead_anew(g: Gang) -> None:
+def crash_the_leader(g: Gang) -> None:
     crash_leader(g.world)
 
 
-MOMENTS = {"gathering": gathering, "running": running, "stopping": stopping, "done on one": done_on_one}
+PHASES = {"gathering": is_gathering, "running": is_running, "stopping": is_stopping, "done on one": has_a_done_task}
 
 
-@pytest.mark.parametrize("moment", MOMENTS)
+@pytest.mark.parametrize("moment", PHASES)
 @pytest.mark.parametrize("trouble", ["take-over", "machine dies"])
-def test_at_each_moment_of_a_gang(moment: str, trouble: str) -> None:
+def test_a_fault_in_each_phase_of_a_gang(moment: str, trouble: str) -> None:
     world = World(seed=len(moment) + len(trouble), loss=0.004)
-    gang_load(world)
+    submit_gangs(world)
     if moment == "stopping":
-        when(world, running, take_back_one)
-    met = when(world, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
+        act_on_first_gang(world, is_running, reclaim_one_machine)
+    met = act_on_first_gang(
+        world, PHASES[moment], {"take-over": crash_the_leader, "machine dies": crash_one_machine}[trouble]
+    )
     run_until_jobs_end(world, 300)
     assert met
     assert world.rules.broken == []
@@ -128,7 +130,7 @@
 
 
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
-def test_take_over_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failover_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Committed in part: nothing was started, and it is taken back. Started in part: the rest follows."""
     world = World(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
     handle, launched = world.state.handle, Machine.start
@@ -150,7 +152,7 @@
 
     world.state.handle = counted  # type: ignore[method-assign]
     monkeypatch.setattr(Machine, "start", counted_start)
-    world.submit(gang(world, 1, pieces=24))
+    world.submit(gang_job(world, 1, pieces=24))
     while not commits:
         world.run(0.5)
     assert {len(launches), len(world.gangs)} == {0} or stored != "in part"
@@ -165,7 +167,7 @@
     """Reports that came in between were taken as of tasks that are not to be there, which were stopped."""
     world = World(seed=32, loss=0.0)
     world.submit(world.job(1, pieces=6, guessS=600.0))
-    world.submit(gang(world, 2, guessS=600.0))
+    world.submit(gang_job(world, 2, guessS=600.0))
     world.run(60)
     assert len(world.rules.where) >= 6
     before = dict(world.rules.where)
@@ -191,7 +193,7 @@
     assert {task: world.rules.where.get(task) for task in before} == before
 
 
-TROUBLES: dict[str, list[Callable[[World], None]]] = {
+FAULT_SEQUENCES: dict[str, list[Callable[[World], None]]] = {
     "quiet": [],
     "machines die": [crash_machines, crash_machines],
     "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
@@ -208,12 +210,12 @@
 }
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_day_with_gangs(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_SEQUENCES)
+def test_rules_hold_for_gangs_under_a_sequence_of_faults(name: str) -> None:
     world = World(seed=50 + len(name), loss=0.004)
     submit_mixed_jobs(world, jobs=12)
-    gang_load(world, count=10)
-    for number, trouble in enumerate(TROUBLES[name]):
+    submit_gangs(world, count=10)
+    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
         world.clock.callLater(33.0 + 9.0 * number, trouble, world)
     world.clock.callLater(34.0, world.cancel, "j-000101")
     world.clock.callLater(45.0, world.cancel, "j-000104")
@@ -223,12 +225,12 @@
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
-def test_a_stopped_gang_saves_together_and_goes_on_from_there() -> None:
+def test_a_preempted_gang_checkpoints_together_and_resumes() -> None:
     """All are told at once: more pressing work takes its place, and nothing of its progress is lost."""
     world = World(seed=41, loss=0.0)
     world.cloud.most = 1
     world.cloud.kinds = {"large"}
-    world.submit(gang(world, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
+    world.submit(gang_job(world, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
     world.lengths["j-000001/0"] = 40.0
     world.run(45)
     assert [g.running_since is not None for g in world.gangs.values()] == [True]
@@ -242,7 +244,7 @@
     assert world.rules.final_at["j-000002"] < world.rules.final_at["j-000001"]
 
 
-def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
+def test_a_gang_starts_only_when_all_its_tasks_have_room() -> None:
     """Room for seven of eight is room for none; small tasks that fill each hole do not keep it out for ever."""
     world = World(seed=42, loss=0.0)
     world.cloud.most = 1
@@ -255,7 +257,7 @@
                 1000 + number, pieces=2, vcpus=4.0, guessS=7.0, builds=["large"], crew=("core", "edge")[number % 2]
             ),
         )
-    wide = gang(world, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
+    wide = gang_job(world, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
     world.clock.callLater(40.0, world.submit, wide)
     while world.now < 300 and not world.rules.is_final("j-000001"):
         world.run(2.0)
@@ -265,7 +267,7 @@
     assert max(only.gathered) - min(only.gathered) < 3.0
 
 
-def job_of(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
+def job_with_placements(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
     body = World.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
     job = Job(parse_job(body), 0.0, size)
     for index, (attempt, state, done) in enumerate(states):
@@ -288,8 +290,8 @@
         ([(1, PlacementState.BOUND, False), (1, PlacementState.ENDED, True)], gangs.Stage.COMPLETED),
     ],
 )
-def test_what_becomes_of_a_gang_follows_from_its_placements(states: list, stage: gangs.Stage) -> None:
-    job = job_of(states, tasks=4)
+def test_the_stage_of_a_gang_follows_from_its_placements(states: list, stage: gangs.Stage) -> None:
+    job = job_with_placements(states, tasks=4)
     assert gangs.stage(job) is stage
     assert gangs.may_start(job) is (stage is gangs.Stage.WHOLE)
     assert gangs.next_attempt(job) == (
@@ -297,7 +299,7 @@
     )
 
 
-def test_gangs_that_can_never_be_placed_are_refused() -> None:
+def test_infeasible_gangs_are_refused() -> None:
     teams = {"core": Team("core", 8.0, 16.0), "free": Team("free")}
     types = {"small": MachineType("small", 8.0, 32.0, 0.5, 0.2, 30.0, ("a", "b"))}
 
@@ -316,7 +318,7 @@
     assert reason(builds=["small", *["e" * 60] * 12], crew="free") is None
 
 
-def test_the_wires_words_of_gangs_are_translated() -> None:
+def test_wire_values_of_gang_tasks_are_parsed() -> None:
     body = {
         "host": "n-1",
         "endpoint": "n-1:1",
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 from stileloft.settings import State, parse
 from stileloft.store.limits import StoreLimits
 from tests.simulation.world import World
-from tests.test_gangs import gang, gang_load
+from tests.test_gangs import gang_job, submit_gangs
 from tests.test_rules import (
     crash_leader,
     crash_machines,
@@ -205,7 +205,7 @@
     world.run(12)
     assert records.FORMAT in world.state.items
     world.lower_limits()
-    gang_load(world, count=6)
+    submit_gangs(world, count=6)
     world.clock.callLater(15.0, crash_leader, world)
     world.rules.troubled_until = world.now + 20.0
     run_until_jobs_end(world)
@@ -261,9 +261,9 @@
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
     world = World(seed=92, loss=0.004, value_kb=16.0, coming=LOWER_LIMITS)
     submit_mixed_jobs(world, jobs=18)
-    gang_load(world, count=8)
+    submit_gangs(world, count=8)
     world.submit(world.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
-    world.submit(gang(world, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
+    world.submit(gang_job(world, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
     world.clock.callLater(30.0, world.lower_limits)
     for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, crash_machines), (80.0, crash_leader)):
         world.clock.callLater(at, trouble, world)
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -33,7 +33,7 @@
 from tests.simulation.clients import Connection
 from tests.simulation.network import Hold
 from tests.simulation.world import World
-from tests.test_gangs import gang, gang_load
+from tests.test_gangs import gang_job, submit_gangs
 from tests.versions import NEW, production
 
 DIGESTS = Path(__file__).parent / "wire_digests.json"
@@ -214,8 +214,8 @@
 def _submit_jobs(world: World) -> None:
     """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
     single.submit_mixed_jobs(world, jobs=14, every=2.5)
-    gang_load(world, count=5, every=7.0)
-    world.clock.callLater(6.0, world.submit, gang(world, 300, pieces=3, loaner=True))
+    submit_gangs(world, count=5, every=7.0)
+    world.clock.callLater(6.0, world.submit, gang_job(world, 300, pieces=3, loaner=True))
     world.clock.callLater(9.0, world.submit, world.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
     world.clock.callLater(
         12.0, world.submit, world.job(500, pieces=90, vcpus=0.25, memGb=0.2, guessS=12.0, crew="guest")
