--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -118,7 +118,7 @@
     return machines
 
 
-def used(machines: list[MachineView]) -> dict[str, QuotaUsage]:
+def team_usage(machines: list[MachineView]) -> dict[str, QuotaUsage]:
     usage = {name: QuotaUsage() for name in TEAMS}
     for machine in machines:
         for task in machine.tasks:
@@ -135,11 +135,11 @@
 
 @DERANDOMIZED
 @given(fleets(), st.integers(1, 16), st.sampled_from(["idle", "standard", "urgent"]), st.sampled_from(["core", "edge"]))
-def test_preemption_is_the_designs_trial_on_the_best_machine(
+def test_preemption_matches_the_reference_model_on_the_cheapest_machine(
     machines: list[MachineView], cpus: int, priority: str, team: str
 ) -> None:
     job = spec(1, float(cpus), priority, team)
-    usage = used(machines)
+    usage = team_usage(machines)
     before = [(n.free_cpus, [t.key for t in n.tasks]) for n in machines]
     found = preempt(job, machines, usage)
     assert [(n.free_cpus, sorted(t.key for t in n.tasks)) for n in machines] == [(c, sorted(k)) for c, k in before]
@@ -161,7 +161,7 @@
 @given(fleets(), st.integers(1, 16))
 def test_every_victim_is_necessary(machines: list[MachineView], cpus: int) -> None:
     job = spec(1, float(cpus), "urgent")
-    found = preempt(job, machines, used(machines))
+    found = preempt(job, machines, team_usage(machines))
     if found is None:
         return
     chosen = next(n for n in machines if n.id == found.machine_id)
@@ -197,16 +197,16 @@
         )
         waiting.append(PendingJob(job, float(draw(st.integers(0, 50))), tasks, list(range(tasks)), {}, 10.0))
     return Snapshot(
-        60.0, {n.id: n for n in machines}, waiting, TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
+        60.0, {n.id: n for n in machines}, waiting, TEAMS, team_usage(machines), {}, {"small": SMALL, "large": LARGE}
     )
 
 
 @DERANDOMIZED
 @given(snapshots())
-def test_decisions_respect_room_limits_and_constraints(snapshot: Snapshot) -> None:
+def test_decisions_respect_capacity_quotas_and_constraints(snapshot: Snapshot) -> None:
     jobs = {job.spec.id: job.spec for job in snapshot.pending_jobs}
     before = {n.id: (n.type, n.zone, n.ready, sum(t.cpus for t in n.tasks), n) for n in snapshot.machines.values()}
-    usage = {name: use.cpus for name, use in used(list(snapshot.machines.values())).items()}
+    usage = {name: use.cpus for name, use in team_usage(list(snapshot.machines.values())).items()}
     decision = decide(snapshot, 100, 8)
     zones: dict[str, list[str]] = {}
     taken = {name: entry[3] for name, entry in before.items()}
@@ -225,7 +225,7 @@
         if jobs[job_id].spread:
             assert max(where.count(z) for z in where) <= (jobs[job_id].tasks + 1) // 2
     for name, team in TEAMS.items():
-        assert usage[name] <= max(team.cpus_max or 1e9, used(list(snapshot.machines.values()))[name].cpus)
+        assert usage[name] <= max(team.cpus_max or 1e9, team_usage(list(snapshot.machines.values()))[name].cpus)
     for key, eviction in decision.preemptions:
         for victim in eviction.victims:
             assert victim.rank <= jobs[key[0]].rank
@@ -234,7 +234,7 @@
 
 @DERANDOMIZED
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
-def test_decisions_are_those_of_the_plain_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
+def test_decisions_match_the_reference_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
     """Whole rounds, with room held, nominations of earlier rounds, images and tasks that leave."""
     for machine in snapshot.machines.values():
         machine.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
@@ -261,7 +261,7 @@
     assert all(machine.free_cpus == cpus and machine.tasks == tasks for machine, cpus, tasks in before.values())
 
 
-def crowd(draw: random.Random) -> Snapshot:
+def random_snapshot(draw: random.Random) -> Snapshot:
     """Some machines in two zones, partly full, and gangs among what waits."""
 
     def any_spec(number: int, cpus: int, **more: object) -> JobSpec:
@@ -340,14 +340,21 @@
     ]
     teams = {name: Team(name, team.cpus, 2 * team.cpus_max) for name, team in TEAMS.items()}
     return Snapshot(
-        60.0, {n.id: n for n in machines}, waits, teams, used(machines), {}, {"small": SMALL, "large": LARGE}, expected
+        60.0,
+        {n.id: n for n in machines},
+        waits,
+        teams,
+        team_usage(machines),
+        {},
+        {"small": SMALL, "large": LARGE},
+        expected,
     )
 
 
-def test_gangs_are_placed_held_for_and_stopped_as_in_the_plain_model() -> None:
+def test_decisions_on_gangs_match_the_reference_model() -> None:
     gangs_placed = gangs_stopped = 0
     for seed in range(400):
-        snapshot = crowd(random.Random(seed))
+        snapshot = random_snapshot(random.Random(seed))
         expected = plain.decide(copy.deepcopy(snapshot), 50, 8)
         decision = decide(snapshot, 50, 8)
         assert decision.placed == expected[0], seed
@@ -379,7 +386,7 @@
         for i, (cpus, priority) in enumerate(wanted)
     ]
     snapshot = Snapshot(
-        0.0, {n.id: n for n in machines}, waiting, TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
+        0.0, {n.id: n for n in machines}, waiting, TEAMS, team_usage(machines), {}, {"small": SMALL, "large": LARGE}
     )
     decision = decide(snapshot, 100, 0)
     placed = {key[0] for key, _ in decision.placed}
@@ -388,14 +395,14 @@
             assert all(n.free_cpus < job.spec.cpus or n.id in snapshot.reservations for n in snapshot.machines.values())
 
 
-def test_nominated_room_is_not_given_away() -> None:
+def test_nominated_room_is_not_given_to_other_tasks() -> None:
     busy = RunningTask(("j-9", 0), spec(9, 8.0), "core", 1, 8.0, 0.0, 1.0, remaining_s=100.0)
     machine = make_machine("n-0", SMALL, [busy])
     urgent, other = spec(1, 6.0, "urgent", tasks=1), spec(2, 4.0, tasks=1)
 
     def snapshot(nominations: dict) -> Snapshot:
         waiting = [PendingJob(urgent, 0.0, 1, [0], {}, 10.0), PendingJob(other, 0.0, 1, [0], {}, 10.0)]
-        return Snapshot(0.0, {"n-0": machine}, waiting, TEAMS, used([machine]), nominations, {"small": SMALL})
+        return Snapshot(0.0, {"n-0": machine}, waiting, TEAMS, team_usage([machine]), nominations, {"small": SMALL})
 
     first = decide(snapshot({}), 10, 8)
     assert [(key, e.machine_id, [v.key for v in e.victims]) for key, e in first.preemptions] == [
@@ -414,7 +421,7 @@
     for count, expected in ((1, 0), (2, 3)):
         machines = [make_machine(f"n-{i}", SMALL, []) for i in range(count)]
         waits = [PendingJob(gang, 0.0, 3, [0, 1, 2], {}, 10.0)]
-        snapshot = Snapshot(0.0, {n.id: n for n in machines}, waits, TEAMS, used(machines), {}, {"small": SMALL})
+        snapshot = Snapshot(0.0, {n.id: n for n in machines}, waits, TEAMS, team_usage(machines), {}, {"small": SMALL})
         decision = decide(snapshot, 10, 8)
         assert len(decision.placed) == expected
         assert decision.preemptions == []
@@ -422,84 +429,89 @@
         assert sum(n.free_cpus for n in snapshot.machines.values()) == 8.0 * count - 4.0 * expected
 
 
-def test_room_beside_counts_equal_and_higher_nominations_only() -> None:
+def test_only_nominations_of_equal_or_higher_rank_reserve_room() -> None:
     machine = make_machine("n-0", SMALL, [])
     lower = Nomination(("j-5", 0), "n-0", 0, spec(5, 8.0, "idle"), 1.0)
     equal = Nomination(("j-6", 0), "n-0", 1, spec(6, 5.0), 1.0)
     assert fits_beside_nominations(spec(1, 8.0), machine, [lower])
     assert not fits_beside_nominations(spec(1, 4.0), machine, [equal])
-    assert victim_candidates(spec(1, 4.0), machine, TeamQuotas(TEAMS, used([]))) == []
+    assert victim_candidates(spec(1, 4.0), machine, TeamQuotas(TEAMS, team_usage([]))) == []
 
 
-def waiting(job: JobSpec, count: int) -> PendingJob:
+def pending_job(job: JobSpec, count: int) -> PendingJob:
     return PendingJob(job, 0.0, count, list(range(count)), {}, 10.0)
 
 
-def scale(
+def scaling_plan(
     unmet: list[UnmetDemand],
     machines: list[MachineView],
     without_capacity: set[InstanceOffer] | None = None,
     settings: OperatorSettings | None = None,
 ):
     snapshot = Snapshot(
-        0.0, {n.id: n for n in machines}, [], TEAMS, used(machines), {}, {"small": SMALL, "large": LARGE}
+        0.0, {n.id: n for n in machines}, [], TEAMS, team_usage(machines), {}, {"small": SMALL, "large": LARGE}
     )
     demand = ScalingDemand(unmet, without_capacity=frozenset(without_capacity or ()))
     return Autoscaler(snapshot, demand, settings or OperatorSettings()).plan()
 
 
-def test_rentals_are_cheap_and_fit_the_task() -> None:
-    large = scale([UnmetDemand(waiting(spec(1, 16.0), 2), 2)], [])
+def test_provisioned_machines_are_the_cheapest_that_fit() -> None:
+    large = scaling_plan([UnmetDemand(pending_job(spec(1, 16.0), 2), 2)], [])
     assert list(large.provision) == [("large", "a", True)]
     assert sum(large.provision.values()) == 1
-    small = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [])
+    small = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [])
     assert list(small.provision) == [("small", "a", True)]
-    elsewhere = scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
+    elsewhere = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
     assert list(elsewhere.provision) == [("small", "b", True)]
-    dear = scale([UnmetDemand(waiting(spec(1, 4.0, spot=False), 2), 2)], [])
+    dear = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0, spot=False), 2), 2)], [])
     assert list(dear.provision) == [("small", "a", False)]
     assert (
-        scale(
-            [UnmetDemand(waiting(spec(1, 4.0, spot=False), 2), 2)], [], settings=OperatorSettings(rent_full_price=False)
+        scaling_plan(
+            [UnmetDemand(pending_job(spec(1, 4.0, spot=False), 2), 2)],
+            [],
+            settings=OperatorSettings(rent_full_price=False),
         ).provision
         == {}
     )
     assert (
-        scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)).provision == {}
+        scaling_plan(
+            [UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [], settings=OperatorSettings(max_machines=0)
+        ).provision
+        == {}
     )
 
 
-def test_room_kept_for_gangs_is_no_room_for_others() -> None:
+def test_room_reserved_for_gangs_does_not_count_as_room_for_other_jobs() -> None:
     """Else a job that the kept room is closed to would wait for it, and nothing would be rented."""
     kept = make_machine("n-0", SMALL, [])
     expected = [ExpectedTasks(spec(9, 4.0, kind="gang", one_zone=True), 2)]
     for keep, placed in (([], 2), (expected, 0)):
-        job = waiting(spec(1, 4.0), 2)
-        snapshot = Snapshot(0.0, {"n-0": kept}, [job], TEAMS, used([kept]), {}, {"small": SMALL}, keep)
+        job = pending_job(spec(1, 4.0), 2)
+        snapshot = Snapshot(0.0, {"n-0": kept}, [job], TEAMS, team_usage([kept]), {}, {"small": SMALL}, keep)
         decision = decide(snapshot, 10, 8)
         assert len(decision.placed) + 2 * len(decision.preemptions) == placed
         rented = Autoscaler(snapshot, ScalingDemand(decision.unmet), OperatorSettings()).plan().provision
         assert sum(rented.values()) == (1 if keep else 0)
-    old = waiting(spec(1, 4.0), 2)
+    old = pending_job(spec(1, 4.0), 2)
     old.aged = True
-    snapshot = Snapshot(0.0, {"n-0": kept}, [old], TEAMS, used([kept]), {}, {"small": SMALL}, expected)
+    snapshot = Snapshot(0.0, {"n-0": kept}, [old], TEAMS, team_usage([kept]), {}, {"small": SMALL}, expected)
     assert len(decide(snapshot, 10, 8).placed) == 1  # it begins with one task
-    overdue = waiting(spec(1, 4.0), 2)
+    overdue = pending_job(spec(1, 4.0), 2)
     overdue.starving = True
-    snapshot = Snapshot(0.0, {"n-0": kept}, [overdue], TEAMS, used([kept]), {}, {"small": SMALL}, expected)
+    snapshot = Snapshot(0.0, {"n-0": kept}, [overdue], TEAMS, team_usage([kept]), {}, {"small": SMALL}, expected)
     assert len(decide(snapshot, 10, 8).placed) == 2  # it has waited beside that room for too long
 
 
-def test_machines_on_the_way_count_and_idle_ones_go_back() -> None:
+def test_booting_machines_count_as_capacity_and_idle_machines_are_released() -> None:
     coming = make_machine("n-1", SMALL, [])
     coming.up = False
-    assert scale([UnmetDemand(waiting(spec(1, 4.0), 2), 2)], [coming]).provision == {}
+    assert scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [coming]).provision == {}
     idle = make_machine("n-2", SMALL, [], idle_s=100.0)
-    assert scale([], [idle]).release == ["n-2"]
-    assert scale([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
+    assert scaling_plan([], [idle]).release == ["n-2"]
+    assert scaling_plan([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
 
 
-def test_held_room_is_open_to_what_was_not_served_for_long() -> None:
+def test_reserved_room_is_open_to_starving_jobs() -> None:
     """But for room that is held for an old job: that is for it alone, or for what fits beside it."""
     small = spec(1, 4.0)
     for owner, admits in (("", True), ("j-000002", False)):
@@ -509,12 +521,12 @@
         assert hold.admits(spec(1, 2.0), 40.0, starving=True)
 
 
-def test_an_old_job_of_many_tasks_is_not_held_to_the_part_of_the_old() -> None:
+def test_an_aged_job_may_use_more_than_the_share_reserved_for_aged_jobs() -> None:
     """A quarter of the machines goes to it first; what else is free it gets in the ordinary order."""
     machines = [make_machine(f"n-{number}", SMALL, []) for number in range(4)]
-    old = waiting(spec(1, 1.0), 28)
+    old = pending_job(spec(1, 1.0), 28)
     old.aged = True
-    snapshot = Snapshot(0.0, {n.id: n for n in machines}, [old], TEAMS, used(machines), {}, {"small": SMALL})
+    snapshot = Snapshot(0.0, {n.id: n for n in machines}, [old], TEAMS, team_usage(machines), {}, {"small": SMALL})
     decision = decide(snapshot, 100, 8)
     assert sorted(key for key, _ in decision.placed) == [("j-1", index) for index in range(28)]
     preemption_exempt = [task for n in snapshot.machines.values() for task in n.tasks if task.rank > 3]
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -14,11 +14,11 @@
 MACHINES = 4000
 
 
-def finished_jobs(world: World) -> int:
+def count_finished_jobs(world: World) -> int:
     return sum(world.rules.last.get(job) == "done" for job in world.jobs)
 
 
-def known_machines(world: World) -> int:
+def machines_with_current_token(world: World) -> int:
     """Machines that the present leader hears."""
     term = world.nodes[world.leader()].leader
     return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
@@ -26,11 +26,11 @@
 
 def run_until_done(world: World, longest_s: float) -> None:
     end = world.now + longest_s
-    while world.now < end and finished_jobs(world) < JOBS:
+    while world.now < end and count_finished_jobs(world) < JOBS:
         world.run(5)
     world.rules.check_cancelled()
     assert world.rules.broken == []
-    assert finished_jobs(world) == JOBS
+    assert count_finished_jobs(world) == JOBS
     assert world.cloud.refused_rates == 0
 
 
@@ -47,7 +47,7 @@
     world.submit_batch(12.0)
     run_until_done(world, 90.0)
     assert world.sessions_lost == 0
-    assert known_machines(world) >= MACHINES
+    assert machines_with_current_token(world) >= MACHINES
     assert all(world.sockets(name) <= world.SOCKETS for name in world.names)
 
 
@@ -57,12 +57,12 @@
     world.run(20)
     world.kill(world.leader())
     world.run(world.LEASE_S / 2)
-    assert known_machines(world) >= MACHINES
+    assert machines_with_current_token(world) >= MACHINES
     run_until_done(world, 90.0)
     assert world.sessions_lost == 0
 
 
-def test_a_new_leader_takes_no_machine_for_slow(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_new_leader_does_not_mark_machines_as_slow(caplog: pytest.LogCaptureFixture) -> None:
     """Tasks that ran when it began end sooner after it first saw them; those begun later are not slow beside them."""
     caplog.set_level("INFO")
     world = FleetWorld(6, 300)
@@ -73,7 +73,7 @@
     assert "is slow" not in caplog.text
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+def test_the_fleet_recovers_after_all_controllers_were_down_for_longer_than_a_lease() -> None:
     """All workers end their tasks; every one of them finds the way back, and the batch is finished."""
     world = FleetWorld(3, MACHINES)
     world.submit_batch(8.0)
@@ -83,13 +83,13 @@
     world.run(1.3 * world.LEASE_S)
     assert world.sessions_lost >= MACHINES
     world.run(world.LEASE_S)
-    assert known_machines(world) >= MACHINES
+    assert machines_with_current_token(world) >= MACHINES
     lost = world.sessions_lost
     run_until_done(world, 120.0)
     assert world.sessions_lost == lost
 
 
-def test_a_list_of_many_pages_is_read_within_the_clouds_limit() -> None:
+def test_a_machine_list_of_many_pages_is_read_within_the_rate_limit_of_the_cloud() -> None:
     """In one go it would take more requests than the cloud allows, and none of it would be known."""
     world = FleetWorld(4, 6000, booted=False)
     world.run(20)
@@ -97,7 +97,7 @@
     assert world.cloud.refused_rates == 0
 
 
-def test_rentals_of_more_than_a_request_holds_are_made_in_several() -> None:
+def test_provisioning_more_machines_than_a_request_holds_takes_several_requests() -> None:
     """In one request the rest would not come, and look as if the cloud had no more of these machines."""
     world = World(seed=5, capacity=1000, loss=0.0)
     world.run(5)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("soft", "hard", "expected"), [(1024, 4096, 2064), (1024, 1500, 1500), (4096, 4096, None)])
-def test_as_many_files_may_be_open_as_there_are_sockets(
+def test_the_limit_of_open_files_is_raised_for_the_sockets(
     soft: int, hard: int, expected: int | None, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     limits: list[tuple[int, int]] = []
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -18,10 +18,10 @@
 )
 from tests.test_rules import crash_leader, reclaim_spot_machines, run_until_jobs_end, submit_mixed_jobs
 
-Trouble = Callable[[World], None]
+Fault = Callable[[World], None]
 
 
-def guests(world: World) -> None:
+def submit_guest_work(world: World) -> None:
     """A team without a guarantee: idle work, an array of thousands, and a swarm of one-task jobs."""
     few = {"crew": "guest", "urgency": "idle"}
     for number in range(3):
@@ -35,7 +35,7 @@
         world.clock.callLater(8.0 + number / 4, world.submit, swarm)
 
 
-def stand_still(seconds: float) -> Trouble:
+def freeze_leader(seconds: float) -> Fault:
     """The leader stands still while its clocks run on."""
 
     def start(world: World) -> None:
@@ -46,14 +46,14 @@
     return start
 
 
-def stand_still_in_elections(world: World) -> None:
+def freeze_during_elections(world: World) -> None:
     """Whoever leads ends, and each node that may follow stands still for a moment of the election."""
     crash_leader(world)
     for number, name in enumerate(world.names):
         world.clock.callLater(0.3 + 0.7 * number, world.freeze, name, 3.0)
 
 
-def stand_still_at_commits(world: World) -> None:
+def freeze_leader_at_commits(world: World) -> None:
     """The leader stands still just as its transactions are carried out: their answers wait, and others lead."""
     leader, ask, left = world.leader(), world.state.ask, [4]
 
@@ -67,7 +67,7 @@
     world.state.ask = asking  # type: ignore[method-assign]
 
 
-def stand_still_while_deciding(world: World) -> None:
+def freeze_leader_during_decisions(world: World) -> None:
     """The leader stands still between a decision and what follows from it: it has been replaced meanwhile."""
     name = world.leader()
     node = world.nodes[name] if name is not None else None
@@ -85,7 +85,7 @@
     world.clock.callLater(12.0, setattr, node, "in_thread", decide)
 
 
-def mistaken_jobs(world: World) -> None:
+def submit_failing_jobs(world: World) -> None:
     """Jobs that fail on every machine, until their users cancel them."""
     for number in range(4):
         body = world.job(3500 + number, pieces=6, vcpus=2.0, urgency="urgent", guessS=3.0, lane="mistaken")
@@ -94,13 +94,13 @@
         world.clock.callLater(50.0 + 3 * number, world.cancel, body["nameId"])
 
 
-def faulty_machine(world: World) -> None:
+def make_machine_faulty(world: World) -> None:
     up = [m for m in world.cloud.machines.values() if m.up]
     if up:
         world.faulty.add(up[0].name)
 
 
-DAYS: dict[str, list[tuple[float, Trouble]]] = {
+FAULT_SCHEDULES: dict[str, list[tuple[float, Fault]]] = {
     "boots late or never": [(0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)],
     "boots late or never, the leader ends": [
         (0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)),
@@ -113,50 +113,53 @@
         (0.4, stop_all_controllers(65.0)),
         (66.0, query_all_after_answers(20.0)),
     ],
-    "stands still for seconds": [(0.0, stand_still(5.0)), (12.0, stand_still(3.0))],
+    "stands still for seconds": [(0.0, freeze_leader(5.0)), (12.0, freeze_leader(3.0))],
     "stands still while jobs are cancelled": [
-        (0.0, stand_still(5.0)),
+        (0.0, freeze_leader(5.0)),
         (0.5, cancel_running_jobs(5)),
         (9.0, cancel_running_jobs(2)),
     ],
-    "stands still in elections": [(0.0, stand_still_in_elections), (15.0, stand_still_in_elections)],
-    "stands still in elections, transactions late": [(0.0, delay_writes(25.0, 0.2)), (2.0, stand_still_in_elections)],
-    "stands still at its commits": [(0.0, stand_still_at_commits)],
-    "stands still at its commits, jobs cancelled": [(0.0, stand_still_at_commits), (4.0, cancel_running_jobs(4))],
-    "stands still while it decides": [(0.0, stand_still_while_deciding)],
-    "stands still while it decides, machines taken": [(0.0, stand_still_while_deciding), (3.0, reclaim_spot_machines)],
+    "stands still in elections": [(0.0, freeze_during_elections), (15.0, freeze_during_elections)],
+    "stands still in elections, transactions late": [(0.0, delay_writes(25.0, 0.2)), (2.0, freeze_during_elections)],
+    "stands still at its commits": [(0.0, freeze_leader_at_commits)],
+    "stands still at its commits, jobs cancelled": [(0.0, freeze_leader_at_commits), (4.0, cancel_running_jobs(4))],
+    "stands still while it decides": [(0.0, freeze_leader_during_decisions)],
+    "stands still while it decides, machines taken": [
+        (0.0, freeze_leader_during_decisions),
+        (3.0, reclaim_spot_machines),
+    ],
     "many questions": [(0.0, flood_with_queries)],
     "many questions, an outage": [(0.0, flood_with_queries), (20.0, outage(12.0))],
-    "guests": [(0.0, guests)],
-    "guests, the leader ends": [(0.0, guests), (25.0, crash_leader)],
-    "guests, all silent for a minute": [(0.0, guests), (30.0, stop_all_controllers(62.0))],
-    "mistaken jobs": [(0.0, mistaken_jobs)],
-    "mistaken jobs, the leader ends": [(0.0, mistaken_jobs), (15.0, crash_leader)],
-    "mistaken jobs, a faulty machine": [(0.0, mistaken_jobs), (2.0, faulty_machine)],
+    "guests": [(0.0, submit_guest_work)],
+    "guests, the leader ends": [(0.0, submit_guest_work), (25.0, crash_leader)],
+    "guests, all silent for a minute": [(0.0, submit_guest_work), (30.0, stop_all_controllers(62.0))],
+    "mistaken jobs": [(0.0, submit_failing_jobs)],
+    "mistaken jobs, the leader ends": [(0.0, submit_failing_jobs), (15.0, crash_leader)],
+    "mistaken jobs, a faulty machine": [(0.0, submit_failing_jobs), (2.0, make_machine_faulty)],
 }
 
 
-def play(name: str, seed: int) -> World:
+def run_schedule(name: str, seed: int) -> World:
     world = World(seed=seed, loss=0.002, capacity=6)
     submit_mixed_jobs(world, jobs=18)
-    for at, trouble in DAYS[name]:
+    for at, trouble in FAULT_SCHEDULES[name]:
         world.clock.callLater(35.0 + at, trouble, world)
     world.rules.troubled_until = 35.0 + 100.0
     run_until_jobs_end(world)
     return world
 
 
-@pytest.mark.parametrize("name", DAYS)
-def test_day(name: str) -> None:
-    world = play(name, seed=len(name))
+@pytest.mark.parametrize("name", FAULT_SCHEDULES)
+def test_rules_hold_under_a_fault_schedule(name: str) -> None:
+    world = run_schedule(name, seed=len(name))
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
-def test_guests_take_little_from_the_others() -> None:
+def test_a_team_without_a_guarantee_delays_other_teams_little() -> None:
     """The same day without them, and with them: how long the other teams' jobs take in all."""
     taken: list[float] = []
-    for trouble in ([], [(0.0, guests)]):
+    for trouble in ([], [(0.0, submit_guest_work)]):
         world = World(seed=17, loss=0.0, capacity=6)
         submit_mixed_jobs(world, jobs=18)
         for at, start in trouble:
@@ -168,7 +171,7 @@
     assert taken[1] < 1.25 * taken[0]
 
 
-def test_a_mistaken_job_changes_the_store_ever_less() -> None:
+def test_a_job_that_always_fails_writes_to_the_store_at_a_falling_rate() -> None:
     """It is tried one task at a time, at growing intervals, and no machine is blamed for it."""
     world = World(seed=18, loss=0.0)
     world.run(15)
@@ -190,7 +193,7 @@
     assert world.rules.broken == []
 
 
-def test_polls_do_not_starve_the_leader_or_submissions() -> None:
+def test_status_queries_do_not_starve_the_leader_or_submissions() -> None:
     """Users ask forty times a second; what they submit meanwhile is accepted, and begins."""
     world = World(seed=19, loss=0.0)
     submit_mixed_jobs(world, jobs=8, every=1.0)
@@ -206,7 +209,7 @@
     assert world.rules.broken == []
 
 
-def test_a_leader_that_stood_still_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_leader_that_was_frozen_past_its_lease_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """What was checked before is not acted on afterwards. Without the check of its lease, the day shows it."""
     world = World(seed=20, loss=0.0)
     world.run(15)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -15,7 +15,7 @@
 JOBS, TASKS = 20, 40
 
 
-def test_work_grows_with_what_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scheduling_work_grows_with_changes_not_with_machines_times_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     """Not with machines times tasks: machines are scored once a job, and copied when they have changed.
 
     How often machines are tried varies by half with the draw of the network's delays; so three days are played, and
@@ -93,7 +93,7 @@
     return counts
 
 
-class LargeWorld(World):
+class LargeFleetWorld(World):
     """The settings of a large fleet: more machines than half of the sockets."""
 
     SOCKETS, CLOUD_RPS, WRITE_RPS = 1950, 9.0, 50.0
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("keeps", [False, True])
-def test_half_as_many_machines_again_as_the_fleet(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:  # noqa: C901 - a day and its counts
+def test_sockets_and_requests_stay_bounded_in_a_large_fleet(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:  # noqa: C901 - a day and its counts
     """A burst, half of the machines lost at once, and all controllers restarted: what is open and asked for is bounded.
 
     With `keeps`, idle connections to workers are never given up, and the checker must object.
@@ -116,7 +116,7 @@
     machines = 942
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
-    world = LargeWorld(seed=24, capacity=machines, loss=0.0)
+    world = LargeFleetWorld(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
         machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
         if not machine.up:
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -10,7 +10,7 @@
 from tests.simulation.world import World
 
 
-def test_a_blind_leader_keeps_tasks_alive_for_its_grace_and_starts_nothing() -> None:
+def test_a_leader_in_an_outage_renews_leases_for_its_grace_and_starts_nothing() -> None:
     world = World(8, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=120.0))
     world.run(40)
@@ -26,7 +26,7 @@
     assert world.rules.broken == []
 
 
-def test_repeats_during_an_outage_leave_room_for_those_after_it() -> None:
+def test_retries_during_an_outage_leave_request_budget_for_afterwards() -> None:
     world = World(11, loss=0.0)
     world.run(5)
     admission = world.nodes["node-1"].admission
@@ -46,7 +46,7 @@
     assert accepted[0][0]
 
 
-def test_a_budget_holds_its_burst_and_no_more() -> None:
+def test_a_token_bucket_holds_at_most_its_burst() -> None:
     clock = Clock()
     budget = TokenBucket(clock, 2.5, burst_s=2.0)
     assert [budget.try_take() for _ in range(6)] == [True] * 5 + [False]
@@ -58,7 +58,7 @@
     assert budget.level() == 5.0
 
 
-def test_a_store_that_executes_nothing_is_not_asked_with_each_report() -> None:
+def test_commits_back_off_while_the_state_service_refuses_them() -> None:
     """Reports come many times a second; so did commits, which used up what was wanted after the outage."""
     world = World(seed=25, loss=0.0)
     for number in range(6):
@@ -85,7 +85,7 @@
     assert world.rules.broken == []
 
 
-def test_a_node_that_alone_is_refused_sends_users_away_but_not_in_an_outage_for_all() -> None:
+def test_a_controller_is_unhealthy_if_it_alone_is_refused_but_not_in_a_general_outage() -> None:
     world = World(12, loss=0.0)
     world.run(10)
     standby = next(name for name in world.names if name != world.leader())
