--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -6,12 +6,12 @@
 
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
-from tests.test_rules import finish
+from tests.test_rules import run_until_jobs_end
 
-VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
+HELD_VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
 
 
-class Histories(RuleBasedStateMachine):
+class FencingHistories(RuleBasedStateMachine):
     """A world in which messages stay on their way for up to three times `cancel_s`; at its end every job has ended."""
 
     @initialize(seed=st.integers(0, 10_000))
@@ -29,7 +29,7 @@
         self.cluster.submit(body)
         self.cluster.clock.callLater(cancel_s, self.cluster.cancel, body["nameId"])
 
-    @rule(verb=VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
+    @rule(verb=HELD_VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
     def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
         now = self.cluster.now
         self.cluster.message_delays = [hold for hold in self.cluster.message_delays if hold.until > now]
@@ -83,12 +83,12 @@
 
     def teardown(self) -> None:
         if hasattr(self, "cluster"):
-            finish(self.cluster)
+            run_until_jobs_end(self.cluster)
             assert self.cluster.checker.violations == []
 
 
-TestHistories = Histories.TestCase
-TestHistories.settings = settings(
+TestFencingHistories = FencingHistories.TestCase
+TestFencingHistories.settings = settings(
     max_examples=25,
     stateful_step_count=16,
     deadline=None,
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -25,7 +25,7 @@
 from stileloft.transport.client import Client, ConnectionFailedError
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
-from tests.held_starts import busy_cluster, hold_and_cancel, run_watched, submit_small_jobs
+from tests.held_starts import busy_cluster, hold_and_cancel, run_checking_cancellations, submit_small_jobs
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
 from tests.soak.cluster import COUNTED
@@ -38,7 +38,7 @@
     terms=st.lists(st.lists(st.sampled_from(["commit", "other", "raise"]), max_size=30), min_size=1, max_size=5),
     offset=st.integers(0, 10**6),
 )
-def test_tokens_belong_to_one_leader_and_rise(terms: list[list[str]], offset: int) -> None:
+def test_tokens_are_unique_to_a_leader_and_increase(terms: list[list[str]], offset: int) -> None:
     """Over any series of leaders, compared with a reference of what was given out.
 
     A leader is of this version, or of one that never raises a token.
@@ -73,7 +73,7 @@
         assert tokens.is_from_successor(offset + revision + 1)
 
 
-def test_spare_tokens_are_bounded_and_the_lowest_is_given_first() -> None:
+def test_spare_tokens_are_bounded_and_issued_in_ascending_order() -> None:
     tokens = FencingTokens(5, 5)
     for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
         tokens.record_commit(revision)
@@ -85,7 +85,7 @@
     assert not tokens.has_spare_above(5 + 2 * MAX_SPARE_TOKENS)
 
 
-def test_a_start_is_in_flight_until_its_epoch_or_its_token_is_over() -> None:
+def test_a_start_is_in_flight_until_its_epoch_ends_or_its_token_is_fenced() -> None:
     starts = InflightStarts()
     starts.record_sent("j-1/0", 1, 10.0, 5, 1)
     starts.record_sent("j-1/1", 1, 11.0, 7, 1)
@@ -113,7 +113,7 @@
     return controller
 
 
-def leading(cluster: SimulatedCluster) -> Leader:
+def current_leader(cluster: SimulatedCluster) -> Leader:
     leader = leading_controller(cluster).leader
     assert leader is not None
     return leader
@@ -124,7 +124,7 @@
     cluster = SimulatedCluster(seed=31, loss=0.0)
     cluster.submit(cluster.job(1, pieces=1, guessS=400.0))
     cluster.run(40)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     (name,) = {machine.name for machine in cluster.checker.machine_by_task.values()}
     machine, worker = leader.cluster.machines[name], cluster.all_machines[name]
     placement = next(iter(machine.placements.values()))
@@ -148,7 +148,7 @@
     assert cluster.checker.violations == []
 
 
-def test_an_answer_that_cannot_stop_all_that_is_cancelled_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_answer_without_room_for_all_stops_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
     """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
     cluster = SimulatedCluster(seed=32, loss=0.0, value_kb=16.0)
     cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
@@ -171,7 +171,7 @@
     cluster.message_delays.append(MessageDelay(cluster.now + 7.0, 60.0, 60.0))
     cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
-        run_watched(cluster, cluster.CANCEL_S + 20.0)
+        run_checking_cancellations(cluster, cluster.CANCEL_S + 20.0)
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
@@ -179,7 +179,7 @@
     assert cluster.checker.machine_by_task == {}
 
 
-def test_more_stops_than_an_answer_holds_go_directly_in_time() -> None:
+def test_stops_beyond_the_limit_of_an_answer_are_sent_directly_in_time() -> None:
     """An answer that can't carry them moves no clock of the direct ones: nobody else's tasks pay with their lease."""
     cluster = SimulatedCluster(seed=39, loss=0.0, value_kb=16.0)
     cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
@@ -187,13 +187,13 @@
     cluster.run(60)
     assert max(len(machine.tasks) for machine in cluster.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
     cluster.cancel("j-000001")
-    run_watched(cluster, 0.6 * SimulatedCluster.LEASE_S)
+    run_checking_cancellations(cluster, 0.6 * SimulatedCluster.LEASE_S)
     assert set(cluster.checker.machine_by_task) == {"j-000002/0"}
     assert cluster.expired_leases == 0
     assert cluster.checker.starts_by_task["j-000002/0"] == 1
 
 
-def test_a_start_is_asked_for_again_when_its_connection_is_there() -> None:
+def test_a_start_is_checked_again_after_its_connection_is_made() -> None:
     """To connect takes a while: a start whose job was cancelled meanwhile must not go out."""
     reactor = MemoryReactorClock()
     client = Client(reactor, messages.encode, messages.decode, b"application/cbor", 1, 1.0, 60.0)
@@ -221,10 +221,10 @@
     assert failures[0].check(ConnectionFailedError), "it is certain that it was not executed"
 
 
-def test_what_may_go_out_when_the_connection_is_there_at_last() -> None:
+def test_which_commands_may_be_transmitted_once_connected() -> None:
     """Nothing after the leadership; stops while it lasts; starts only with everything that starts need."""
     cluster = busy_cluster(36)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     assert leader.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
@@ -239,9 +239,9 @@
     assert leader.authority.check_transmission([], machine) is Refusal.LEADERSHIP_ENDED
 
 
-def test_a_forget_that_waits_for_a_spare_token_is_no_violation(no_violations: list[str]) -> None:
+def test_a_forget_without_a_spare_token_is_no_invariant_violation(no_violations: list[str]) -> None:
     cluster = busy_cluster(37)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     machine = next(iter(leader.cluster.machines.values()))
     before = machine.token
     leader.tokens._spares.clear()
@@ -256,10 +256,10 @@
     assert machine.token == 10**6, "once a lease at the most, as it takes a report"
 
 
-def test_provisioning_and_releases_are_asked_for_again_when_their_connection_is_there() -> None:
+def test_provisioning_and_releases_are_checked_again_after_connecting() -> None:
     """A leader that was replaced meanwhile would provision twice, or release what its successor uses."""
     cluster = busy_cluster(38)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     asked: list[str] = []
     controller = leading_controller(cluster)
     wire = controller.clients.cloud._client
@@ -281,9 +281,9 @@
     assert set(cluster.cloud.machines) == machines
 
 
-def test_a_leader_knows_at_once_what_its_own_users_cancel() -> None:
+def test_a_leader_marks_a_job_cancelled_before_it_answers_the_user() -> None:
     cluster = busy_cluster(33)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     job = leader.cluster.jobs["j-000001"]
     seen: list[str | None] = []
     node = leading_controller(cluster)
@@ -302,9 +302,9 @@
     assert seen[0] is not None
 
 
-def test_a_leader_without_a_spare_token_gets_one_by_writing_a_record_again() -> None:
+def test_a_leader_without_a_spare_token_rewrites_a_record_to_get_one() -> None:
     cluster = busy_cluster(34)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     leader.tokens._spares.clear()
     commits = leader.commit_queue.commits
     cluster.submit(cluster.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
@@ -316,21 +316,21 @@
     assert leader.fencing.machines_awaiting_token == {}
 
 
-def test_the_soak_finds_the_log_lines_that_it_counts(caplog: pytest.LogCaptureFixture) -> None:
+def test_the_patterns_of_the_soak_match_the_log_lines(caplog: pytest.LogCaptureFixture) -> None:
     cluster = busy_cluster(48)
     with caplog.at_level(logging.INFO):
         hold_and_cancel(cluster)
-        run_watched(cluster, 60.0)
+        run_checking_cancellations(cluster, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
         assert COUNTED[name].search(caplog.text), name
 
 
-def test_what_the_leader_knows_of_starts_is_shown() -> None:
+def test_the_status_shows_starts_in_doubt() -> None:
     cluster = busy_cluster(35)
     cluster.message_delays.append(MessageDelay(cluster.now + 3.0, 45.0, 45.0, verb="launch"))
     submit_small_jobs(cluster)
     cluster.run(7)
-    shown = leading(cluster).status()["commands"]
+    shown = current_leader(cluster).status()["commands"]
     assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0
     assert shown["starts_sent"] > shown["starts_answered"]
     row = shown["in_doubt"][0]
@@ -348,23 +348,23 @@
 # -- versions, and a lost store ---------------------------------------------------------------------------------------
 
 
-def cancel_held(cluster: SimulatedCluster) -> None:
+def cancel_jobs_with_held_starts(cluster: SimulatedCluster) -> None:
     """Starts are held, their jobs cancelled, and tokens raised for that."""
     hold_and_cancel(cluster)
     cluster.run(4)
-    assert leading(cluster).tokens.issued_count > 0
+    assert current_leader(cluster).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_version_in_production_leads_after_tokens_were_raised(seed: int) -> None:
+def test_the_version_in_production_leads_after_spare_tokens_were_issued(seed: int) -> None:
     """It knows nothing of raised tokens: its own, the version of its key, is above all of them."""
     cluster = busy_cluster(40 + seed)
-    cancel_held(cluster)
-    raised = leading(cluster).tokens.highest_issued
+    cancel_jobs_with_held_starts(cluster)
+    raised = current_leader(cluster).tokens.highest_issued
     for name in cluster.names:
         cluster.kill(name, 0.3, production() or CURRENT)
-    run_watched(cluster, 100.0)
+    run_checking_cancellations(cluster, 100.0)
     leader = cluster.leader()
     assert leader is not None
     assert cluster.nodes[leader].election.token > raised
@@ -372,15 +372,15 @@
     assert cluster.checker.refused_starts["token"] > 0
 
 
-def test_a_store_that_is_lost_after_tokens_were_raised_is_rebuilt() -> None:
+def test_a_store_lost_after_spare_tokens_were_issued_is_rebuilt() -> None:
     """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
     cluster = busy_cluster(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
-    cancel_held(cluster)
+    cancel_jobs_with_held_starts(cluster)
     running, tokens = set(cluster.checker.machine_by_task), leading_controller(cluster).rebuild.tokens
-    assert tokens.last_term_token == leading(cluster).tokens.highest_issued == tokens.highest
+    assert tokens.last_term_token == current_leader(cluster).tokens.highest_issued == tokens.highest
     cluster.state.wipe()
-    run_watched(cluster, 100.0)
-    assert leading(cluster).tokens.first > tokens.last_term_token - 1
+    run_checking_cancellations(cluster, 100.0)
+    assert current_leader(cluster).tokens.first > tokens.last_term_token - 1
     assert cluster.checker.violations == []
     assert running <= set(cluster.checker.machine_by_task), "what ran goes on"
 
@@ -388,14 +388,14 @@
 # -- invariants -------------------------------------------------------------------------------------------------------
 
 
-def test_a_fence_that_fails_is_seen_and_renews_no_lease(
+def test_a_failed_fence_is_reported_and_renews_no_lease(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
     monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
     cluster = busy_cluster(45)
     hold_and_cancel(cluster)
-    run_watched(cluster, 80.0)
+    run_checking_cancellations(cluster, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
     assert cluster.checker.violations == []
     assert cluster.expired_leases > 0
@@ -403,7 +403,7 @@
     no_violations.clear()
 
 
-def test_a_start_of_a_job_that_is_over_is_seen_and_not_sent(
+def test_a_start_of_an_ended_job_is_reported_and_not_sent(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
     monkeypatch.setattr(
@@ -414,13 +414,15 @@
     monkeypatch.setattr(Authority, "check_transmission", lambda *_: None)
     cluster = busy_cluster(46)
     hold_and_cancel(cluster)
-    run_watched(cluster, 60.0)
+    run_checking_cancellations(cluster, 60.0)
     assert Invariant.NO_START_AFTER_END.name in {line.partition(":")[0] for line in no_violations}
     assert cluster.checker.violations == []
     no_violations.clear()
 
 
-def test_violations_are_counted_and_bounded(caplog: pytest.LogCaptureFixture, no_violations: list[str]) -> None:
+def test_violations_are_counted_and_their_log_lines_bounded(
+    caplog: pytest.LogCaptureFixture, no_violations: list[str]
+) -> None:
     monitor = InvariantMonitor()
     assert monitor.check(True, Invariant.TOKENS_RISE, "%d", "a text that would not fit")
     with caplog.at_level(logging.ERROR):
@@ -435,9 +437,9 @@
     no_violations.clear()
 
 
-def test_a_fenced_start_that_runs_all_the_same_is_seen(no_violations: list[str]) -> None:
+def test_a_fenced_start_that_runs_is_reported(no_violations: list[str]) -> None:
     cluster = busy_cluster(47)
-    leader = leading(cluster)
+    leader = current_leader(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     task = next(iter(machine.placements.values()))
     leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -14,11 +14,11 @@
 MACHINES = 4000
 
 
-def finished_jobs(cluster: SimulatedCluster) -> int:
+def count_finished_jobs(cluster: SimulatedCluster) -> int:
     return sum(cluster.checker.last_phase.get(job) == "done" for job in cluster.jobs)
 
 
-def known_machines(cluster: SimulatedCluster) -> int:
+def machines_with_current_token(cluster: SimulatedCluster) -> int:
     """Machines that the present leader hears."""
     term = cluster.nodes[cluster.leader()].leader
     return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
@@ -26,11 +26,11 @@
 
 def run_until_done(cluster: SimulatedCluster, longest_s: float) -> None:
     end = cluster.now + longest_s
-    while cluster.now < end and finished_jobs(cluster) < JOBS:
+    while cluster.now < end and count_finished_jobs(cluster) < JOBS:
         cluster.run(5)
     cluster.checker.check_cancelled()
     assert cluster.checker.violations == []
-    assert finished_jobs(cluster) == JOBS
+    assert count_finished_jobs(cluster) == JOBS
     assert cluster.cloud.throttled_requests == 0
 
 
@@ -47,7 +47,7 @@
     cluster.submit_batch(12.0)
     run_until_done(cluster, 90.0)
     assert cluster.expired_leases == 0
-    assert known_machines(cluster) >= MACHINES
+    assert machines_with_current_token(cluster) >= MACHINES
     assert all(cluster.sockets(name) <= cluster.SOCKETS for name in cluster.names)
 
 
@@ -57,12 +57,12 @@
     cluster.run(20)
     cluster.kill(cluster.leader())
     cluster.run(cluster.LEASE_S / 2)
-    assert known_machines(cluster) >= MACHINES
+    assert machines_with_current_token(cluster) >= MACHINES
     run_until_done(cluster, 90.0)
     assert cluster.expired_leases == 0
 
 
-def test_a_new_leader_takes_no_machine_for_slow(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_new_leader_does_not_mark_machines_as_slow(caplog: pytest.LogCaptureFixture) -> None:
     """Tasks that ran when it began end sooner after it first saw them; those begun later are not slow beside them."""
     caplog.set_level("INFO")
     cluster = FleetCluster(6, 300)
@@ -73,7 +73,7 @@
     assert "is slow" not in caplog.text
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+def test_the_fleet_recovers_after_all_controllers_were_down_for_longer_than_a_lease() -> None:
     """All workers end their tasks; every one of them finds the way back, and the batch is finished."""
     cluster = FleetCluster(3, MACHINES)
     cluster.submit_batch(8.0)
@@ -83,13 +83,13 @@
     cluster.run(1.3 * cluster.LEASE_S)
     assert cluster.expired_leases >= MACHINES
     cluster.run(cluster.LEASE_S)
-    assert known_machines(cluster) >= MACHINES
+    assert machines_with_current_token(cluster) >= MACHINES
     lost = cluster.expired_leases
     run_until_done(cluster, 120.0)
     assert cluster.expired_leases == lost
 
 
-def test_a_list_of_many_pages_is_read_within_the_clouds_limit() -> None:
+def test_a_machine_list_of_many_pages_is_read_within_the_rate_limit_of_the_cloud() -> None:
     """In one go it would take more requests than the cloud allows, and none of it would be known."""
     cluster = FleetCluster(4, 6000, booted=False)
     cluster.run(20)
@@ -97,7 +97,7 @@
     assert cluster.cloud.throttled_requests == 0
 
 
-def test_rentals_of_more_than_a_request_holds_are_made_in_several() -> None:
+def test_provisioning_more_machines_than_a_request_holds_takes_several_requests() -> None:
     """In one request the rest would not come, and look as if the cloud had no more of these machines."""
     cluster = SimulatedCluster(seed=5, capacity=1000, loss=0.0)
     cluster.run(5)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("soft", "hard", "expected"), [(1024, 4096, 2064), (1024, 1500, 1500), (4096, 4096, None)])
-def test_as_many_files_may_be_open_as_there_are_sockets(
+def test_the_limit_of_open_files_is_raised_for_the_sockets(
     soft: int, hard: int, expected: int | None, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     limits: list[tuple[int, int]] = []
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -15,24 +15,24 @@
 from tests.simulation.gangs import Gang
 from tests.simulation.workers import Machine
 from tests.test_rules import (
-    burst,
-    crash_all_at_once,
+    block_traffic_to_machines,
     crash_leader,
-    deaf_machines,
-    finish,
-    hang,
-    late_copies,
-    leader_cut_from_state,
-    load,
-    machines_cut,
-    machines_die,
+    crash_machines,
+    duplicate_messages,
+    hang_two_machines,
     outage,
-    spot_wave,
-    zone_with_leader_cut_off,
+    partition_leader_from_state_service,
+    partition_machines,
+    partition_zone_of_leader,
+    reclaim_spot_machines,
+    restart_all_controllers,
+    run_until_jobs_end,
+    submit_burst,
+    submit_mixed_jobs,
 )
 
 
-def gang(cluster: SimulatedCluster, number: int, **changes: object) -> dict:
+def gang_job(cluster: SimulatedCluster, number: int, **changes: object) -> dict:
     fields = {
         "lane": "solver",
         "shape": "gang",
@@ -48,16 +48,20 @@
     return cluster.job(number, **fields)
 
 
-def gang_load(cluster: SimulatedCluster, first: int = 100, count: int = 8, every: float = 4.0) -> None:
+def submit_gangs(cluster: SimulatedCluster, first: int = 100, count: int = 8, every: float = 4.0) -> None:
     for number in range(count):
         pieces = (2, 4, 6, 3)[number % 4]
         # Some may be anywhere, some on spot machines, some never save, some are more pressing.
         changes = ({}, {"together": False}, {"loaner": True, "urgency": "urgent"}, {"snapshotS": 0.0, "stashS": 0.0})
-        body = gang(cluster, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
+        body = gang_job(
+            cluster, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4]
+        )
         cluster.clock.callLater(2.0 + number * every, cluster.submit, body)
 
 
-def when(cluster: SimulatedCluster, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
+def act_on_first_gang(
+    cluster: SimulatedCluster, seen: Callable[[Gang], bool], then: Callable[[Gang], None]
+) -> list[float]:
     """Does something at the first moment at which an attempt of a gang looks so; says when that was."""
     at: list[float] = []
 
@@ -73,29 +77,29 @@
     return at
 
 
-def gathering(g: Gang) -> bool:
+def is_gathering(g: Gang) -> bool:
     return g.running_since is None and 0 < len(g.members) < g.job["pieces"]
 
 
-def running(g: Gang) -> bool:
+def is_running(g: Gang) -> bool:
     return g.running_since is not None and not g.finished and g.current_progress() > 5.0
 
 
-def stopping(g: Gang) -> bool:
+def is_stopping(g: Gang) -> bool:
     return bool(g.stopping_since) and not g.finished
 
 
-def done_on_one(g: Gang) -> bool:
+def has_a_done_task(g: Gang) -> bool:
     return g.finished and any(f"{name}" in g.cluster.checker.completed_tasks for name in g.members)
 
 
-def die_one(g: Gang) -> None:
+def crash_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
     g.cluster.cloud.machines.pop(machine.name, None)
     machine.die()
 
 
-def take_back_one(g: Gang) -> None:
+def reclaim_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
     machine.preempted_at = g.cluster.now + 7.0
 
@@ -106,29 +110,31 @@
     g.cluster.clock.callLater(7.0, gone)
 
 
-def lead_anew(g: Gang) -> None:
+def crash_the_leader(g: Gang) -> None:
     crash_leader(g.cluster)
 
 
-MOMENTS = {"gathering": gathering, "running": running, "stopping": stopping, "done on one": done_on_one}
+PHASES = {"gathering": is_gathering, "running": is_running, "stopping": is_stopping, "done on one": has_a_done_task}
 
 
-@pytest.mark.parametrize("moment", MOMENTS)
+@pytest.mark.parametrize("moment", PHASES)
 @pytest.mark.parametrize("trouble", ["take-over", "machine dies"])
-def test_at_each_moment_of_a_gang(moment: str, trouble: str) -> None:
+def test_a_fault_in_each_phase_of_a_gang(moment: str, trouble: str) -> None:
     cluster = SimulatedCluster(seed=len(moment) + len(trouble), loss=0.004)
-    gang_load(cluster)
+    submit_gangs(cluster)
     if moment == "stopping":
-        when(cluster, running, take_back_one)
-    met = when(cluster, MOMENTS[moment], {"take-over": lead_anew, "machine dies": die_one}[trouble])
-    finish(cluster, 300)
+        act_on_first_gang(cluster, is_running, reclaim_one_machine)
+    met = act_on_first_gang(
+        cluster, PHASES[moment], {"take-over": crash_the_leader, "machine dies": crash_one_machine}[trouble]
+    )
+    run_until_jobs_end(cluster, 300)
     assert met
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 @pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
-def test_take_over_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failover_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Committed in part: nothing was started, and it is taken back. Started in part: the rest follows."""
     cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, upcoming_limits={"txn_ops": 4, "value_kb": 1.0})
     handle, launched = cluster.state.handle, Machine.start
@@ -150,11 +156,11 @@
 
     cluster.state.handle = counted  # type: ignore[method-assign]
     monkeypatch.setattr(Machine, "start", counted_start)
-    cluster.submit(gang(cluster, 1, pieces=24))
+    cluster.submit(gang_job(cluster, 1, pieces=24))
     while not commits:
         cluster.run(0.5)
     assert {len(launches), len(cluster.gangs)} == {0} or stored != "in part"
-    finish(cluster, 200)
+    run_until_jobs_end(cluster, 200)
     assert cluster.checker.violations == []
     assert cluster.checker.last_phase["j-000001"] == "done"
     # Taken back: a second attempt. Started in part: the first goes on.
@@ -165,7 +171,7 @@
     """Reports that came in between were taken as of tasks that are not to be there, which were stopped."""
     cluster = SimulatedCluster(seed=32, loss=0.0)
     cluster.submit(cluster.job(1, pieces=6, guessS=600.0))
-    cluster.submit(gang(cluster, 2, guessS=600.0))
+    cluster.submit(gang_job(cluster, 2, guessS=600.0))
     cluster.run(60)
     assert len(cluster.checker.machine_by_task) >= 6
     before = dict(cluster.checker.machine_by_task)
@@ -191,45 +197,49 @@
     assert {task: cluster.checker.machine_by_task.get(task) for task in before} == before
 
 
-TROUBLES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
+FAULT_SEQUENCES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
     "quiet": [],
-    "machines die": [machines_die, machines_die],
-    "machines hang past the lease": [hang(20.0), crash_leader],
-    "machines hang shortly": [hang(2.0), hang(5.0)],
-    "machines hear nothing": [deaf_machines(8.0), deaf_machines(40.0)],
-    "machines cut off, late copies": [late_copies, machines_cut, crash_leader],
-    "outage, then all crash": [outage, crash_all_at_once],
-    "leader cut from the state service, spot wave": [leader_cut_from_state, spot_wave, burst],
-    "zone with the leader cut off": [zone_with_leader_cut_off],
+    "machines die": [crash_machines, crash_machines],
+    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
+    "machines hang shortly": [hang_two_machines(2.0), hang_two_machines(5.0)],
+    "machines hear nothing": [block_traffic_to_machines(8.0), block_traffic_to_machines(40.0)],
+    "machines cut off, late copies": [duplicate_messages, partition_machines, crash_leader],
+    "outage, then all crash": [outage, restart_all_controllers],
+    "leader cut from the state service, spot wave": [
+        partition_leader_from_state_service,
+        reclaim_spot_machines,
+        submit_burst,
+    ],
+    "zone with the leader cut off": [partition_zone_of_leader],
 }
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_day_with_gangs(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_SEQUENCES)
+def test_rules_hold_for_gangs_under_a_sequence_of_faults(name: str) -> None:
     cluster = SimulatedCluster(seed=50 + len(name), loss=0.004)
-    load(cluster, jobs=12)
-    gang_load(cluster, count=10)
-    for number, trouble in enumerate(TROUBLES[name]):
+    submit_mixed_jobs(cluster, jobs=12)
+    submit_gangs(cluster, count=10)
+    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
         cluster.clock.callLater(33.0 + 9.0 * number, trouble, cluster)
     cluster.clock.callLater(34.0, cluster.cancel, "j-000101")
     cluster.clock.callLater(45.0, cluster.cancel, "j-000104")
     cluster.checker.faults_until = 110.0
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
-def test_a_stopped_gang_saves_together_and_goes_on_from_there() -> None:
+def test_a_preempted_gang_checkpoints_together_and_resumes() -> None:
     """All are told at once: more pressing work takes its place, and nothing of its progress is lost."""
     cluster = SimulatedCluster(seed=41, loss=0.0)
     cluster.cloud.max_machines = 1
     cluster.cloud.available_types = {"large"}
-    cluster.submit(gang(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
+    cluster.submit(gang_job(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
     cluster.run_times["j-000001/0"] = 40.0
     cluster.run(45)
     assert [g.running_since is not None for g in cluster.gangs.values()] == [True]
     cluster.submit(cluster.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
-    finish(cluster, 250)
+    run_until_jobs_end(cluster, 250)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
     assert cluster.gang_rollbacks == 0
@@ -238,7 +248,7 @@
     assert cluster.checker.final_at["j-000002"] < cluster.checker.final_at["j-000001"]
 
 
-def test_nothing_of_a_gang_waits_on_a_machine_for_room_elsewhere() -> None:
+def test_a_gang_starts_only_when_all_its_tasks_have_room() -> None:
     """Room for seven of eight is room for none; small tasks that fill each hole do not keep it out for ever."""
     cluster = SimulatedCluster(seed=42, loss=0.0)
     cluster.cloud.max_machines = 1
@@ -251,7 +261,7 @@
                 1000 + number, pieces=2, vcpus=4.0, guessS=7.0, builds=["large"], crew=("core", "edge")[number % 2]
             ),
         )
-    wide = gang(cluster, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
+    wide = gang_job(cluster, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
     cluster.clock.callLater(40.0, cluster.submit, wide)
     while cluster.now < 300 and not cluster.checker.is_final("j-000001"):
         cluster.run(2.0)
@@ -261,7 +271,7 @@
     assert max(only.waiting_since) - min(only.waiting_since) < 3.0
 
 
-def job_of(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
+def job_with_placements(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
     body = SimulatedCluster.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
     job = Job(parse_job(body), 0.0, size)
     for index, (attempt, state, done) in enumerate(states):
@@ -284,8 +294,8 @@
         ([(1, PlacementState.BOUND, False), (1, PlacementState.ENDED, True)], gangs.Stage.COMPLETED),
     ],
 )
-def test_what_becomes_of_a_gang_follows_from_its_placements(states: list, stage: gangs.Stage) -> None:
-    job = job_of(states, tasks=4)
+def test_the_stage_of_a_gang_follows_from_its_placements(states: list, stage: gangs.Stage) -> None:
+    job = job_with_placements(states, tasks=4)
     assert gangs.stage(job) is stage
     assert gangs.may_start(job) is (stage is gangs.Stage.WHOLE)
     assert gangs.next_attempt(job) == (
@@ -293,7 +303,7 @@
     )
 
 
-def test_gangs_that_can_never_be_placed_are_refused() -> None:
+def test_infeasible_gangs_are_refused() -> None:
     teams = {"core": Team("core", 8.0, 16.0), "free": Team("free")}
     types = {"small": MachineType("small", 8.0, 32.0, 0.5, 0.2, 30.0, ("a", "b"))}
 
@@ -312,7 +322,7 @@
     assert reason(builds=["small", *["e" * 60] * 12], crew="free") is None
 
 
-def test_the_wires_words_of_gangs_are_translated() -> None:
+def test_wire_values_of_gang_tasks_are_parsed() -> None:
     body = {
         "host": "n-1",
         "endpoint": "n-1:1",
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -16,7 +16,7 @@
 from stileloft.model.placements import Placement
 from stileloft.transport.client import Reply
 from tests.simulation.cluster import SimulatedCluster
-from tests.test_rules import crash_leader, finish, load, outage
+from tests.test_rules import crash_leader, outage, run_until_jobs_end, submit_mixed_jobs
 from tests.test_upgrade import stored_spec
 from tests.versions import CURRENT, LAST_FORMAT_1, from_history
 
@@ -62,7 +62,7 @@
     counted = count_changes(cluster)
     for number in range(30):
         cluster.clock.callLater(number * 1.0, cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=8.0))
-    finish(cluster)
+    run_until_jobs_end(cluster)
     jobs = {kind: count for kind, count in counted.items() if "active" in kind or "final" in kind or "tasks" in kind}
     assert set(cluster.checker.last_phase.values()) == {"done"}
     assert cluster.checker.violations == []
@@ -119,7 +119,7 @@
     cluster.run(8)
     assert cluster.checker.starts == starts
     assert len(cluster.checker.machine_by_task) == 12
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
 
@@ -131,7 +131,7 @@
     run_until_started(cluster, 40)
     assert records.INLINE_CHUNK in cluster.state.items["active/j-000001"][0]
     cluster.state.value_bytes = 1024
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert cluster.checker.last_phase == {"j-000001": "done"}
     cluster.run(20)
@@ -143,7 +143,7 @@
 def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
     """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
     cluster = SimulatedCluster(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or CURRENT)
-    load(cluster, jobs=24)
+    submit_mixed_jobs(cluster, jobs=24)
     for number in range(200, 240):
         cluster.clock.callLater(
             0.8 * number - 150, cluster.submit, cluster.job(number, pieces=1, vcpus=1.0, guessS=12.0)
@@ -163,7 +163,7 @@
     cluster.clock.callLater(3.0, crash_leader, cluster)
     cluster.clock.callLater(14.0, outage, cluster)
     cluster.checker.faults_until = cluster.now + 40.0
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
@@ -222,7 +222,7 @@
     cluster.cancel("j-000001")
     cluster.run(0.5)
     crash_leader(cluster)
-    finish(cluster)
+    run_until_jobs_end(cluster)
     cluster.run(30)
     assert cluster.checker.machine_by_task == {}
     assert cluster.checker.violations == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,7 +20,7 @@
 from tests.simulation.cluster import SimulatedCluster
 
 
-def load(cluster: SimulatedCluster, jobs: int = 24, every: float = 3.0) -> None:
+def submit_mixed_jobs(cluster: SimulatedCluster, jobs: int = 24, every: float = 3.0) -> None:
     """A mix of classes, teams and constraints, spread over the first minute or so."""
     for number in range(jobs):
         kind = number % 6
@@ -35,7 +35,7 @@
         cluster.clock.callLater(1.0 + number * every, cluster.submit, cluster.job(number, **changes))
 
 
-def finish(cluster: SimulatedCluster, seconds: float = 400.0) -> None:
+def run_until_jobs_end(cluster: SimulatedCluster, seconds: float = 400.0) -> None:
     """Runs until all users know how their jobs ended."""
     end = cluster.now + seconds
     wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
@@ -56,27 +56,27 @@
         cluster.kill(name)
 
 
-def crash_all(cluster: SimulatedCluster) -> None:
+def crash_all_controllers(cluster: SimulatedCluster) -> None:
     for name in cluster.names:
         cluster.kill(name, 4.0)
 
 
-def crash_all_at_once(cluster: SimulatedCluster) -> None:
+def restart_all_controllers(cluster: SimulatedCluster) -> None:
     for name in cluster.names:
         cluster.kill(name, 0.2)
 
 
-def crash_all_in_outage(cluster: SimulatedCluster) -> None:
+def crash_all_controllers_in_outage(cluster: SimulatedCluster) -> None:
     cluster.state.outage(12.0)
-    crash_all(cluster)
+    crash_all_controllers(cluster)
 
 
-def roll(cluster: SimulatedCluster) -> None:
+def rolling_restart(cluster: SimulatedCluster) -> None:
     for number, name in enumerate(cluster.names):
         cluster.clock.callLater(number * 8.0, cluster.kill, name, 0.3)
 
 
-def restart_in_election(cluster: SimulatedCluster) -> None:
+def restart_during_elections(cluster: SimulatedCluster) -> None:
     """The leader dies and each node restarts within a fraction of a second, again and again."""
     for number in range(6):
         cluster.clock.callLater(number * 0.7, cluster.kill, cluster.names[number % 3], 0.2)
@@ -86,30 +86,30 @@
     cluster.state.outage(20.0)
 
 
-def leader_refused(cluster: SimulatedCluster) -> None:
+def refuse_leader(cluster: SimulatedCluster) -> None:
     name = cluster.leader()
     if name is not None:
         cluster.state.refused_until[name] = cluster.now + 25.0
 
 
-def leader_cut_from_state(cluster: SimulatedCluster) -> None:
+def partition_leader_from_state_service(cluster: SimulatedCluster) -> None:
     cluster.partition(cluster.leader() or "node-0", "state", 15.0, hold=True)
 
 
-def leader_cut_from_workers(cluster: SimulatedCluster) -> None:
+def partition_leader_from_workers(cluster: SimulatedCluster) -> None:
     name = cluster.leader() or "node-0"
     for machine in list(cluster.cloud.machines):
         cluster.partition(name, machine, 25.0, hold=True)
 
 
-def leader_cut_from_most_workers(cluster: SimulatedCluster) -> None:
+def partition_leader_from_most_workers(cluster: SimulatedCluster) -> None:
     """As in an incident at Bluebonnet: some machines are still heard, so the leader does not doubt itself."""
     name = cluster.leader() or "node-0"
     for machine in list(cluster.cloud.machines)[1:]:
         cluster.partition(name, machine, 30.0, hold=True)
 
 
-def spot_wave(cluster: SimulatedCluster) -> None:
+def reclaim_spot_machines(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.spot][::2]:
         machine.preempted_at = cluster.now + 6.0
 
@@ -120,7 +120,7 @@
         cluster.clock.callLater(6.0, taken)
 
 
-def machines_die(cluster: SimulatedCluster) -> None:
+def crash_machines(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
         machine.die()
 
@@ -136,11 +136,11 @@
         machine.cluster.clock.callLater(seconds, on)
 
 
-def hang(seconds: float) -> Callable[[SimulatedCluster], None]:
+def hang_two_machines(seconds: float) -> Callable[[SimulatedCluster], None]:
     return lambda cluster: hang_machines([m for m in cluster.cloud.machines.values() if m.up][:2], seconds)
 
 
-def machines_cut(cluster: SimulatedCluster) -> None:
+def partition_machines(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][:2]:
         for name in cluster.names:
             cluster.partition(name, machine.name, 10.0, hold=True)
@@ -150,11 +150,11 @@
     cluster.cloud.down_until = cluster.now + 25.0
 
 
-def faulty_machine(cluster: SimulatedCluster) -> None:
+def make_machine_faulty(cluster: SimulatedCluster) -> None:
     cluster.faulty_machines.update([m.name for m in cluster.cloud.machines.values() if m.up][:1])
 
 
-def deaf_machines(seconds: float) -> Callable[[SimulatedCluster], None]:
+def block_traffic_to_machines(seconds: float) -> Callable[[SimulatedCluster], None]:
     """Their reports arrive, but answers and commands don't reach them."""
 
     def start(cluster: SimulatedCluster) -> None:
@@ -164,18 +164,18 @@
     return start
 
 
-def late_copies(cluster: SimulatedCluster) -> None:
+def duplicate_messages(cluster: SimulatedCluster) -> None:
     cluster.duplicate_share = 0.3
 
 
-def leader_alone_with_its_workers(cluster: SimulatedCluster) -> None:
+def isolate_leader_with_workers(cluster: SimulatedCluster) -> None:
     """No state service and no peers, but all workers; meanwhile users cancel with the others."""
     name = cluster.leader() or "node-0"
     for other in ["state", *(n for n in cluster.names if n != name)]:
         cluster.partition(name, other, 60.0, hold=True)
 
 
-def zone_with_leader_cut_off(cluster: SimulatedCluster) -> None:
+def partition_zone_of_leader(cluster: SimulatedCluster) -> None:
     """The leader and half of the machines on one side, all the rest on the other; nothing can be returned."""
     name = cluster.leader() or "node-0"
     inside = [name, *(m.name for m in cluster.cloud.machines.values() if m.zone == "a")]
@@ -203,23 +203,23 @@
             cluster.freeze(name, 14.0)
 
 
-def freeze_in_elections(cluster: SimulatedCluster) -> None:
+def freeze_during_elections(cluster: SimulatedCluster) -> None:
     """The leader stands still and each node after it, a moment after it was elected or while it is."""
     for number in range(24):
-        cluster.clock.callLater(number * 0.35, freeze_now_and_then, cluster, number)
+        cluster.clock.callLater(number * 0.35, freeze_leader_or_candidate, cluster, number)
 
 
-def freeze_now_and_then(cluster: SimulatedCluster, number: int) -> None:
+def freeze_leader_or_candidate(cluster: SimulatedCluster, number: int) -> None:
     name = cluster.leader() or cluster.names[number % 3]
     if number % 2 == 0 and cluster.frozen_until.get(name, 0.0) <= cluster.now:
         cluster.freeze(name, cluster.random.uniform(1.0, 6.0))
 
 
-def peers_refuse(cluster: SimulatedCluster) -> None:
+def refuse_peer_connections(cluster: SimulatedCluster) -> None:
     cluster.peers_refuse_until = cluster.now + 40.0
 
 
-def most_machines_at_once(cluster: SimulatedCluster) -> None:
+def fail_most_machines(cluster: SimulatedCluster) -> None:
     """Some die, some hang, some are cut off, and half of the spot machines are taken back."""
     up = [m for m in cluster.cloud.machines.values() if m.up]
     for machine in up[::4]:
@@ -227,60 +227,60 @@
     for machine in up[1::4]:
         for name in cluster.names:
             cluster.partition(name, machine.name, 18.0, hold=True)
-    hang(15.0)(cluster)
-    spot_wave(cluster)
+    hang_two_machines(15.0)(cluster)
+    reclaim_spot_machines(cluster)
 
 
-def burst(cluster: SimulatedCluster) -> None:
+def submit_burst(cluster: SimulatedCluster) -> None:
     for number in range(12):
         cluster.submit(cluster.job(500 + number, pieces=4, vcpus=2.0, guessS=6.0, crew=("core", "edge")[number % 2]))
 
 
-def machines_restart(cluster: SimulatedCluster) -> None:
+def restart_machines(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][:3]:
         machine.restart()
 
 
-TROUBLES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
+FAULT_SEQUENCES: dict[str, list[Callable[[SimulatedCluster], None]]] = {
     "quiet": [],
     "leader crashes": [crash_leader, crash_leader],
-    "all crash in an outage": [crash_all_in_outage],
-    "roll in a wave": [roll, spot_wave],
-    "restarts in elections": [restart_in_election, restart_in_election],
+    "all crash in an outage": [crash_all_controllers_in_outage],
+    "roll in a wave": [rolling_restart, reclaim_spot_machines],
+    "restarts in elections": [restart_during_elections, restart_during_elections],
     "outage, then crash": [outage, crash_leader],
-    "leader refused by the state service": [leader_refused, machines_die],
-    "leader cut from the state service": [leader_cut_from_state, crash_leader],
-    "leader cut from the workers": [leader_cut_from_workers, spot_wave],
-    "leader cut from most workers": [leader_cut_from_most_workers],
-    "machines hang past the lease": [hang(20.0), crash_leader],
-    "machines hang just short of the lease": [hang(10.0), crash_leader],
-    "machines cut off and cloud down": [cloud_outage, machines_cut],
-    "machines hear nothing, shorter than a lease": [deaf_machines(8.0), crash_leader],
-    "machines hear nothing, longer than a lease": [deaf_machines(40.0), crash_leader],
-    "copies come late": [late_copies, crash_leader, spot_wave, roll],
-    "copies come late, machines hang": [late_copies, hang(20.0), crash_all],
-    "leader alone with its workers": [leader_alone_with_its_workers],
-    "leader alone, then others crash": [leader_alone_with_its_workers, spot_wave, crash_leader],
-    "zone with the leader cut off, cloud down": [zone_with_leader_cut_off],
-    "machines restart at once": [machines_restart, machines_restart, restart_in_election],
+    "leader refused by the state service": [refuse_leader, crash_machines],
+    "leader cut from the state service": [partition_leader_from_state_service, crash_leader],
+    "leader cut from the workers": [partition_leader_from_workers, reclaim_spot_machines],
+    "leader cut from most workers": [partition_leader_from_most_workers],
+    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
+    "machines hang just short of the lease": [hang_two_machines(10.0), crash_leader],
+    "machines cut off and cloud down": [cloud_outage, partition_machines],
+    "machines hear nothing, shorter than a lease": [block_traffic_to_machines(8.0), crash_leader],
+    "machines hear nothing, longer than a lease": [block_traffic_to_machines(40.0), crash_leader],
+    "copies come late": [duplicate_messages, crash_leader, reclaim_spot_machines, rolling_restart],
+    "copies come late, machines hang": [duplicate_messages, hang_two_machines(20.0), crash_all_controllers],
+    "leader alone with its workers": [isolate_leader_with_workers],
+    "leader alone, then others crash": [isolate_leader_with_workers, reclaim_spot_machines, crash_leader],
+    "zone with the leader cut off, cloud down": [partition_zone_of_leader],
+    "machines restart at once": [restart_machines, restart_machines, restart_during_elections],
     "leader stands still": [freeze_leader, crash_leader],
-    "leader stands still, copies come late": [late_copies, burst, freeze_leader, spot_wave],
+    "leader stands still, copies come late": [duplicate_messages, submit_burst, freeze_leader, reclaim_spot_machines],
     "leader stands still while the store is down": [outage, freeze_leader],
     "standbys stand still, then the leader dies": [freeze_standbys, crash_leader],
-    "nodes stand still in elections": [freeze_in_elections, burst, freeze_in_elections],
-    "all crash under a burst, back at once": [burst, crash_all_at_once, burst, roll],
-    "most machines at once, cloud down": [burst, most_machines_at_once, cloud_outage],
-    "most machines at once, leader cut off": [most_machines_at_once, leader_cut_from_state, crash_leader],
-    "peers refuse, leader cut from the workers": [peers_refuse, leader_cut_from_workers, crash_leader],
-    "faulty machine, machines die": [faulty_machine, machines_die, crash_leader],
+    "nodes stand still in elections": [freeze_during_elections, submit_burst, freeze_during_elections],
+    "all crash under a burst, back at once": [submit_burst, restart_all_controllers, submit_burst, rolling_restart],
+    "most machines at once, cloud down": [submit_burst, fail_most_machines, cloud_outage],
+    "most machines at once, leader cut off": [fail_most_machines, partition_leader_from_state_service, crash_leader],
+    "peers refuse, leader cut from the workers": [refuse_peer_connections, partition_leader_from_workers, crash_leader],
+    "faulty machine, machines die": [make_machine_faulty, crash_machines, crash_leader],
 }
 
 
-@pytest.mark.parametrize("name", TROUBLES)
-def test_day(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_SEQUENCES)
+def test_rules_hold_under_a_sequence_of_faults(name: str) -> None:
     cluster = SimulatedCluster(seed=len(name), loss=0.004)
-    load(cluster)
-    for number, trouble in enumerate(TROUBLES[name]):
+    submit_mixed_jobs(cluster)
+    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
         cluster.clock.callLater(35.0 + 9.0 * number, trouble, cluster)
     for number in (2, 8, 15):
         cluster.clock.callLater(20.0 + 3 * number, cluster.cancel, f"j-{number:06d}")
@@ -288,28 +288,28 @@
         # These fall into the trouble; whoever tells it must be right.
         cluster.clock.callLater(48.0 + number / 2, cluster.cancel, f"j-{number:06d}")
     cluster.checker.faults_until = 110.0
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     unfinished = [job for job in cluster.jobs if not cluster.checker.is_final(job)]
     assert unfinished == []
     assert cluster.checker.starts > 38
 
 
-def test_a_mistaken_job_blocks_nobody() -> None:
+def test_a_job_that_always_fails_does_not_block_other_jobs() -> None:
     cluster = SimulatedCluster(seed=5)
     cluster.failing_jobs.add("j-000900")
     cluster.submit(cluster.job(900, pieces=6, urgency="urgent"))
-    load(cluster, jobs=10)
+    submit_mixed_jobs(cluster, jobs=10)
     cluster.run(150)
     others = [job for job in cluster.jobs if job != "j-000900"]
     assert all(cluster.checker.last_phase.get(job) == "done" for job in others)
     cluster.cancel("j-000900")
-    finish(cluster, 60)
+    run_until_jobs_end(cluster, 60)
     assert cluster.checker.last_phase["j-000900"] == "aborted"
     assert cluster.checker.violations == []
 
 
-def test_a_slow_machine_is_emptied_and_returned() -> None:
+def test_a_slow_machine_is_drained_and_released() -> None:
     cluster = SimulatedCluster(seed=16, loss=0.0)
     for number in range(12):
         cluster.clock.callLater(1.0 + 6 * number, cluster.submit, cluster.job(number, pieces=8, vcpus=2.0, guessS=8.0))
@@ -317,21 +317,21 @@
     slow = next(iter(cluster.checker.machine_by_task.values())).name
     plain = cluster.run_time_s
     cluster.run_time_s = lambda name: plain(name) * (5 if name in cluster.all_machines[slow].tasks else 1)  # type: ignore
-    cluster.run_times = SameLength()
-    finish(cluster)
+    cluster.run_times = FixedTaskLength()
+    run_until_jobs_end(cluster)
     assert slow not in cluster.cloud.machines
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
-class SameLength(dict):
+class FixedTaskLength(dict):
     """All tasks take eight seconds on a good machine."""
 
     def setdefault(self, _name: str, _length: float) -> float:  # type: ignore[override]
         return 8.0
 
 
-def test_a_service_runs_until_it_is_cancelled() -> None:
+def test_a_standing_job_runs_until_it_is_cancelled() -> None:
     cluster = SimulatedCluster(seed=17)
     cluster.submit(cluster.job(1, shape="standing", pieces=3, guessS=1000.0))
     cluster.clock.callLater(60.0, crash_leader, cluster)
@@ -345,7 +345,7 @@
     assert cluster.checker.violations == []
 
 
-def test_a_large_job_is_one_record_until_its_tasks_start() -> None:
+def test_a_large_job_is_stored_as_few_records_until_its_tasks_start() -> None:
     cluster = SimulatedCluster(seed=6)
     cluster.submit(cluster.job(1, pieces=100_000, vcpus=1.0, guessS=600.0))
     cluster.run(60)
@@ -359,7 +359,7 @@
     assert [key for key in cluster.state.items if key.startswith(("tasks/", "active/"))] == []
 
 
-def overloaded(jobs: int) -> SimulatedCluster:
+def overloaded_cluster(jobs: int) -> SimulatedCluster:
     """Two machines, more pressing work for many times what they can do, and some jobs that may wait."""
     cluster = SimulatedCluster(seed=18, loss=0.0)
     cluster.cloud.max_machines = 2
@@ -382,9 +382,9 @@
     return cluster
 
 
-def test_old_jobs_begin_under_a_lasting_overload() -> None:
+def test_aged_jobs_start_under_sustained_overload() -> None:
     """The widest too: their age brings them forward, and what they begin is not stopped again."""
-    cluster = overloaded(8)
+    cluster = overloaded_cluster(8)
     cluster.run(400)
     cluster.checker.check_served()
     waits = [cluster.checker.started_at[f"j-{n:06d}"] - cluster.checker.submitted_at[f"j-{n:06d}"] for n in range(8)]
@@ -393,9 +393,9 @@
     assert [line for line in cluster.checker.violations if "quick" not in line and "team" not in line] == []
 
 
-def test_a_crowd_of_wide_jobs_begins_after_machines_are_lost() -> None:
+def test_many_wide_jobs_start_in_time_after_machines_are_lost() -> None:
     """More than two machines can begin in what is left of 240 s once jobs are old: their age counts earlier."""
-    cluster = overloaded(36)
+    cluster = overloaded_cluster(36)
     cluster.cloud.max_machines = 4
 
     def lose_half() -> None:
@@ -410,10 +410,10 @@
     assert [line for line in cluster.checker.violations if "not_served" not in line] == []
 
 
-def test_the_checker_sees_unserved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_starved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without ageing the overload keeps old jobs out; a node that answers no question about one job forgets it."""
     monkeypatch.setattr(PendingJobs, "_is_aged", lambda *_: False)
-    cluster = overloaded(4)
+    cluster = overloaded_cluster(4)
 
     plain = Admission.status
 
@@ -431,7 +431,7 @@
     assert all("j-000001" in line for line in cluster.checker.violations if "forgotten" in line)
 
 
-def test_a_machine_that_hears_nothing_gets_nothing_and_is_used_again() -> None:
+def test_a_machine_that_receives_no_answers_gets_no_tasks_until_it_is_reachable_again() -> None:
     """Being heard is not being reachable."""
     cluster = SimulatedCluster(seed=19, loss=0.0)
     cluster.submit(cluster.job(1, pieces=2, guessS=90.0))
@@ -454,7 +454,7 @@
     assert cluster.checker.violations == []
 
 
-def test_late_copies_show_no_sign_of_life() -> None:
+def test_duplicate_heartbeats_do_not_count_as_signs_of_life() -> None:
     """A copy renews nothing, and a peer that gets one does not say that it hears the machine."""
     cluster = SimulatedCluster(seed=20, loss=0.0)
     cluster.submit(cluster.job(1, pieces=2, guessS=60.0))
@@ -489,7 +489,7 @@
     assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
 
 
-def test_a_stopped_attempt_stays_known_while_repeats_of_its_start_may_come() -> None:
+def test_a_stopped_attempt_is_remembered_while_duplicates_of_its_start_may_arrive() -> None:
     cluster = SimulatedCluster(seed=21, loss=0.0)
     cluster.submit(cluster.job(1, pieces=1, guessS=80.0))
     cluster.run_times["j-000001/0"] = 200.0
@@ -509,7 +509,7 @@
     assert cluster.checker.machine_by_task["j-000001/0"].name != name
 
 
-def test_a_blind_leader_keeps_no_task_beyond_the_time_for_a_cancellation() -> None:
+def test_the_renewal_grace_ends_within_the_cancellation_bound() -> None:
     for lease_s, heartbeat_s, cancel_s in ((19.0, 3.0, 44.0), (10.0, 1.0, 30.0), (12.0, 2.0, 12.0)):
         workers = Workers(heartbeat_s, lease_s, cancel_s)
         grace_s = renewal_grace(workers, 0.1 * lease_s, STATE_TIMEOUT_S)
@@ -517,17 +517,17 @@
         assert grace_s == 0 or grace_s + lease_s < cancel_s
 
 
-def test_the_checker_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_checker_detects_a_task_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the wait for a silent machine's lease the checker must object."""
     monkeypatch.setattr(WorkerLeases, "has_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
     cluster = SimulatedCluster(seed=7)
-    load(cluster)
-    cluster.clock.callLater(35.0, hang(10.0), cluster)
-    finish(cluster, 120)
+    submit_mixed_jobs(cluster)
+    cluster.clock.callLater(35.0, hang_two_machines(10.0), cluster)
+    run_until_jobs_end(cluster, 120)
     assert any("ran_twice" in line for line in cluster.checker.violations)
 
 
-def test_the_leader_hears_of_cancellations_after_a_failed_attempt_to_read_all_jobs() -> None:
+def test_the_watch_resumes_after_a_failed_full_read_of_the_jobs() -> None:
     """Its watch was too old, and reading all jobs anew was refused: it used to end for good."""
     cluster = SimulatedCluster(seed=23, loss=0.0)
     cluster.submit(cluster.job(1, guessS=100.0))
@@ -553,7 +553,7 @@
     assert cluster.checker.violations == []
 
 
-class StrictLock:
+class NonReentrantLock:
     """A lock that objects where a real one would wait for itself for ever."""
 
     def __init__(self) -> None:
@@ -567,12 +567,12 @@
         self.held = False
 
 
-def test_a_job_that_is_over_before_anything_of_it_was_stored_is_let_go() -> None:
+def test_a_job_that_ends_before_its_first_write_is_removed() -> None:
     """Nothing is to be written of it, so that its end follows at once, while the ledger still holds the lock."""
     cluster = SimulatedCluster(seed=24, loss=0.0)
     cluster.run(12)
     term = cluster.nodes[cluster.leader()].leader
-    term.lock = StrictLock()
+    term.lock = NonReentrantLock()
     job = Job(messages.parse_job(cluster.job(7)), cluster.now, 24)
     job.end_phase = EndPhase.CANCELLED
     job.chunk_of(0).dirty = True
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,8 +18,15 @@
 from stileloft.settings import State, parse
 from stileloft.store.limits import StoreLimits
 from tests.simulation.cluster import SimulatedCluster
-from tests.test_gangs import gang, gang_load
-from tests.test_rules import crash_leader, finish, load, machines_die, outage, spot_wave
+from tests.test_gangs import gang_job, submit_gangs
+from tests.test_rules import (
+    crash_leader,
+    crash_machines,
+    outage,
+    reclaim_spot_machines,
+    run_until_jobs_end,
+    submit_mixed_jobs,
+)
 from tests.versions import CURRENT, LAST_LEGACY, Version, from_history, production
 
 PRODUCTION_DAY = Path(__file__).parent / "production.json"
@@ -65,7 +72,7 @@
 def play_day(version: Version, **more: Any) -> SimulatedCluster:
     """A day of arrays, with one job of many tasks, on controllers of one version."""
     cluster = SimulatedCluster(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
-    load(cluster, jobs=12, every=2.0)
+    submit_mixed_jobs(cluster, jobs=12, every=2.0)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
     return cluster
 
@@ -154,7 +161,7 @@
     version = production()
     if version is not None:
         assert read_jobs(version, items, 16.0) == read
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
 
@@ -166,7 +173,7 @@
     cluster = SimulatedCluster(
         seed=70 + seed, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS, version=production() or CURRENT
     )
-    load(cluster, jobs=30)
+    submit_mixed_jobs(cluster, jobs=30)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=20.0, crew="edge"))
     wanted = [True, False, True, False]
     leaders: list[bool] = []
@@ -186,8 +193,8 @@
 
     cluster.clock.callLater(24.0, cluster.kill, "node-0", 0.5, CURRENT)
     cluster.clock.callLater(28.0, turn)
-    cluster.clock.callLater(33.0, spot_wave, cluster)
-    cluster.clock.callLater(46.0, machines_die, cluster)
+    cluster.clock.callLater(33.0, reclaim_spot_machines, cluster)
+    cluster.clock.callLater(46.0, crash_machines, cluster)
     for number in (2, 8, 15):
         cluster.clock.callLater(34.0 + number, cluster.cancel, f"j-{number:06d}")
     # One dies and comes back old before its turn, then the rest of the roll.
@@ -200,10 +207,10 @@
     cluster.run(12)
     assert records.FORMAT in cluster.state.items
     cluster.apply_upcoming_limits()
-    gang_load(cluster, count=6)
+    submit_gangs(cluster, count=6)
     cluster.clock.callLater(15.0, crash_leader, cluster)
     cluster.checker.faults_until = cluster.now + 20.0
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert cluster.state.oversized_requests == 0
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
@@ -229,7 +236,7 @@
     cluster.run(5)
     crash_leader(cluster)
     cluster.cancel("j-000701")
-    finish(cluster, 400)
+    run_until_jobs_end(cluster, 400)
     assert cluster.checker.violations == []
     assert cluster.state.oversized_requests == 0
     assert cluster.checker.last_phase == {"j-000700": "done", "j-000701": "aborted"}
@@ -257,17 +264,17 @@
 def test_a_day_under_limits_that_come_without_notice() -> None:
     """4 changes a transaction and 2 KiB, in mid-day; gangs, a job in many chunks, cancellations and crashes."""
     cluster = SimulatedCluster(seed=92, loss=0.004, value_kb=16.0, upcoming_limits=LOWER_LIMITS)
-    load(cluster, jobs=18)
-    gang_load(cluster, count=8)
+    submit_mixed_jobs(cluster, jobs=18)
+    submit_gangs(cluster, count=8)
     cluster.submit(cluster.job(700, pieces=400, vcpus=0.25, memGb=0.2, guessS=8.0, crew="edge"))
-    cluster.submit(gang(cluster, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
+    cluster.submit(gang_job(cluster, 701, pieces=60, vcpus=0.25, memGb=0.1, guessS=15.0))
     cluster.clock.callLater(30.0, cluster.apply_upcoming_limits)
-    for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, machines_die), (80.0, crash_leader)):
+    for at, trouble in ((40.0, crash_leader), (50.0, outage), (75.0, crash_machines), (80.0, crash_leader)):
         cluster.clock.callLater(at, trouble, cluster)
     for number in (2, 8, 15):
         cluster.clock.callLater(45.0 + number, cluster.cancel, f"j-{number:06d}")
     cluster.checker.faults_until = 110.0
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert cluster.state.oversized_requests == 0
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
@@ -276,11 +283,11 @@
 def test_a_change_that_is_refused_for_its_size_is_split_and_repeated() -> None:
     """The limits become lower than was announced."""
     cluster = SimulatedCluster(seed=93, loss=0.0, value_kb=16.0)
-    load(cluster, jobs=12)
+    submit_mixed_jobs(cluster, jobs=12)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
     cluster.upcoming_limits = LOWER_LIMITS
     cluster.clock.callLater(30.0, cluster.apply_upcoming_limits)
-    finish(cluster)
+    run_until_jobs_end(cluster)
     assert cluster.checker.violations == []
     assert set(cluster.checker.last_phase.values()) == {"done"}
     assert 0 < cluster.state.oversized_requests < 20
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -29,11 +29,11 @@
 from stileloft.transport.client import Reply
 from tests import test_overlapping_faults as overlapping
 from tests import test_rules as single
-from tests.held_starts import cloud_out, freeze_leader
+from tests.held_starts import cloud_outage, freeze_leader
 from tests.simulation.clients import SimulatedClient
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
-from tests.test_gangs import gang, gang_load
+from tests.test_gangs import gang_job, submit_gangs
 from tests.versions import CURRENT, production
 
 DIGESTS = Path(__file__).parent / "wire_digests.json"
@@ -56,40 +56,40 @@
 
 FAULTS: tuple[Fault, ...] = (
     single.crash_leader,
-    single.crash_all,
-    single.restart_in_election,
+    single.crash_all_controllers,
+    single.restart_during_elections,
     single.outage,
-    single.leader_refused,
-    single.leader_cut_from_state,
-    single.leader_cut_from_workers,
-    single.spot_wave,
-    single.machines_die,
-    single.hang(9.0),
-    single.hang(20.0),
-    single.machines_cut,
+    single.refuse_leader,
+    single.partition_leader_from_state_service,
+    single.partition_leader_from_workers,
+    single.reclaim_spot_machines,
+    single.crash_machines,
+    single.hang_two_machines(9.0),
+    single.hang_two_machines(20.0),
+    single.partition_machines,
     single.cloud_outage,
-    single.faulty_machine,
-    single.deaf_machines(9.0),
-    single.late_copies,
+    single.make_machine_faulty,
+    single.block_traffic_to_machines(9.0),
+    single.duplicate_messages,
     single.freeze_leader,
-    single.peers_refuse,
-    single.machines_restart,
-    overlapping.late_writes(12.0, 0.4),
-    overlapping.late_writes(12.0, 0.4, at_once=True),
-    overlapping.slow_store(12.0),
-    overlapping.close_looks(15.0),
-    overlapping.reports_for_the_next(10.0),
-    overlapping.held_commands(10.0),
-    overlapping.boots(30.0, 0.2, 0.3, 4.0),
-    overlapping.cancel_now(4, 9.0),
-    overlapping.cancel_at_end,
-    overlapping.leader_alone(12.0),
-    overlapping.zone_cut(14.0),
-    overlapping.odd_requests,
-    overlapping.many_questions,
+    single.refuse_peer_connections,
+    single.restart_machines,
+    overlapping.delay_writes(12.0, 0.4),
+    overlapping.delay_writes(12.0, 0.4, at_once=True),
+    overlapping.slow_state_service(12.0),
+    overlapping.query_all_after_answers(15.0),
+    overlapping.replay_heartbeats_to_next_leader(10.0),
+    overlapping.delay_commands(10.0),
+    overlapping.set_boot_failures(30.0, 0.2, 0.3, 4.0),
+    overlapping.cancel_running_jobs(4, 9.0),
+    overlapping.cancel_at_completion,
+    overlapping.isolate_leader_with_workers(12.0),
+    overlapping.partition_zone(14.0),
+    overlapping.submit_infeasible_and_repeated_jobs,
+    overlapping.flood_with_queries,
     hold_starts,
     hold_answers,
-    cloud_out,
+    cloud_outage,
     freeze_leader,
 )
 
@@ -215,9 +215,9 @@
 
 def _submit_jobs(cluster: SimulatedCluster) -> None:
     """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
-    single.load(cluster, jobs=14, every=2.5)
-    gang_load(cluster, count=5, every=7.0)
-    cluster.clock.callLater(6.0, cluster.submit, gang(cluster, 300, pieces=3, loaner=True))
+    single.submit_mixed_jobs(cluster, jobs=14, every=2.5)
+    submit_gangs(cluster, count=5, every=7.0)
+    cluster.clock.callLater(6.0, cluster.submit, gang_job(cluster, 300, pieces=3, loaner=True))
     cluster.clock.callLater(9.0, cluster.submit, cluster.job(400, shape="standing", pieces=2, vcpus=1.0, crew="edge"))
     cluster.clock.callLater(
         12.0, cluster.submit, cluster.job(500, pieces=90, vcpus=0.25, memGb=0.2, guessS=12.0, crew="guest")
