--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -16,7 +16,7 @@
 from stileloft.rebuild.snapshot import to_pieces
 from tests.simulation.fleet import FleetWorld
 
-ON = Features(rebuild=RebuildFeature(enabled=True))
+REBUILD_ENABLED = Features(rebuild=RebuildFeature(enabled=True))
 ENDED_JOBS = 20_000
 LONGEST_S = 60.0
 
@@ -51,7 +51,7 @@
 
 
 def measure_fleet(machines: int, applied: Applied, lines: RebuiltLines) -> None:
-    world = FleetWorld(1, machines, features=ON)
+    world = FleetWorld(1, machines, features=REBUILD_ENABLED)
     world.submit_batch(12.0)
     world.run(12)
     applied.calls, applied.total_s = 0, 0.0
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -30,7 +30,7 @@
 READY_S = 30.0
 # What the controllers' logs must not hold, and what is counted there.
 DEFECT = re.compile(r"Traceback|invariant violated|Unhandled")
-COUNTED = {
+LOG_PATTERNS = {
     "tokens_raised": re.compile(r"fencing token raised"),
     "starts_barred": re.compile(r"reason='start fenced'"),
     "starts_in_doubt": re.compile(r"start in doubt"),
@@ -288,7 +288,7 @@
             for line in text.splitlines():
                 if DEFECT.search(line):
                     self.fail(f"{name} logs: {line}")
-            counted.update({what: len(pattern.findall(text)) for what, pattern in COUNTED.items()})
+            counted.update({what: len(pattern.findall(text)) for what, pattern in LOG_PATTERNS.items()})
         self.result.logged = dict(counted)
 
     # -- troubles
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -28,7 +28,7 @@
 from tests.held_starts import busy_world, hold_and_cancel, run_watched, submit_small_jobs
 from tests.simulation.network import Hold
 from tests.simulation.world import World
-from tests.soak.cluster import COUNTED
+from tests.soak.cluster import LOG_PATTERNS
 from tests.versions import NEW, production
 
 # -- tokens ----------------------------------------------------------------------------------------------------------
@@ -171,7 +171,7 @@
     world.cancel("j-000001")
     with caplog.at_level(logging.INFO):
         run_watched(world, world.CANCEL_S + 20.0)
-    assert COUNTED["renewals_withheld"].search(caplog.text)
+    assert LOG_PATTERNS["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
     assert world.rules.broken == []
@@ -321,7 +321,7 @@
         hold_and_cancel(world)
         run_watched(world, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
-        assert COUNTED[name].search(caplog.text), name
+        assert LOG_PATTERNS[name].search(caplog.text), name
 
 
 def test_what_the_leader_knows_of_starts_is_shown() -> None:
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -14,12 +14,12 @@
 from tests.simulation.world import World
 from tests.test_overlapping_faults import DAYS, test_overlapping_faults
 
-ON = Features(rebuild=RebuildFeature(enabled=True))
+REBUILD_ENABLED = Features(rebuild=RebuildFeature(enabled=True))
 JOBS = 14
 ROOT = Path(__file__).parent.parent
 
 
-def loaded_world(seed: int, features: Features = ON, **more) -> World:
+def loaded_world(seed: int, features: Features = REBUILD_ENABLED, **more) -> World:
     """A world with jobs of all kinds, in mid-batch when the loss comes."""
     world = World(seed, features=features, **more)
     for number in range(JOBS):
@@ -60,18 +60,18 @@
     world.state.wipe()
 
 
-def wiped_but_counting(world: World) -> None:
+def wiped_with_revision_kept(world: World) -> None:
     world.state.wipe(keeps_counting=True)
 
 
-def leader_lost_with_it(world: World) -> None:
+def wiped_and_leader_killed(world: World) -> None:
     name = world.leader()
     world.state.wipe()
     if name is not None:
         world.kill(name, back_after=8.0)
 
 
-def leader_killed_in_the_rebuild(world: World) -> None:
+def leader_killed_during_rebuild(world: World) -> None:
     world.state.wipe()
     world.clock.callLater(1.05, lambda: [world.kill(name, 6.0) for name in world.names if is_rebuilding(world, name)])
 
@@ -91,21 +91,21 @@
     world.clock.callLater(2.0, world.state.wipe)
 
 
-def machines_silent(world: World) -> None:
+def wiped_with_machines_cut_off(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.up][::3]:
         for name in world.names:
             world.cut(machine.name, name, 25.0)
     world.state.wipe()
 
 
-def all_machines_hang_and_leader_lost(world: World) -> None:
+def wiped_with_machines_hung_and_leader_killed(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.up][::2]:
         machine.hung = True
         world.clock.callLater(9.0, setattr, machine, "hung", False)
-    leader_lost_with_it(world)
+    wiped_and_leader_killed(world)
 
 
-def one_controller_cut_off(world: World) -> None:
+def wiped_with_a_controller_cut_off(world: World) -> None:
     name = next(n for n in world.names if n != world.leader())
     for other in (*world.names, "state"):
         if other != name:
@@ -113,14 +113,14 @@
     world.state.wipe()
 
 
-def zone_cut(world: World) -> None:
+def wiped_with_a_zone_cut_off(world: World) -> None:
     for machine in [m for m in world.cloud.machines.values() if m.zone == "a"]:
         for name in world.names:
             world.cut(machine.name, name, 22.0, hold=True)
     world.state.wipe()
 
 
-def cancelled_just_before(world: World) -> None:
+def wiped_just_after_cancellations(world: World) -> None:
     """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
     running = [job for job in world.jobs if not world.rules.is_final(job)][:5]
     for job in running:
@@ -128,14 +128,14 @@
     world.clock.callLater(0.08, world.state.wipe)
 
 
-def leader_frozen(world: World) -> None:
+def wiped_and_leader_frozen(world: World) -> None:
     name = world.leader()
     world.state.wipe()
     if name is not None:
         world.freeze(name, 9.0)
 
 
-def late_copies(world: World) -> None:
+def wiped_with_late_duplicates(world: World) -> None:
     world.copies = 0.1
     world.clock.callLater(60.0, setattr, world, "copies", 0.0)
     world.state.wipe()
@@ -145,18 +145,18 @@
     loss.__name__: loss
     for loss in (
         wiped,
-        wiped_but_counting,
-        leader_lost_with_it,
-        leader_killed_in_the_rebuild,
+        wiped_with_revision_kept,
+        wiped_and_leader_killed,
+        leader_killed_during_rebuild,
         wiped_twice,
         wiped_during_an_outage,
-        machines_silent,
-        all_machines_hang_and_leader_lost,
-        one_controller_cut_off,
-        zone_cut,
-        cancelled_just_before,
-        leader_frozen,
-        late_copies,
+        wiped_with_machines_cut_off,
+        wiped_with_machines_hung_and_leader_killed,
+        wiped_with_a_controller_cut_off,
+        wiped_with_a_zone_cut_off,
+        wiped_just_after_cancellations,
+        wiped_and_leader_frozen,
+        wiped_with_late_duplicates,
     )
 }
 
@@ -180,7 +180,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
-    monkeypatch.setattr(World, "FEATURES", ON)
+    monkeypatch.setattr(World, "FEATURES", REBUILD_ENABLED)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
 
@@ -206,9 +206,9 @@
     finish(world)
 
 
-@pytest.mark.parametrize("loss", [wiped, leader_lost_with_it, zone_cut])
+@pytest.mark.parametrize("loss", [wiped, wiped_and_leader_killed, wiped_with_a_zone_cut_off])
 def test_a_standing_service_goes_on_until_it_is_cancelled(loss: Loss) -> None:
-    world = World(14, features=ON)
+    world = World(14, features=REBUILD_ENABLED)
     service = world.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
     world.submit(service)
     world.run(30.0)
@@ -228,7 +228,7 @@
 # -- real processes --------------------------------------------------------------------------------------------------
 
 
-def play_on_loopback(*options: str) -> dict[str, Any]:
+def run_on_loopback(*options: str) -> dict[str, Any]:
     """What became of a batch that real processes served."""
     command = [sys.executable, "-m", "tests.loopback_cluster", "--jobs", "14", *options]
     done = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
@@ -237,9 +237,9 @@
 
 def test_real_processes_end_all_jobs_as_without_the_loss() -> None:
     """The state service is wiped in mid-batch, also with the leader and machines lost; the same seed each time."""
-    undisturbed = play_on_loopback("--seed", "3")
-    wiped_once = play_on_loopback("--seed", "3", "--wipe-at", "4.0")
-    all_at_once = play_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
+    undisturbed = run_on_loopback("--seed", "3")
+    wiped_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
+    all_at_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
     for played in (undisturbed, wiped_once, all_at_once):
         assert played["broken"] == []
         assert played["answers"] == undisturbed["answers"]
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from tests.simulation.world import World
-from tests.test_rebuild import ON, finish
+from tests.test_rebuild import REBUILD_ENABLED, finish
 
 CLASSES = st.sampled_from(["batch", "quick"])
 
@@ -15,7 +15,7 @@
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
-        self.world = World(seed, features=ON, loss=0.0)
+        self.world = World(seed, features=REBUILD_ENABLED, loss=0.0)
         self.world.run(5.0)
         self.older = self.world.state.copy()
         self.losses = 0
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -9,7 +9,7 @@
 from stileloft.model import records
 from stileloft.rebuild.store_status import StorePhase
 from tests.simulation.world import World
-from tests.test_rebuild import ON, finish, loaded_world, phases
+from tests.test_rebuild import REBUILD_ENABLED, finish, loaded_world, phases
 from tests.test_rebuild_unresolved import unresolved_jobs
 from tests.versions import NEW, production
 
@@ -23,7 +23,7 @@
     assert records.IDENTITY not in world.state.items
     assert world.nodes["node-0"].rebuild.store.phase is StorePhase.UNPROTECTED
     finish(world)
-    world.features["node-2"] = ON
+    world.features["node-2"] = REBUILD_ENABLED
     world.kill("node-2", back_after=0.1)
     world.run(10.0)
     assert phases(world) == {StorePhase.SOUND}
@@ -31,7 +31,7 @@
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 def test_the_version_in_production_beside_it() -> None:
-    world = World(8, version=production(), features=ON)
+    world = World(8, version=production(), features=REBUILD_ENABLED)
     world.run(5.0)
     for name in ("node-0", "node-1"):
         world.kill(name, back_after=0.5, version=NEW)
@@ -65,7 +65,7 @@
     world = loaded_world(10, features=Features())
     world.run(20.0)
     for name in world.names:
-        world.features[name] = ON
+        world.features[name] = REBUILD_ENABLED
         world.kill(name, back_after=0.5)
         world.run(4.0)
     world.run(8.0)
--- a/tests/test_rebuild_unresolved.py
+++ b/tests/test_rebuild_unresolved.py
@@ -9,7 +9,7 @@
 from stileloft.model.records import split_task
 from stileloft.protocol.admin_errors import InvalidSettingsError
 from tests.simulation.world import World
-from tests.test_rebuild import finish, leader_lost_with_it, loaded_world
+from tests.test_rebuild import finish, loaded_world, wiped_and_leader_killed
 
 ONCE = Features(rebuild=RebuildFeature(enabled=True, run_once_classes=["once"]))
 
@@ -39,7 +39,7 @@
     assert begun
     for machine in {world.rules.where[task] for task in begun}:
         machine.die()
-    leader_lost_with_it(world)
+    wiped_and_leader_killed(world)
     world.run(90.0)
     found = unresolved_jobs(world)
     assert {f"{job}/{task}" for job, record in found.items() for task in record["evidence"]} >= begun
@@ -81,7 +81,7 @@
         replica = node.rebuild.replicas.current
         for key in [key for key in replica.records if job in key]:
             del replica.records[key]
-    leader_lost_with_it(world)  # it would know what it has placed
+    wiped_and_leader_killed(world)  # it would know what it has placed
     world.run(45.0)
     assert unresolved_jobs(world)[job]["unknown"]
     assert world.rules.last[job] != "missing"
