--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -50,8 +50,9 @@
         """Adds the chunk's own records: the main record and, if it is too large, overflow records."""
         job = write_set.job
         key = chunk_key(job.id, number)
-        # A new leader may not have read the format yet. If the job's record states the chunk size, its chunks must
-        # state it too: the remaining chunks of a cancelled job are read by the size stated in them.
+        # `has_chunk_sizes` is False until a new leader has read the format. If the job's record states the chunk size,
+        # its chunks must state it even then: the remaining chunks of a cancelled job are read by the size stated in
+        # them.
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
             write_set.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
--- a/stileloft/store/commit_applier.py
+++ b/stileloft/store/commit_applier.py
@@ -19,7 +19,7 @@
         self._clock = clock
 
     def apply(self, write_set: JobWriteSet, revision: int) -> None:
-        """Applies a job's write set that was executed at this revision of the store."""
+        """Updates the leader's state of a job with its write set, which was committed at this revision of the store."""
         job = write_set.job
         job.write.commit_in_flight = False
         self._apply_placements(write_set)
--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -33,15 +33,15 @@
 MAX_IN_FLIGHT = 3
 """The most transactions in flight at once."""
 MIN_BATCH_DIVISOR = 3
-"""A transaction begins only while the write budget covers the most changes of one, divided by this."""
+"""A transaction begins only if the write budget covers the limit on its changes, divided by this."""
 COUNTS_CHECK_S = 0.25
 """Interval between checks of a job if only its counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
-"""Pause of all commits after the store has not executed one, in seconds."""
+"""Pause of all commits after the store did not execute a transaction, in seconds."""
 LOW_BUDGET_FRACTION = 0.5
 """The write budget is low when it holds less than this fraction of a second's changes."""
 COALESCE_INTERVAL_S = 1.2
-"""Completions of a job's tasks are coalesced for this long, in seconds; their resources are free at once."""
+"""How long a job's task completions are coalesced before a commit, in seconds; the resources are free at once."""
 
 
 class CommitQueue:
@@ -89,7 +89,7 @@
             self._flush_timer.flush_within(self._refused_until - now)
             return
         if self._in_flight >= MAX_IN_FLIGHT or not self._budget_allows():
-            return  # checked first: in a burst, each heartbeat would sort hundreds of jobs
+            return  # checked before the jobs are sorted: in a burst, each heartbeat would sort hundreds of them
         with self._cluster.lock:
             waiting = self._due_jobs(now)
             while waiting and self._in_flight < MAX_IN_FLIGHT and self._budget_allows():
@@ -99,7 +99,7 @@
                 self._begin(batch)
 
     def _due_jobs(self, now: float) -> list[Job]:
-        """Returns the dirty jobs that can be written now, first those that must not wait."""
+        """Returns the dirty jobs that can be written now; those that must not wait come first."""
         due = []
         for job in self._cluster.dirty_jobs():
             if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
@@ -202,7 +202,8 @@
             if puts or deletes:
                 revision = await self._store.client.commit(guards, puts, deletes)
             else:
-                await sleep(self._clock, 0.0)  # the caller holds the cluster's lock, which `_record_executed` acquires
+                # The caller holds the cluster's lock: `_record_executed`, which acquires it, must run after the caller.
+                await sleep(self._clock, 0.0)
         except ConflictError as conflict:
             self._resolve_conflict(write_sets, conflict)
         except TooLargeError as error:
@@ -254,7 +255,7 @@
     def _reduce_limits(
         self, write_sets: list[JobWriteSet], error: TooLargeError, puts: dict[str, Any], changes: int
     ) -> None:
-        """Lowers a limit that is lower than was announced: unchanged, the transaction would always be refused."""
+        """Lowers a limit that is lower than announced: the store would always refuse the unchanged transaction."""
         limits = self._store.limits
         limits.reduce_after_refusal(puts.values(), changes)
         log.info(
@@ -268,7 +269,7 @@
         self._retry_later(write_sets)
 
     def _reload_all(self, write_sets: list[JobWriteSet], error: UnknownOutcomeError) -> None:
-        """Reloads the jobs of a commit that may still be executed; the reload fences it."""
+        """Reloads the jobs of a commit that may still be executed; the reload fences the commit."""
         self._in_flight -= 1
         log.info("commit outcome unknown jobs=%d error=%s", len(write_sets), error)
         for write_set in write_sets:
@@ -292,5 +293,5 @@
 
 
 def _needs_prompt_write(job: Job, now: float) -> bool:
-    """Whether the job's changes must not wait, or users would see its counts too late."""
+    """Whether the job has changes that must not wait, or counts that users would otherwise see too late."""
     return job.write.flush_now or now > job.write.counts_stored_at + MAX_COUNTS_DELAY_S
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -22,7 +22,7 @@
 
 
 class FormatUpgrade:
-    """Puts the newest format in force, which is never reverted, and rewrites older records in it."""
+    """Puts the newest format in force, and rewrites older records in it. The upgrade is never reverted."""
 
     def __init__(
         self,
@@ -45,8 +45,8 @@
     async def run(self) -> None:
         """Writes the format record once all controllers have stated in one round that they read the newest format.
 
-        A controller that does not answer delays the upgrade, as does a process of an older version, which does not
-        state it.
+        A controller that does not answer delays the upgrade, and so does a process of an older version, which states
+        an older format or none.
         """
         while self._lease.active and self._store.format.number < records.NEWEST_FORMAT:
             if await self._all_read_newest_format() and self._lease.is_held():
@@ -79,7 +79,7 @@
             self._store.format.observe(records.NEWEST_FORMAT, version)
 
     def on_format_advanced(self) -> None:
-        """Has job records of an older format rewritten, and lifts that format's limit on the placements of a chunk."""
+        """Marks jobs with records of an older format dirty, and lifts that format's limit on placements per chunk."""
         with self._cluster.lock:
             for job in self._cluster.jobs.values():
                 job.max_placed_per_chunk = None
@@ -89,7 +89,7 @@
         self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
-        """Has chunks split whose record exceeds the limit of a value, before the job's end has to rewrite them."""
+        """Marks chunks dirty whose record exceeds the limit of a value, so that they are split before the job ends."""
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -40,7 +40,7 @@
         if any(chunk.storage is ChunkStorage.OWN_RECORDS for chunk in job.chunks.values()):
             return False  # stored before format 2; the chunk keeps its own records
         max_bytes = MAX_INLINE_VALUE_FRACTION * self._store.limits.max_value_bytes
-        # The upper bound is tried first: encoding the record is slow, and each check of a job comes here.
+        # The upper bound is tried first: encoding the record is slow, and this runs at each check of a job.
         if max_inline_record_bytes(job) <= max_bytes:
             return True
         return json_bytes(to_stored(self.record(job, with_chunk=True))) <= max_bytes
@@ -84,5 +84,5 @@
 
 
 def detaches_inline_chunk(write_set: JobWriteSet) -> bool:
-    """Whether the chunk in the job's record gets records of its own."""
+    """Whether the write set moves the chunk in the job's record into records of its own."""
     return write_set.job.has_inline_chunk and not write_set.is_inline
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -21,10 +21,10 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-"""Pause before the first retry, in seconds; doubled with each failed one up to `MAX_RETRY_S`."""
+"""Pause before the first retry, in seconds; doubled after each failed retry, up to `MAX_RETRY_S`."""
 MAX_RETRY_S = 2.4
 CONFLICT_RETRY_S = RETRY_S / 3
-"""Pause after a conflict, in seconds: a cancellation, or the commit without an answer, has changed the job's record."""
+"""Pause after a conflict, in seconds: a cancellation or an earlier, unanswered commit changed the job's record."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 class JobReloader:
-    """Reloads jobs; nothing of a job is started or written until its reload is complete."""
+    """Reloads jobs; until a job's reload is complete, none of its tasks starts and none of its changes is committed."""
 
     def __init__(
         self,
@@ -104,10 +104,10 @@
         return StoredJob(record, end_phase, chunks)
 
     async def _fence_unresolved_commit(self, key: str, record: records.VersionedValue) -> records.VersionedValue:
-        """Rewrites the job's record unchanged, so that the commit without an answer fails if it is executed later.
+        """Rewrites the job's record unchanged, so that an earlier, unanswered commit can no longer be executed.
 
-        That commit is guarded on the record's present version. Executed late, it would place tasks on resources that
-        other tasks use by then.
+        The earlier commit is guarded on the record's present version. Executed late, it would place tasks on resources
+        that other tasks use by then. Returns the record with its new version.
         """
         while not self._store.write_budget.try_take(1.0):
             await sleep(self._clock, RETRY_S)
@@ -134,7 +134,7 @@
             self._lifecycle.reconcile_gang(job)
 
     def _reconcile_placements(self, job: Job, before: list[Placement]) -> None:
-        """Untracks placements that the store no longer holds, and tracks those that it does."""
+        """Untracks placements that the store no longer holds, and tracks those that it holds."""
         kept = {id(placement) for placement in job.placements()}
         for placement in before:
             if id(placement) not in kept:
--- a/stileloft/store/job_write_set.py
+++ b/stileloft/store/job_write_set.py
@@ -25,7 +25,7 @@
     """Ended placements that the store no longer holds."""
     written_chunks: list[int] = field(default_factory=list)
     newly_finished_chunks: list[int] = field(default_factory=list)
-    """Chunks that the job's record lists as finished, and that lose their own records."""
+    """Chunks that the job's record newly lists as finished; their own records, if any, are deleted."""
     removed_chunks: list[int] = field(default_factory=list)
     """Chunks of an ended job that are removed from the store."""
     overflow: dict[int, list[StoredValue]] = field(default_factory=dict)
--- a/stileloft/store/job_write_set_builder.py
+++ b/stileloft/store/job_write_set_builder.py
@@ -26,7 +26,7 @@
     def build(self, job: Job, max_changes: int) -> JobWriteSet | None:
         """Returns the job's write set, or None if nothing has to be written.
 
-        It has at most `max_changes` puts and deletes, unless a single chunk takes more.
+        The write set has at most `max_changes` puts and deletes, unless a single chunk takes more.
         """
         write_set = JobWriteSet(job, is_inline=self._policy.stores_chunk_inline(job))
         gang_completed = job.spec.is_gang and not job.end_phase and gangs.is_completed(job)
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -53,7 +53,7 @@
         self.record_version = 0
 
     async def follow(self, state: StateClient, clock: Clock) -> None:
-        """Watches the stored format until it is the newest."""
+        """Watches the stored format until it is the newest that this controller can read."""
 
         async def read_and_watch() -> None:
             found = await state.get(records.FORMAT)
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -6,7 +6,7 @@
 MAX_TRANSACTION_BYTES = 40 * 1024
 """The most bytes of values and guards in a transaction; the store accepts 64 KiB, keys included."""
 GUARDS_PER_CHANGE = 4
-"""The most guards of a transaction, as a multiple of its most changes."""
+"""Limit on the guards of a transaction, as a multiple of its limit on changes."""
 JOB_END_CHANGES = 4
 """Changes that the end of a job may take; a transaction with fewer left gets no further job."""
 
