--- a/stileloft/jobs/cancellation.py
+++ b/stileloft/jobs/cancellation.py
@@ -59,7 +59,7 @@
         raise RetryLaterError("the job's record keeps changing")
 
     async def _replace_record(self, job: str, value: dict[str, Any], version: int) -> dict[str, Any]:
-        """Replaces a job's record, which has this value and version, by its final record."""
+        """Replaces a job's record, which has this value and version, by its final record; returns the final status."""
         active, final = records.active_key(job), records.final_key(job)
         final_value = records.final_record(FinalPhase.CANCELLED, 0)
         puts = {final: final_value}
--- a/stileloft/jobs/failure_attribution.py
+++ b/stileloft/jobs/failure_attribution.py
@@ -13,16 +13,17 @@
 log = logging.getLogger(__name__)
 
 FAULTY_MACHINE_JOBS = 2
-"""Number of jobs whose tasks failed, or were slow, on a machine before it is taken to be faulty, or slow."""
+"""A machine counts as faulty once tasks of this many jobs failed on it, as slow once tasks of this many were slow."""
 MAX_FAILURES = 4
-"""After more failures than this on a machine, one job that fails nowhere else is enough."""
+"""A machine with more failures than this is faulty even if only one job fails on it and nowhere else."""
 FAULTY_JOB_MACHINES = 2
 """A job that failed on this many machines is taken to be faulty: its failures are no evidence against a machine."""
 AVOID_LEASES = 4.0
 """How long a job avoids a machine on which it failed, in worker leases."""
 SLOW_FACTOR = 3.0
-"""A run time above this multiple of the median of the job's tasks elsewhere is evidence against the machine."""
+"""A task that ran longer than this multiple of its job's median run time on other machines counts as slow."""
 MIN_COMPARED_TASKS = 2
+"""The fewest run times on other machines with which a task's run time is compared."""
 MAX_SAMPLES = 20
 """Run times kept for each job."""
 
--- a/stileloft/jobs/job_backoff.py
+++ b/stileloft/jobs/job_backoff.py
@@ -34,7 +34,7 @@
             self._clock.callLater(duration_s, self._request_scheduling)
 
     def back_off(self, job: Job) -> None:
-        """Pauses the job, for longer with each further failure; failures during a pause count as one."""
+        """Pauses the job. The pause doubles with each further failure, except for failures during a pause."""
         if self._clock.seconds() >= job.backoff_until:
             job.backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2.0 * job.backoff_s))
         self.pause(job.id, job.backoff_s)
--- a/stileloft/jobs/job_status.py
+++ b/stileloft/jobs/job_status.py
@@ -92,5 +92,5 @@
             return None if found is None else found[0]
         value: dict[str, Any] | None = (await self._shared_scan.read()).get(key)
         if value is None:
-            self._store.take_reads()  # its final record is looked up next
+            self._store.take_reads()  # for the job's final record, which the caller looks up next
         return value
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -22,7 +22,7 @@
 WATCH_LEASE_FRACTION = 0.5
 """Duration of a watch, as a fraction of the leader's lease: only an answer shows that the watch still works."""
 MAX_STALE_WATCHES = 4.0
-"""No task is started once all cancellations were last known longer ago than this, in durations of a watch."""
+"""Staleness of the leader's view of cancellations above which no task is started, in durations of a watch."""
 WATCH_PAUSE_FRACTION = 0.1
 """Pause between an answer with changes and the next watch, as a fraction of a watch."""
 SETTLE_RETRY_S = 0.25
@@ -64,11 +64,11 @@
         """The store no longer holds the changes since `revision`: all jobs have to be read again."""
 
     def staleness_s(self) -> float:
-        """Returns the seconds since all cancellations were last known; infinite before the store was read."""
+        """Returns the age of the leader's view of cancellations, in seconds; infinite before the store was read."""
         return self._clock.seconds() - self.up_to_date_at
 
     def is_fresh(self) -> bool:
-        """Whether cancellations are known recently enough to start tasks: no task of a long-ended job may start."""
+        """Whether the view of cancellations is recent enough to start tasks: no task of a long-ended job may start."""
         return self.staleness_s() <= MAX_STALE_WATCHES * self.watch_s
 
     async def run(self) -> None:
@@ -91,7 +91,7 @@
         if not self._lease.active:
             return
         if any(value is None and self._is_unexplained(key) for key, value, _ in events):
-            # The job was cancelled, or the store has lost its record; in that case its tasks must not be stopped.
+            # The job was cancelled, or the store has lost its record. After a loss, its tasks must not be stopped.
             await self._integrity.verify()
         for key, value, version in events:
             self.on_change(key[len(records.ACTIVE) :], value, version)
@@ -121,12 +121,12 @@
         self._compacted = False
 
     def _is_unexplained(self, key: str) -> bool:
-        """Whether a deleted record is that of an unfinished job without a transaction in flight."""
+        """Whether the record belongs to an unfinished job, and no transaction in flight can have deleted it."""
         job = self._cluster.jobs.get(key[len(records.ACTIVE) :])
         return job is not None and job.end_phase is None and not job.write.commit_in_flight
 
     def on_change(self, job_id: str, value: Any, version: int) -> None:
-        """Adds a new job, or ends one whose record was deleted (`value` is None), whichever controller did so."""
+        """Adds a new job, or ends one whose record was deleted (`value` is None), by whichever controller."""
         job = self._cluster.jobs.get(job_id)
         if value is None:
             if job is not None and not job.end_phase:
@@ -144,7 +144,7 @@
         self._request_scheduling()
 
     def _end(self, job: Job, version: int) -> None:
-        """Ends a job whose record was deleted by a cancellation, or by this leader's commit that is not answered yet.
+        """Ends a job whose record was deleted by a cancellation, or by a commit of this leader that has no answer yet.
 
         In both cases none of its tasks may run. A transaction in flight may take as long as an outage, so the stops do
         not wait for it; the store is read afterwards to find out how the job ended.
--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -30,7 +30,7 @@
         self.lost_spec_jobs: frozenset[str] = frozenset()
         """Jobs known only from workers' heartbeats: their tasks run on until an operator decides."""
         self._removed: dict[str, float] = {}
-        """When jobs were removed: the watch may still deliver records of them that are older than that."""
+        """Times at which jobs were removed, by job id: the watch may still deliver older records of these jobs."""
 
     def add(self, job: Job) -> None:
         """Adds an accepted job."""
@@ -42,11 +42,11 @@
             if not job.stores_chunk_size:
                 self._cluster.dirty[job.id] = None
         elif max_placements < job.chunk_size:
-            # Without chunk sizes a chunk has a single record, which has to fit the lowest announced limit.
+            # In a format without chunk sizes a chunk has a single record, which has to fit the lowest announced limit.
             job.max_placed_per_chunk = max_placements
 
     def remove(self, job: Job) -> None:
-        """Removes a job of which nothing is left."""
+        """Removes an ended job that has no chunks left."""
         self._cluster.remove_job(job.id)
         self._removed[job.id] = self._clock.seconds()
 
@@ -55,7 +55,7 @@
         return job_id in self._removed
 
     def prune_removed(self, before: float) -> None:
-        """Forgets jobs removed before this time: requests to the store sent after that return no record of them."""
+        """Forgets jobs removed before this time: requests sent to the store since then return no record of them."""
         while self._removed and next(iter(self._removed.values())) < before:
             del self._removed[next(iter(self._removed))]
 
--- a/stileloft/jobs/task_exits.py
+++ b/stileloft/jobs/task_exits.py
@@ -23,7 +23,7 @@
 
 
 class TaskExitHandler:
-    """Ends exited tasks, completed or to be run again. Called with the cluster's lock held."""
+    """Ends the placements of exited tasks; a task that is not done runs again. Called with the cluster's lock held."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
             self._log_refusal("unknown to the worker", placement)
             self._backoff.pause(placement.job, UNKNOWN_HEARTBEATS * self._timings.heartbeat_s)
         elif reason == ExitReason.BUSY:
-            # The heartbeat lists the other attempt too, which is stopped as an orphaned task; until then the job avoids
-            # the machine.
+            # The worker refused the start because another attempt of the task is on the machine. The heartbeat lists
+            # that attempt too, and it is stopped as an orphaned task; until then the job avoids the machine.
             self._log_refusal("another attempt present", placement)
             self._backoff.avoid_machine(placement, self._timings.lease_s)
         self._lifecycle.end(placement, reason or EndReason.EXITED)
@@ -88,9 +88,10 @@
 def _is_complete_run(job: Job, placement: Placement) -> bool:
     """Whether this leader saw the task run from the beginning to the end of its work.
 
-    A task that a former leader placed had already run for a while when this one first saw it. Its run time would seem
-    too short, and the machines of the job's later tasks slow in comparison.
+    A task that a former leader placed had already run for a while when this leader first saw it. Its run time would
+    seem too short, and the machines of the job's later tasks slow in comparison.
     """
-    # Attempts are numbered per chunk: above its length, the task may have run before and saved a checkpoint.
+    # Attempts are numbered per chunk. If the attempt's number is above the chunk's length, the task may have run before
+    # and saved a checkpoint.
     first_attempt = placement.attempt <= job.chunk_length(placement.index // job.chunk_size)
     return placement.placed_by_this_leader and (job.spec.is_gang or first_attempt)
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -26,7 +26,7 @@
 STOP_MARGIN_S = 0.5
 """Added to the default grace of a stop, in seconds."""
 RECLAIM_RESERVE_S = 1.0
-"""A checkpoint is begun only if more than this would remain between it and the reclaim, in seconds."""
+"""A checkpoint is begun only if it would be saved more than this long before the reclaim, in seconds."""
 MIN_REMAINING_FRACTION = 0.1
 """A running task is expected to run on for at least this fraction of its estimate."""
 
@@ -98,7 +98,7 @@
                 self.reconcile_gang(job)
 
     def reconcile_gang(self, job: Job) -> None:
-        """Ends the other tasks of a gang if one is done, or stops them if one is lost."""
+        """Ends all tasks of a gang if one of them is done; stops the remaining ones if one is lost."""
         if job.end_phase or job.reload_pending:
             return
         if gangs.is_completed(job):
@@ -125,7 +125,7 @@
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
         """Stops a task, and at the same time all others of its gang.
 
-        `grace_s`: time to save a checkpoint, in seconds; None for the job's default, or that of a pending stop.
+        `grace_s`: time to save a checkpoint, in seconds; None for that of a pending stop, or else the job's default.
         """
         job = self._cluster.jobs.get(placement.job)
         placements = list(job.placements()) if job is not None and job.spec.is_gang else [placement]
@@ -199,7 +199,7 @@
         self._mark_chunks_dirty(job)
 
     def rewrite_all_chunks(self, job: Job) -> None:
-        """Has all chunks of a job written again soon, or removed from the store if the job has ended."""
+        """Marks a job's chunks dirty: they are soon written again, or removed from the store if the job has ended."""
         self._mark_chunks_dirty(job)
         self._flush_timer.flush_within(0.0)
 
--- a/stileloft/jobs/user_store.py
+++ b/stileloft/jobs/user_store.py
@@ -1,4 +1,4 @@
-"""Access to the store for users' requests, on every controller: within budgets, and only while it is intact."""
+"""Access to the store for users' requests, on every controller: within budgets, and only while the store is intact."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -19,7 +19,7 @@
 REBUILD_RETRY_S = 2.0
 """Delay before users should retry while lost records are rebuilt, in seconds."""
 RETRY_S = 1.0
-"""Delay before users should retry otherwise, in seconds."""
+"""Delay before users should retry in all other cases, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
