--- a/stileloft/machines/boot_monitor.py
+++ b/stileloft/machines/boot_monitor.py
@@ -72,11 +72,11 @@
         return known_type.boot_s if known_type else self._default_boot_s
 
     def _is_overdue(self, machine: Machine, now: float) -> bool:
-        """Whether a machine should be up by now.
+        """Whether a machine is not up although it should be.
 
-        A machine that the cloud lists as running is up: it is silent, or a new leader has yet to get its heartbeat.
-        For one failure time-out after it was elected, a leader counts no machine as overdue, because workers need time
-        to turn to a new leader.
+        A machine that the cloud lists as running is up, even without a heartbeat: it is silent, or its heartbeat has
+        not reached a new leader yet. For one failure time-out after its election a leader counts no machine as overdue,
+        because workers need time to find a new leader.
         """
         if machine.cloud_state == "running" or now - self._lease.began_at < self._failure_timeout_s:
             return False
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -38,7 +38,7 @@
 
 
 class ImageLocations:
-    """Tracks the images that machines probably have, by the tasks seen there."""
+    """Tracks the images that machines probably have, judged by the tasks seen on them."""
 
     def __init__(self, store: LeaderStore, cluster: ClusterState, lease: LeaderLease, clock: Clock) -> None:
         self._store = store
--- a/stileloft/machines/inventory.py
+++ b/stileloft/machines/inventory.py
@@ -27,8 +27,9 @@
 class MachineInventory:
     """Reads the cloud's machine list page by page, in a loop.
 
-    Each page is applied as it arrives, and a failed page is requested again: if a list of many pages had to be read in
-    one go, it would exhaust the cloud's request limit before its end, and would never be complete.
+    Each page is applied as it arrives, and a failed page is requested again by itself. If a list of many pages were
+    read without pauses and from the start, it would exhaust the cloud's request limit before its end, and would never
+    be complete.
     """
 
     def __init__(
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -1,4 +1,4 @@
-"""Store records of recently provisioned machines, for the next leader."""
+"""Records in the store of recently provisioned machines, for the next leader."""
 
 import logging
 
@@ -32,7 +32,7 @@
         self._retention_s = RETENTION_LAGS * list_lag_s + RETENTION_MARGIN_S
         """Age at which a machine is certain to be in the cloud's list, so that its record is no longer needed."""
         self._slots: dict[int, float] = {}
-        """Slots of the records, and the time of day until which each record may be needed, in seconds."""
+        """Unix time in seconds until which each record may be needed, by its slot: the number that ends its key."""
 
     async def write(self, offer: InstanceOffer, machines: list[str]) -> None:
         """Records machines if the write budget allows; a store error is only logged."""
@@ -55,7 +55,7 @@
             log.debug("provision record not written slot=%d machines=%d error=%s", slot, len(machines), error)
 
     def load(self, key: str, value: records.StoredValue) -> None:
-        """Adds the machines that a former leader provisioned, unless the cloud's list surely shows them by now."""
+        """Adds the machines that a former leader provisioned, unless the cloud's list certainly shows them by now."""
         time_of_day, now = self._wall_clock(), self._clock.seconds()
         record = records.read_provision(value)
         provisioned_at = record.provisioned_at
--- a/stileloft/machines/registry.py
+++ b/stileloft/machines/registry.py
@@ -17,7 +17,7 @@
         self._clock = clock
 
     def get_or_create(self, machine_id: str) -> Machine:
-        """Returns the machine with this id, which is added if the leader does not know it."""
+        """Returns the machine with this id; adds it if it is new to the leader."""
         machine = self._cluster.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, first_seen_at=self._clock.seconds(), token=self._tokens.first)
--- a/stileloft/machines/scale_in.py
+++ b/stileloft/machines/scale_in.py
@@ -25,7 +25,7 @@
 FAILED_RETRY_S = 1.0
 """Pause after a failed request, in seconds."""
 RELEASED_RETENTION_LEASES = 40.0
-"""How long released machines are remembered, in worker leases: delayed packets may arrive minutes late."""
+"""How long released machines are remembered, in worker leases: their delayed heartbeats may arrive minutes late."""
 
 
 class MachineReleaser:
@@ -56,15 +56,15 @@
         self._request_scheduling = request_scheduling
         self._queue: dict[str, Machine] = {}
         self.released: dict[str, float] = {}
-        """Ids of machines whose release the cloud has confirmed, and when, by the leader's clock."""
+        """When the cloud confirmed the release of each machine, by machine id, on the leader's clock."""
 
     def release(self, machine: Machine, reason: str) -> None:
-        """Queues a machine for release, unless it is being released; `reason` is its drain reason if it has none."""
+        """Queues a machine for release, unless it is queued; `reason` becomes its drain reason if it has none."""
         if machine.releasing:
             return
         machine.releasing = True
         machine.drain_reason = machine.drain_reason or reason
-        log.info("scale-in machine=%s reason=%r", machine.id, reason)
+        log.info("scale-in queued machine=%s reason=%r", machine.id, reason)
         self._queue[machine.id] = machine
         if len(self._queue) == 1:
             defer.ensureDeferred(self._release_queued())
@@ -94,7 +94,7 @@
             self._request_scheduling()
 
     def _end_expired_tasks(self) -> None:
-        """Ends the tasks of machines that cannot be released and whose worker's lease has expired."""
+        """Ends the tasks of machines that could not be released yet and whose worker's lease has expired."""
         now = self._clock.seconds()
         with self._cluster.lock:
             for machine in self._queue.values():
--- a/stileloft/machines/scale_out.py
+++ b/stileloft/machines/scale_out.py
@@ -63,7 +63,7 @@
         return frozenset(offer for offer, until in self._no_capacity_until.items() if until > now)
 
     def provision(self, offer: InstanceOffer, wanted: int) -> None:
-        """Starts to provision machines."""
+        """Starts to provision `wanted` machines of an offer."""
         # A request for more than the limit would be filled in part, which would be taken for a lack of capacity.
         for first in range(0, wanted, PROVISION_LIMIT):
             self._begin_request(offer, min(PROVISION_LIMIT, wanted - first))
@@ -88,7 +88,13 @@
                     machine.type, machine.zone, machine.spot = machine_type, zone, spot
                 machine.provisioned_at = sent_at
         log.info(
-            "scale-out type=%s zone=%s spot=%s provisioned=%d wanted=%d", machine_type, zone, spot, len(machines), count
+            "scale-out finished request=%s type=%s zone=%s spot=%s provisioned=%d wanted=%d",
+            request,
+            machine_type,
+            zone,
+            spot,
+            len(machines),
+            count,
         )
         if machines:
             await self._records.write(offer, machines)
--- a/stileloft/machines/supervisor.py
+++ b/stileloft/machines/supervisor.py
@@ -64,7 +64,7 @@
             self._releaser.release(machine, machine.drain_reason)
 
     def _check_boot(self, machine: Machine, now: float) -> None:
-        """Marks a machine that is not up yet as overdue, or releases it if it is not expected to come up."""
+        """Marks a machine as overdue if it should be up and is not; releases it if it is not expected to come up."""
         self._boots.check(machine, now)
         if self._boots.is_abandoned(machine, now):
             self._releaser.release(machine, "it did not come up")
