--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -24,7 +24,7 @@
     from stileloft.rebuild.service import RebuildService
 
 MAX_SERVED_AGE_S = 1e9
-"""Reported in place of an unbounded age, in seconds."""
+"""Age reported if the state service has never served this controller, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/stileloft/controller/budgets.py
+++ b/stileloft/controller/budgets.py
@@ -6,8 +6,8 @@
 from stileloft.transport.clock import Clock
 from stileloft.transport.rate_limit import TokenBucket
 
+# Fractions of the state service's limits. With one controller down, all budgets together stay below the limits.
 USER_READS_FRACTION = 0.3
-"""Fractions of the state service's limits; with one controller down, all budgets together stay below the limits."""
 LEADER_WRITES_FRACTION = 0.7
 USER_WRITES_FRACTION = 0.3
 MIN_USER_WRITES_PER_S = 2.0
--- a/stileloft/controller/clients.py
+++ b/stileloft/controller/clients.py
@@ -28,7 +28,7 @@
 """How long an unused connection is kept open, in seconds."""
 MAX_CONNECTIONS_PER_SERVICE = 8
 CLOUD_BUDGET_FRACTION = 0.75
-"""The leader's fraction of the cloud's limit; the rest is for price reads of the others, and for a former leader."""
+"""The leader's fraction of the cloud's limit; the rest is for other controllers' price reads and a former leader."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -97,7 +97,7 @@
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
 
     def _build_store(self) -> None:
-        """Builds what follows the store and its records, and what serves users' requests."""
+        """Builds the components that follow the store's records, and those that serve users' requests."""
         deployment = self.settings.deployment
         self.record_format = RecordFormat(deployment.state)
         self.record_format.on_advance = self._on_format_advance
@@ -283,7 +283,7 @@
             self.leader.upgrade.on_format_advanced()
 
     def _on_local_cancellation(self, job: str, revision: int) -> None:
-        """If this controller leads, applies a cancellation that it has stored at once, before the watch reports it."""
+        """Applies a cancellation that this controller stored, if it leads: at once, without waiting for the watch."""
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -59,7 +59,11 @@
         # Peers that were served only before this controller's failures began prove nothing: the outage may affect all.
         refused = any(view.served_ago_s < now - failing_since for view in views)
         if refused and not self.is_refused:
-            log.info("state service serves only other controllers failing_for_s=%.1f", now - failing_since)
+            log.info(
+                "state service serves peers but not this controller failing_for_s=%.1f peers_answered=%d",
+                now - failing_since,
+                len(views),
+            )
         if not views and self._peers.addresses and now - failing_since > ISOLATION_TIMEOUT_S:
             # This controller is isolated, rather than in an outage of the service: others can serve its users.
             refused = True
