--- a/stileloft/protocol/__init__.py
+++ b/stileloft/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages of the wire, and who is asked and answered in them."""
+"""Wire messages, HTTP routes, and clients of the state service, the cloud, workers and peers."""
--- a/stileloft/protocol/admin.py
+++ b/stileloft/protocol/admin.py
@@ -1,4 +1,4 @@
-"""The administration API on the peer address: status, and the operators' own settings."""
+"""The administration API on the peer address: status and operator settings."""
 
 import math
 from collections.abc import Awaitable
@@ -25,44 +25,44 @@
 
 
 class OperatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """What operators may change while the service runs; in force on all controllers."""
+    """Settings that operators can change at runtime; they apply to all controllers."""
 
     headroom: Factor = 1.0
-    """Room kept free for a class that cannot wait for a machine to boot, in jobs of its usual size."""
+    """Capacity kept free for a class that cannot wait for a machine to boot, in jobs of its usual size."""
     headroom_wait: Factor = 2.0
-    """The same for a class with an objective on starting."""
+    """Capacity kept free for a class with an objective on its start time, in jobs of its usual size."""
     keep_idle_boots: Factor = 1.0
-    """How long an idle spot machine is kept, in boot times of its type."""
+    """How long an idle spot machine is kept, as a multiple of its type's boot time."""
     rent_full_price: bool = True
-    """Whether machines other than spot ones may be provisioned."""
+    """Whether machines may be provisioned at full price, not only as spot machines."""
     max_machines: Annotated[int, Meta(ge=0, le=100_000)] = 100_000
-    """No scale-out makes the cluster larger than this, in machines."""
+    """The number of machines beyond which scale-out does not grow the cluster."""
 
 
-FACTORS = ("headroom", "headroom_wait", "keep_idle_boots")
+FACTOR_FIELDS = ("headroom", "headroom_wait", "keep_idle_boots")
 
 
 def parse_operator_settings(value: Any) -> OperatorSettings:
-    """Checked settings from their decoded form; raises `InvalidSettingsError`."""
+    """Returns validated settings from a decoded body; raises `InvalidSettingsError`."""
     try:
         settings = msgspec.convert(value, OperatorSettings)
     except msgspec.ValidationError as error:
         raise InvalidSettingsError(str(error).replace("$.", "")) from None
-    for name in FACTORS:
+    for name in FACTOR_FIELDS:
         if not math.isfinite(getattr(settings, name)):
             raise InvalidSettingsError(f"{name} is not finite")
     return settings
 
 
 class SettingsChange(NamedTuple):
-    """New settings, and the version that they were made from."""
+    """New settings, and the version of the settings that they replace."""
 
     settings: OperatorSettings
     version: int
 
 
 def parse_settings_change(body: Any) -> SettingsChange:
-    """A checked request for other settings; raises `InvalidSettingsError`."""
+    """Returns a validated request to change the settings; raises `InvalidSettingsError`."""
     if not isinstance(body, dict) or type(body.get("version")) is not int or body["version"] < 0:
         raise InvalidSettingsError("version: a whole number, as `GET /settings` gave it, is required")
     try:
@@ -73,33 +73,33 @@
 
 
 class AdminBackend(RebuildBackend, Protocol):
-    """What a controller tells its operators, and takes from them."""
+    """The controller interface behind the administration API."""
 
     def status(self) -> dict[str, Any]:
-        """The controller's state, for people and monitoring."""
+        """Returns the controller's state, for operators and monitoring."""
 
     def view(self) -> PeerView:
-        """What the controller tells other controllers."""
+        """Returns this controller's view of the cluster, for other controllers."""
 
     async def read_settings(self) -> tuple[OperatorSettings, int]:
-        """The settings in force and their version; raises `TemporarilyUnavailableError`."""
+        """Returns the current settings and their version; raises `TemporarilyUnavailableError`."""
 
     async def change_settings(self, settings: OperatorSettings, version: int) -> int:
-        """Replaces the settings of a version, and returns the new version.
+        """Replaces the settings if their version is still `version`, and returns the new version.
 
         Raises `StaleVersionError` or `TemporarilyUnavailableError`.
         """
 
 
 class AdminResources:
-    """Routes of the peer address: those of the administration API, and what other controllers ask."""
+    """Routes of the peer address: the administration API and the requests of other controllers."""
 
     def __init__(self, controller: AdminBackend) -> None:
         self._controller = controller
         self._rebuild = RebuildResources(controller)
 
     def match(self, path: str) -> Route | None:
-        """The handlers of a path, by method, and its arguments."""
+        """Returns the handlers of a path by method, and its arguments; None for an unknown path."""
         if path == STATUS_PATH:
             return {"GET": self.status}, {}
         if path == VIEW_PATH:
@@ -109,23 +109,23 @@
         return self._rebuild.match(path)
 
     def status(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
-        """Tells the controller's state."""
+        """Answers with the controller's state."""
         return Response(HTTPStatus.OK, self._controller.status())
 
     def view(self, _body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
-        """Tells another controller what this one sees."""
+        """Answers another controller with this controller's view of the cluster."""
         return Response(HTTPStatus.OK, msgspec.to_builtins(self._controller.view()))
 
     async def read_settings(self, _body: Any, _arguments: Arguments) -> Response:
-        """Tells the settings and their version."""
+        """Answers with the settings and their version."""
         try:
             settings, version = await self._controller.read_settings()
         except TemporarilyUnavailableError as error:
             return retry_later(error.status, error.reason, RETRY_AFTER_S)
-        return _settings_answer(settings, version)
+        return _settings_response(settings, version)
 
     async def change_settings(self, body: Any, _arguments: Arguments) -> Response:
-        """Replaces the settings if they are still those of the version that the caller read."""
+        """Replaces the settings if they have not changed since the version that the caller read."""
         try:
             change = parse_settings_change(body)
             version = await self._controller.change_settings(change.settings, change.version)
@@ -135,8 +135,8 @@
             return Response(error.status, {"error": "the settings have been changed since; read them again"})
         except TemporarilyUnavailableError as error:
             return retry_later(error.status, error.reason, RETRY_AFTER_S)
-        return _settings_answer(change.settings, version)
+        return _settings_response(change.settings, version)
 
 
-def _settings_answer(settings: OperatorSettings, version: int) -> Response:
+def _settings_response(settings: OperatorSettings, version: int) -> Response:
     return Response(HTTPStatus.OK, {"version": version, "settings": msgspec.to_builtins(settings)})
--- a/stileloft/protocol/admin_errors.py
+++ b/stileloft/protocol/admin_errors.py
@@ -1,4 +1,4 @@
-"""Why a request to the administration API can't be carried out."""
+"""Errors of requests to the administration API."""
 
 from http import HTTPStatus
 
@@ -8,19 +8,19 @@
 
 
 class InvalidSettingsError(RequestError):
-    """Settings that cannot be taken; the reason names the field."""
+    """The submitted settings are invalid; `reason` names the field."""
 
     status = HTTPStatus.BAD_REQUEST
 
 
 class StaleVersionError(RequestError):
-    """The settings have been changed since the version that the change was made from."""
+    """The settings were changed after the version that the request is based on."""
 
     status = HTTPStatus.CONFLICT
 
 
 class TemporarilyUnavailableError(RequestError):
-    """The store cannot be asked or written now."""
+    """The store cannot be read or written at present."""
 
     status = HTTPStatus.SERVICE_UNAVAILABLE
 
--- a/stileloft/protocol/cloud.py
+++ b/stileloft/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The client of the cloud that provisions machines."""
+"""The client of the cloud, which provisions machines."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from stileloft.transport.client import Client, Reply, TransportError
 from stileloft.transport.rate_limit import TokenBucket
 
-# Machines in one request or reply, as the protocol limits them.
+# The protocol's limits on the number of machines in one request or reply.
 PROVISION_LIMIT = 50
 RELEASE_LIMIT = 100
 PAGE_LIMIT = 500
@@ -19,25 +19,26 @@
 
 @dataclass(frozen=True, slots=True)
 class MachinePage:
-    """A part of the cloud's list of machines, in the order of their names."""
+    """One page of the cloud's machine list, sorted by name."""
 
     machines: list[ListedMachine]
     more: bool
-    """Whether there are machines after the last of these."""
+    """Whether the list has machines after this page."""
 
 
 class CloudError(RemoteError):
-    """The call failed; machines may have been provisioned or released all the same."""
+    """A request to the cloud failed; it may still have provisioned or released machines."""
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no machine of this type, zone and kind now."""
+    """The cloud has no free machine of the requested type and zone, spot or not as requested."""
 
 
 class CloudClient:
-    """Requests to the cloud, within a budget of our own.
+    """Sends requests to the cloud, limited by a request budget of this controller.
 
-    One that changes something there is checked by its `is_wanted` once more when its connection is made.
+    For a request that provisions or releases machines, `is_wanted` is called once its connection is open; if it returns
+    False, the request is not sent.
     """
 
     def __init__(self, client: Client, address: str, timeout_s: float, budget: TokenBucket) -> None:
@@ -48,16 +49,16 @@
 
     @property
     def requests_per_s(self) -> float:
-        """Our own budget of requests."""
+        """The rate of the request budget, in requests a second."""
         return self._budget.rate_per_s
 
     async def machine_types(self) -> list[MachineType]:
-        """All types that the cloud offers, at the present prices; raises `CloudError`."""
+        """Returns all machine types that the cloud offers, with current prices; raises `CloudError`."""
         reply = await self._request("GET", "/machine_types")
         return msgspec.convert(reply.body["builds"], list[MachineType])
 
     async def machines_after(self, name: str) -> MachinePage:
-        """The machines that follow a name in the cloud's list, the first ones for an empty name.
+        """Returns the page of machines after `name` in the cloud's list; the first page if `name` is empty.
 
         Raises `CloudError`.
         """
@@ -71,7 +72,7 @@
     ) -> list[str]:
         """Provisions machines and returns their names; raises `NoCapacityError` or `CloudError`.
 
-        `request` makes it idempotent: repeated under the same name it provisions nothing more, so a name is never used
+        `request` is the idempotency key: a repeated request provisions no further machines, and a key is never reused
         for another request.
         """
         body = {"hire": request, "build": type_name, "yard": zone, "loaner": spot, "count": min(count, PROVISION_LIMIT)}
@@ -79,25 +80,32 @@
         return list(reply.body["hosts"])
 
     async def release(self, machines: list[str], is_wanted: Callable[[], bool]) -> None:
-        """Releases machines; raises `CloudError`. Once it has returned, they and all on them are gone."""
+        """Releases machines; raises `CloudError`. After it returns, the machines and their tasks are gone."""
         await self._request("POST", "/hosts/release", {"hosts": machines[:RELEASE_LIMIT]}, is_wanted)
 
     async def _request(
         self, method: str, path: str, body: object = None, is_wanted: Callable[[], bool] = lambda: True
     ) -> Reply:
-        """A reply whose status is 200."""
+        """Returns a reply with status 200; raises `NoCapacityError` or `CloudError`."""
         operation = f"{method} {path}"
         if not self._budget.try_take():
-            raise CloudError("own budget spent", operation=operation, target=self._address)
+            raise CloudError(
+                f"{operation}: request budget of {self.requests_per_s:g}/s is spent",
+                operation=operation,
+                target=self._address,
+            )
         try:
             reply = await self._client.request(method, self._address, path, body, self._timeout_s, is_wanted)
         except TransportError as error:
-            raise CloudError(str(error), operation=operation, target=self._address) from None
+            raise CloudError(f"{operation}: {error}", operation=operation, target=self._address) from None
         if reply.status == HTTPStatus.OK:
             return reply
         kind = NoCapacityError if _has_no_capacity(reply) else CloudError
         raise kind(
-            f"status {reply.status}: {reply.body}", operation=operation, target=self._address, status=reply.status
+            f"{operation}: status {reply.status}, body {reply.body}",
+            operation=operation,
+            target=self._address,
+            status=reply.status,
         )
 
 
--- a/stileloft/protocol/commands.py
+++ b/stileloft/protocol/commands.py
@@ -1,17 +1,17 @@
-"""Commands to workers, with the names that the wire has for their fields."""
+"""Commands to workers, and the names of their fields on the wire."""
 
 from msgspec import Struct, field
 
 
 class StartCommand(Struct, frozen=True, tag_field="verb", tag="launch"):
-    """Start an attempt at a task; without effect on a worker that knows the attempt already."""
+    """Starts an attempt of a task; has no effect if the worker already knows the attempt."""
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
 
 
 class StopCommand(Struct, frozen=True, tag_field="verb", tag="stop"):
-    """Stop an attempt, which may save its progress for a while."""
+    """Stops an attempt, which has `grace_s` seconds to save its progress."""
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
@@ -19,7 +19,7 @@
 
 
 class ForgetCommand(Struct, frozen=True, tag_field="verb", tag="forget"):
-    """Report an attempt that has exited no longer."""
+    """Stops the worker from reporting an attempt that has exited."""
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
@@ -29,10 +29,10 @@
 
 
 class CommandMessage(Struct, frozen=True, omit_defaults=True):
-    """Commands that a worker executes in their order, as the answer to a heartbeat or as a request of ours."""
+    """Commands that a worker executes in order; sent as the response to a heartbeat or as a request to the worker."""
 
     token: int = field(name="baton")
-    """The fencing token: a worker drops a message with a lower one than it has seen."""
+    """The fencing token; a worker drops a message whose token is lower than the highest it has seen."""
     commands: list[Command] = field(name="orders")
     epoch: int | None = field(name="stint", default=None)
-    """The worker's epoch that the commands are meant for; in requests only."""
+    """The worker epoch that the commands apply to; None in responses to heartbeats."""
--- a/stileloft/protocol/errors.py
+++ b/stileloft/protocol/errors.py
@@ -1,10 +1,10 @@
-"""The base classes of the errors of this package."""
+"""Base classes of the errors in this package."""
 
 from http import HTTPStatus
 
 
 class ProtocolError(Exception):
-    """What is exchanged is not as the protocol wants it, or an exchange failed; `reason` says how."""
+    """A message violates the protocol, or a request failed; `reason` gives the details."""
 
     def __init__(self, reason: str = "") -> None:
         super().__init__(reason)
@@ -12,14 +12,14 @@
 
 
 class MalformedError(ProtocolError):
-    """A body that breaks the protocol; the reason names the field."""
+    """A body violates the protocol; `reason` names the field."""
 
 
 class RemoteError(ProtocolError):
     """A request to another program failed.
 
-    `operation` is what was asked for (method and path), `target` the address that was asked, and `status` the HTTP
-    status that it answered with; None if it did not answer, or if the request was never sent.
+    `operation` is the request's method and path, `target` the address it was sent to, and `status` the HTTP status of
+    the response; None if no response came or the request was never sent.
     """
 
     def __init__(self, reason: str = "", *, operation: str = "", target: str = "", status: int | None = None) -> None:
@@ -30,12 +30,12 @@
 
 
 class RequestError(ProtocolError):
-    """A request to this service that is not carried out: its sender gets the status and the reason."""
+    """A request to this service was rejected; the sender receives `status` and `reason`."""
 
     status = HTTPStatus.INTERNAL_SERVER_ERROR
-    """Subclasses say what is answered."""
+    """The HTTP status of the response; set by subclasses."""
 
     def __init__(self, reason: str = "", retry_after_s: float | None = None) -> None:
         super().__init__(reason)
         self.retry_after_s = retry_after_s
-        """When the sender is to try again; None if that is of no use."""
+        """Seconds after which the sender should retry; None if a retry cannot succeed."""
--- a/stileloft/protocol/messages.py
+++ b/stileloft/protocol/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the wire, checked, with the wire's names turned into the field's terms.
+"""Validated wire messages, and the mapping of their wire names to standard terms.
 
-The wire says crew, baton, stint, pieces and the like; every other module says team, token, epoch, tasks. Only this
-package translates.
+On the wire, fields have names such as crew, baton, stint and pieces; in the code they are team, token, epoch and tasks.
+Only this package uses the wire names.
 """
 
 import math
@@ -17,19 +17,19 @@
 JOB_ID = r"^j-[0-9]{1,30}$"
 MAX_TASKS = 100_000
 REQUIRED_FIELDS = ("accelerators", "snapshotS", "stashS", "together", "spread", "loaner")
-"""Fields of a submission that have a default in stored records, but that a user has to set.
+"""Fields that a submission must contain, although they have defaults for stored records.
 
-The other required fields are found missing by their types.
+The other required fields have no default, so decoding reports them as missing.
 """
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Amount = Annotated[float, Meta(ge=0)]
 PRIORITIES = {"production": 3, "urgent": 2, "standard": 1, "idle": 0}
-"""Ranks of the priorities: the higher one goes first."""
+"""Ranks of the priorities; a higher rank is scheduled first."""
 
 
 def encode(value: Any) -> bytes:
-    """A body in CBOR; messages get the wire's names."""
+    """Encodes a body as CBOR; structures are encoded under their wire names."""
     return cbor2.dumps(value, default=_encode_struct)
 
 
@@ -38,15 +38,15 @@
 
 
 def decode(data: bytes) -> Any:
-    """A body as plain maps, lists, texts and numbers; raises an error of cbor2 if it is not CBOR."""
+    """Decodes a CBOR body into plain dicts, lists, strings and numbers; raises `cbor2` errors for invalid CBOR."""
     return cbor2.loads(data)
 
 
 class JobPhase(StrEnum):
-    """A job's phase, as records and users' answers tell it."""
+    """A job's phase, as stored in records; `_WIRE_JOB_PHASES` has its names in responses to users."""
 
     QUEUED = "queued"
-    """No task runs."""
+    """No task of the job runs."""
     RUNNING = "running"
     DONE = "done"
     CANCELLED = "cancelled"
@@ -61,18 +61,18 @@
 
 
 class TaskState(StrEnum):
-    """What a worker reports of an attempt."""
+    """The state of an attempt, as its worker reports it."""
 
     FETCHING = "fetching"
-    """It waits for its image."""
+    """The worker fetches the attempt's image."""
     WAITING = "waiting"
-    """It waits for the other tasks of its gang."""
+    """The attempt waits for the other tasks of its gang."""
     RUNNING = "running"
     SAVING = "saving"
-    """It was told to stop and saves its progress."""
+    """The attempt received a stop command and saves its progress."""
     EXITED = "exited"
     UNRECOGNIZED = "unrecognized"
-    """A state that this version does not know: the attempt is on the machine, and has not exited."""
+    """A state unknown to this version; the attempt is treated as present and not exited."""
 
     @classmethod
     def _missing_(cls, value: object) -> "TaskState":
@@ -80,29 +80,29 @@
 
 
 _WIRE_TASK_STATES: dict[object, TaskState] = {"gathering": TaskState.WAITING, "flushing": TaskState.SAVING}
-"""Those whose name on the wire is another one."""
+"""States whose wire name differs from their value."""
 
 
 class ExitReason(StrEnum):
-    """Why an attempt has exited, or was refused."""
+    """The reason why an attempt exited or was refused."""
 
     DONE = "done"
-    """It has completed."""
+    """The attempt completed."""
     ERROR = "error"
-    """It has failed."""
+    """The attempt failed."""
     STOPPED = "stopped"
     PEER_LOST = "peer lost"
-    """Another task of its gang is gone."""
+    """Another task of the gang was lost."""
     GANG_INCOMPLETE = "gang not complete"
-    """The other tasks of its gang did not come in time."""
+    """The other tasks of the gang did not start in time."""
     NO_ROOM = "no room"
-    """Refused: the machine has not enough free resources."""
+    """Refused: the machine lacks free resources."""
     BUSY = "busy"
-    """Refused: another attempt at the task is on the machine."""
+    """Refused: the machine has another attempt of the task."""
     UNKNOWN_TASK = "unknown"
     """Refused: the worker cannot find the job or the task."""
     UNRECOGNIZED = "unrecognized"
-    """A reason that this version does not know."""
+    """A reason unknown to this version."""
 
     @classmethod
     def _missing_(cls, value: object) -> "ExitReason":
@@ -117,11 +117,11 @@
     "in_use": ExitReason.BUSY,
     "no_such": ExitReason.UNKNOWN_TASK,
 }
-"""Those whose name on the wire is another one."""
+"""Exit reasons whose wire name differs from their value."""
 
 
 class JobSpec(Struct, frozen=True, omit_defaults=True):
-    """A job as its user described it."""
+    """A job's specification, as its user submitted it."""
 
     id: Annotated[str, Meta(pattern=JOB_ID)] = field(name="nameId")
     job_class: Name = field(name="lane")
@@ -146,22 +146,22 @@
 
     @property
     def is_gang(self) -> bool:
-        """All its tasks run at the same time or not at all."""
+        """Whether the job's tasks run all at the same time or not at all."""
         return self.kind == "gang"
 
     @property
     def is_service(self) -> bool:
-        """Its tasks run until the job is cancelled."""
+        """Whether the job's tasks run until the job is cancelled."""
         return self.kind == "standing"
 
     @property
     def rank(self) -> int:
-        """Its priority as a number: the higher one goes first."""
+        """The rank of the job's priority; a higher rank is scheduled first."""
         return PRIORITIES[self.priority]
 
 
 def parse_job(body: Any) -> JobSpec:
-    """A user's submission, checked; raises `MalformedError`."""
+    """Returns a validated submission; raises `MalformedError`."""
     if not isinstance(body, dict):
         raise MalformedError("the body must be a map")
     for name in REQUIRED_FIELDS:
@@ -179,7 +179,7 @@
 
 
 def _is_finite(spec: JobSpec) -> bool:
-    """Whether no amount is infinite or not a number; msgspec's bounds let these through."""
+    """Returns whether all amounts are finite; msgspec's bounds accept infinity and NaN."""
     amounts = (
         spec.cpus,
         spec.gpus,
@@ -194,20 +194,20 @@
 
 
 def job_to_wire(spec: JobSpec) -> dict[str, Any]:
-    """A job's description, as it is stored and sent."""
+    """Returns a job's specification in its stored and wire form."""
     wire: dict[str, Any] = msgspec.to_builtins(spec)
     return wire
 
 
 def job_from_wire(stored: dict[str, Any]) -> JobSpec:
-    """A job's description from its stored form."""
+    """Returns a job's specification from its stored form."""
     return msgspec.convert(stored, JobSpec)
 
 
 def job_status_message(
     job: str, phase: JobPhase, done: int | None = None, running: int | None = None
 ) -> dict[str, Any]:
-    """What users are told of a job: its phase, and how many of its tasks are done and run, where that is known."""
+    """Returns a job's status for users: its phase, and the numbers of done and running tasks unless they are None."""
     message: dict[str, Any] = {"nameId": job, "phase": _WIRE_JOB_PHASES[phase]}
     if done is not None:
         message["done"] = done
@@ -217,36 +217,36 @@
 
 
 class TaskStatus(Struct):
-    """An attempt on a worker's machine."""
+    """The status of an attempt on a worker's machine."""
 
     task: str = field(name="piece")
     attempt: int = field(name="try")
     state: TaskState = field(name="phase")
     exit_reason: ExitReason | None = field(name="cause", default=None)
     saved: bool | None = field(name="kept", default=None)
-    """Whether an attempt that was stopped has saved its progress."""
+    """Whether a stopped attempt saved its progress; None if not reported."""
 
 
 class Heartbeat(Struct):
-    """A worker's state; the one with the larger (epoch, sequence) is the newer one."""
+    """A worker's state; of two heartbeats, the one with the larger (epoch, sequence) is newer."""
 
     machine: str = field(name="host")
     address: str = field(name="endpoint")
     type: str = field(name="build")
     zone: str = field(name="yard")
     epoch: int = field(name="stint")
-    """The worker's incarnation: it increases when its lease expires."""
+    """The worker's epoch, which increases when its lease expires."""
     sequence: int = field(name="tick")
     token: int = field(name="baton")
     """The highest fencing token that the worker has seen."""
     spot: bool = field(name="loaner", default=False)
     reclaim_in_s: float | None = field(name="warningS", default=None)
-    """When the cloud takes the machine away, if that is announced."""
+    """Seconds until the cloud reclaims the machine; None if no reclaim is announced."""
     tasks: list[TaskStatus] = field(name="pieces", default_factory=list)
 
 
 def parse_heartbeat(body: Any) -> Heartbeat:
-    """A worker's heartbeat, checked; raises `MalformedError`."""
+    """Returns a validated heartbeat; raises `MalformedError`."""
     try:
         return msgspec.convert(body, Heartbeat)
     except msgspec.ValidationError as error:
@@ -254,7 +254,7 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A type of machine that the cloud offers, with its prices and the zones that have it."""
+    """A machine type of the cloud, with its prices and the zones that offer it."""
 
     name: str = field(name="label")
     cpus: float = field(name="vcpus")
@@ -269,13 +269,13 @@
 
 
 class MachineState(StrEnum):
-    """What the cloud says of a machine."""
+    """The state of a machine in the cloud's list."""
 
     STARTING = "starting"
     RUNNING = "running"
     FAILED = "failed"
     UNRECOGNIZED = "unrecognized"
-    """A state that this version does not know."""
+    """A state unknown to this version."""
 
     @classmethod
     def _missing_(cls, _value: object) -> "MachineState":
--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -1,4 +1,4 @@
-"""What controllers ask each other, on the peer addresses."""
+"""Requests between controllers, on their peer addresses."""
 
 import contextlib
 from http import HTTPStatus
@@ -14,29 +14,29 @@
 SNAPSHOT_PATH = "/rebuild/snapshot/"
 CHANGE_NOTICE_PATH = "/rebuild/notes"
 SNAPSHOT_TIMEOUT_FACTOR = 5.0
-"""A piece of a replica takes longer to make and to send than a view."""
+"""A piece of a replica takes longer to build and send than a view."""
 
 
 class PeerView(Struct, omit_defaults=True):
-    """What a controller sees of the cluster, for those that doubt their own view."""
+    """A controller's view of the cluster and the store, which other controllers compare with their own."""
 
     served_ago_s: float
-    """How long ago the state service last executed one of its requests."""
+    """Seconds since the state service last executed a request of the controller."""
     machines: dict[str, tuple[int, int]]
-    """Machines that it has lately referred to the leader, with epoch and number of their newest heartbeat."""
+    """Machines recently referred to the leader, with (epoch, sequence) of their newest heartbeat."""
     member: str = ""
     reads: int = 0
-    """The newest format of the store's records that it reads; the version before gangs does not say."""
+    """The newest record format that the controller reads; 0 from the version before gangs, which does not send it."""
     protects: bool = False
-    """It protects the store's records against their loss."""
+    """Whether the controller protects the store's records against loss."""
     deployment: str = ""
-    """The identity that it knows of the store."""
+    """The store's identity as the controller knows it."""
     highest_token: int = 0
-    """The highest fencing token that it has seen."""
+    """The highest fencing token that the controller has seen."""
 
 
 class PeerClient:
-    """Requests to the other controllers; one that does not answer is passed over."""
+    """Sends requests to the other controllers; those that do not answer are skipped."""
 
     def __init__(self, client: Client, addresses: list[str], timeout_s: float) -> None:
         self._client = client
@@ -44,12 +44,12 @@
         self._timeout_s = timeout_s
 
     async def views(self) -> list[PeerView]:
-        """What those of the others that answer see."""
+        """Returns the views of all other controllers that answer."""
         pending = [defer.ensureDeferred(self._view(address)) for address in self.addresses]
         return [view for view in [await each for each in pending] if view is not None]
 
     async def snapshot_piece(self, address: str, number: int) -> bytes | None:
-        """A piece of a controller's replica of the store; None if there is no answer."""
+        """Returns a piece of a controller's replica of the store; None if no valid answer comes."""
         timeout_s = SNAPSHOT_TIMEOUT_FACTOR * self._timeout_s
         try:
             reply = await self._client.request("GET", address, f"{SNAPSHOT_PATH}{number}", None, timeout_s)
@@ -61,7 +61,7 @@
         return piece.encode() if isinstance(piece, str) else None
 
     async def send_change_notice(self, address: str, notice: Any) -> None:
-        """Tells a controller what users have just been told; whether it hears that is not checked."""
+        """Sends a notice of changes that were just confirmed to users; delivery is not checked."""
         with contextlib.suppress(TransportError):
             await self._client.request("POST", address, CHANGE_NOTICE_PATH, notice, self._timeout_s)
 
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -1,4 +1,4 @@
-"""The administration API of the feature `rebuild`: status, replicas, change notices and operators' decisions."""
+"""The administration API of the feature `rebuild`: status, replicas, change notices and operator decisions."""
 
 import re
 from typing import Any, Protocol
@@ -22,27 +22,27 @@
 
 
 class RebuildBackend(Protocol):
-    """The part of a controller that these routes need."""
+    """The controller interface behind the routes of the feature."""
 
     def snapshot_piece(self, number: int) -> bytes | None:
-        """A piece of its replica of the store; None if there is none of this number."""
+        """Returns a piece of the controller's replica of the store; None if it has no piece of this number."""
         ...
 
     def receive_change_notice(self, body: Any) -> bool:
-        """Applies another controller's change notice; whether it could be used."""
+        """Applies another controller's change notice; returns False if the notice is invalid."""
         ...
 
     def rebuild_status(self) -> dict[str, Any] | None:
-        """What is known of the store and of a rebuild; None without the feature."""
+        """Returns the state of the store and of a rebuild; None if the feature is off."""
         ...
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Stores an operator's decision about unresolved tasks; None if the job has none."""
+        """Stores an operator's decision about unresolved tasks; returns None if the job has none."""
         ...
 
 
 class MalformedDecisionError(Exception):
-    """The body of a decision does not have the right form: the text names the field."""
+    """The body of a decision is malformed; the text names the field."""
 
 
 class DecisionRequest(Struct, frozen=True):
@@ -50,11 +50,11 @@
 
     decision: str
     task: int | None
-    """None: all of the job's unresolved tasks."""
+    """The task's number; None stands for all unresolved tasks of the job."""
 
 
 def parse_decision(body: Any) -> DecisionRequest:
-    """A checked request; raises `MalformedDecisionError`."""
+    """Returns a validated decision request; raises `MalformedDecisionError`."""
     if not isinstance(body, dict) or not isinstance(body.get("decision"), str):
         raise MalformedDecisionError("decision: one of run, done and forget is required")
     task = body.get("task")
@@ -64,13 +64,13 @@
 
 
 class RebuildResources:
-    """Routes of the feature."""
+    """Routes of the feature `rebuild`."""
 
     def __init__(self, controller: RebuildBackend) -> None:
         self._controller = controller
 
     def match(self, path: str) -> tuple[dict[str, Handler], dict[str, str]] | None:
-        """The handlers of a path by method, with their arguments; None for paths of others."""
+        """Returns the handlers of a path by method, and its arguments; None for an unknown path."""
         if path == STATUS_PATH:
             return {"GET": self.status}, {}
         if path.startswith(SNAPSHOT_PATH):
@@ -82,12 +82,12 @@
         return None
 
     def status(self, _body: Any, _arguments: dict[str, str]) -> Response:
-        """What is known of the store, and of a rebuild."""
+        """Answers with the state of the store and of a rebuild."""
         status = self._controller.rebuild_status()
         return FEATURE_OFF if status is None else Response(200, status)
 
     def piece(self, _body: Any, arguments: dict[str, str]) -> Response:
-        """A piece of this controller's replica of the store, for another one that rebuilds it."""
+        """Answers with a piece of this controller's replica, for a controller that rebuilds the store."""
         number = arguments["number"]
         if not number.isdecimal() or len(number) > MAX_NUMBER_DIGITS:
             return NO_SUCH_PIECE
@@ -95,11 +95,11 @@
         return NO_SUCH_PIECE if piece is None else Response(200, {"piece": piece.decode()})
 
     def receive_change_notice(self, body: Any, _arguments: dict[str, str]) -> Response:
-        """Applies another controller's notice of what it has just told its users."""
+        """Applies another controller's notice of changes that it just confirmed to users."""
         return Response(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
 
     async def decide(self, body: Any, arguments: dict[str, str]) -> Response:
-        """Stores an operator's decision about tasks of which a rebuild could not tell whether they completed."""
+        """Stores an operator's decision about tasks that a rebuild left unresolved, complete or not."""
         job = arguments["job"]
         try:
             request = parse_decision(body)
--- a/stileloft/protocol/state.py
+++ b/stileloft/protocol/state.py
@@ -1,4 +1,4 @@
-"""The client of the state service: what was executed, what was not, and what is unknown."""
+"""The client of the state service; its errors tell whether a request was executed."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -9,27 +9,27 @@
 from stileloft.transport.clock import Clock
 
 PAGE_SIZE = 1000
-"""Items that the service gives in one reply."""
+"""Maximum number of items that the service returns in one reply."""
 
 
 class Item(NamedTuple):
-    """A key with its value and version, as a scan or a watch tells it."""
+    """A key with its value and version, as returned by a scan or a watch."""
 
     key: str
     value: Any
-    """None: the key was deleted."""
+    """The key's value; None if the key was deleted."""
     version: int
 
 
 class VersionedValue(NamedTuple):
-    """The value of a key, and the store's revision when it was written."""
+    """A key's value, and the store's revision at which it was written."""
 
     value: Any
     version: int
 
 
 class LeasedValue(NamedTuple):
-    """The value of a key, its version, and the lease that it is attached to, if any."""
+    """A key's value and version, and the lease that the key is attached to, or None."""
 
     value: Any
     version: int
@@ -37,31 +37,31 @@
 
 
 class StateServiceError(RemoteError):
-    """A request to the state service was not executed, or nobody knows whether it was."""
+    """A request to the state service was not executed, or its outcome is unknown."""
 
 
 class UnavailableError(StateServiceError):
-    """The request was not executed (503, 429, no connection, or our own budget is spent)."""
+    """The request was not executed: status 503 or 429, an unexpected status, or no connection."""
 
 
 class ThrottledError(UnavailableError):
-    """The request was not executed, as there were too many (429): repeating it soon makes that worse."""
+    """The request was throttled (status 429); an immediate retry would add to the load."""
 
 
 class TooLargeError(UnavailableError):
-    """A value or a transaction is beyond the service's limits: it will never be executed as it is."""
+    """A value or transaction exceeds the service's limits; a retry without changes cannot succeed."""
 
 
 class StoreLostError(UnavailableError):
-    """The store is not the one that is known: it has lost records, and what it says can't be believed."""
+    """The store has lost records or was replaced by another one; its replies cannot be trusted."""
 
 
 class UnknownOutcomeError(StateServiceError):
-    """The request may have been executed, or may still be."""
+    """The request may have been executed, or may still be executed later."""
 
 
 class ConflictError(StateServiceError):
-    """Guards failed, so nothing was written; `failed` are their keys."""
+    """The guards of the keys in `failed` did not hold, so nothing was written."""
 
     def __init__(self, failed: list[str], *, operation: str = "", target: str = "", status: int | None = None) -> None:
         super().__init__(", ".join(failed), operation=operation, target=target, status=status)
@@ -73,11 +73,11 @@
 
 
 class CompactedError(StateServiceError):
-    """The watch's revision is too old; the keys have to be read again."""
+    """The watch's revision has been compacted; the keys must be read again."""
 
 
-class _Context(TypedDict):
-    """What `RemoteError` knows of a request."""
+class _ErrorFields(TypedDict):
+    """The keyword arguments of `RemoteError`, which describe a request."""
 
     operation: str
     target: str
@@ -85,10 +85,10 @@
 
 
 class StateClient:
-    """Requests to the store; each ends in a value or a `StateServiceError`.
+    """Sends requests to the state service; each returns a value or raises a `StateServiceError`.
 
-    Any of them may raise `UnavailableError` (and its subclasses `ThrottledError` and `StoreLostError`) or
-    `UnknownOutcomeError`; a method's comment names the others.
+    All methods may raise `UnavailableError` (including its subclasses `ThrottledError` and `StoreLostError`) and
+    `UnknownOutcomeError`; their docstrings name only further errors.
     """
 
     def __init__(self, clock: Clock, client: Client, address: str, timeout_s: float) -> None:
@@ -97,25 +97,26 @@
         self._address = address
         self._timeout_s = timeout_s
         self.served_at = float("-inf")
-        """When the service last executed a request of ours."""
+        """Clock reading at the service's last reply with a status other than 429 or 503."""
         self.revision = 0
-        """Of the store, when a key was last found to be missing."""
+        """The store's revision when `get` last found a key missing."""
         self.highest_revision = 0
-        """The highest that was seen, while a store that goes back is watched for."""
+        """The highest revision in a reply so far; updated only while `on_revision_regression` is set."""
         self._resets = 0
-        """How often revisions were forgotten."""
+        """How many times `reset_revisions` was called."""
         self.on_revision_regression: Callable[[int, int], None] | None = None
-        """Called when the store answers with a lower revision than it had when it was asked: both are given."""
+        """Called with the known and the received revision when a reply's revision is lower than one known before."""
 
     def reset_revisions(self) -> None:
-        """The store begins again where it is now: requests still under way were made to another one."""
+        """Forgets the highest revision after the store was lost; replies to requests in flight are then rejected."""
         self.highest_revision = 0
         self._resets += 1
 
     async def lookup(self, key: str) -> VersionedValue | None:
-        """Value and version of a key; with the store's revision checked, if that is watched.
+        """Returns a key's value and version, or None if it does not exist.
 
-        The reply about a single key does not tell the revision, that about a range of keys does.
+        While `on_revision_regression` is set, the key is read as a range, since only replies about ranges contain the
+        store's revision, which is then checked.
         """
         if self.on_revision_regression is not None:
             return (await self.lookup_at(key))[0]
@@ -123,19 +124,19 @@
         return None if found is None else VersionedValue(found.value, found.version)
 
     async def lookup_at(self, key: str) -> tuple[VersionedValue | None, int]:
-        """Value and version of a key, or None, and the store's revision at that moment."""
+        """Returns a key's value and version, or None if it does not exist, and the store's revision."""
         items, revision = await self.first_items(key, 1)
         if not items or items[0].key != key:
             return None, revision
         return VersionedValue(items[0].value, items[0].version), revision
 
     async def first_items(self, prefix: str, limit: int) -> tuple[list[Item], int]:
-        """The first items under a prefix, and the revision."""
+        """Returns the first items under a prefix, and the store's revision."""
         reply = await self._request("GET", f"/kv?under={prefix}&limit={limit}", expected=(HTTPStatus.OK,))
         return _items(reply), reply.body["epoch"]
 
     async def get(self, key: str) -> LeasedValue | None:
-        """Value, version and lease of a key, or None if it does not exist."""
+        """Returns a key's value, version and lease, or None if it does not exist."""
         reply = await self._request("GET", f"/kv/{key}", expected=(HTTPStatus.OK, HTTPStatus.NOT_FOUND))
         if reply.status == HTTPStatus.NOT_FOUND:
             self.revision = (reply.body or {}).get("epoch", self.revision)
@@ -143,7 +144,7 @@
         return LeasedValue(reply.body["v"], reply.body["stamp"], reply.body.get("hold"))
 
     async def scan(self, prefix: str, limit: int = PAGE_SIZE) -> tuple[list[Item], int]:
-        """All items under a prefix, and the revision of the first page."""
+        """Returns all items under a prefix, and the revision of the first page."""
         items: list[Item] = []
         revision: int | None = None
         after = ""
@@ -151,7 +152,7 @@
             since = f"&since={after}" if after else ""
             reply = await self._request("GET", f"/kv?under={prefix}{since}&limit={limit}", expected=(HTTPStatus.OK,))
             if revision is None:
-                # Changes during later pages are seen again by a watch from here.
+                # A watch from the first page's revision repeats the changes made while later pages are read.
                 revision = reply.body["epoch"]
             page = _items(reply)
             items.extend(page)
@@ -162,9 +163,10 @@
     async def commit(
         self, guards: dict[str, int], puts: dict[str, Any], deletes: list[str], lease: int | None = None
     ) -> int:
-        """One transaction; `guards` are the versions that keys must have, and `lease` is attached to the puts.
+        """Executes a transaction and returns its revision.
 
-        Returns the revision. Raises `ConflictError`, `LeaseExpiredError` or `TooLargeError` if nothing was written.
+        `guards` are the versions that keys must have; the keys put are attached to `lease`, if given. Raises
+        `ConflictError`, `LeaseExpiredError` or `TooLargeError`; in these cases nothing was written.
         """
         attached = {} if lease is None else {"hold": lease}
         writes: list[dict[str, Any]] = [{"set": key, "v": value, **attached} for key, value in puts.items()]
@@ -176,42 +178,42 @@
             return int(reply.body["epoch"])
         if reply.status == HTTPStatus.CONFLICT:
             failed = list(reply.body.get("failed", []))
-            raise ConflictError(failed, **self._context(method, path, reply.status))
+            raise ConflictError(failed, **self._error_fields(method, path, reply.status))
         reason = f"status {reply.status}: {reply.body}"
         if reply.status == HTTPStatus.BAD_REQUEST and lease is not None:
-            raise LeaseExpiredError(reason, **self._context(method, path, reply.status))
+            raise LeaseExpiredError(reason, **self._error_fields(method, path, reply.status))
         if reply.status in (HTTPStatus.BAD_REQUEST, HTTPStatus.REQUEST_ENTITY_TOO_LARGE):
-            raise TooLargeError(reason, **self._context(method, path, reply.status))
-        raise UnavailableError(reason, **self._context(method, path, reply.status))
+            raise TooLargeError(reason, **self._error_fields(method, path, reply.status))
+        raise UnavailableError(reason, **self._error_fields(method, path, reply.status))
 
     async def grant_lease(self, life_s: float) -> int:
-        """A new lease, which expires after so many seconds unless it is renewed."""
+        """Returns a new lease, which expires after `life_s` unless it is renewed."""
         body = {"lifeMs": int(life_s * 1000)}
         reply = await self._request("POST", "/holds", body, life_s / 2, expected=(HTTPStatus.OK,))
         return int(reply.body["hold"])
 
     async def renew_lease(self, lease: int, timeout_s: float) -> None:
-        """Has a lease run its full time again; raises `LeaseExpiredError`."""
+        """Renews a lease for its full lifetime; raises `LeaseExpiredError`."""
         method, path = "POST", f"/holds/{lease}/extend"
         reply = await self._request(method, path, {}, timeout_s, expected=(HTTPStatus.OK, HTTPStatus.NOT_FOUND))
         if reply.status == HTTPStatus.NOT_FOUND:
-            raise LeaseExpiredError("the lease has ended", **self._context(method, path, reply.status))
+            raise LeaseExpiredError("the lease has ended", **self._error_fields(method, path, reply.status))
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends a lease, and deletes the keys that are attached to it."""
+        """Revokes a lease, which deletes the keys that are attached to it."""
         await self._request("DELETE", f"/holds/{lease}")
 
     async def watch(self, prefix: str, revision: int, wait_s: float) -> tuple[int, list[Item]]:
-        """Waits for changes under a prefix after a revision: the newest one's revision, and the changes.
+        """Waits for changes under a prefix after a revision; returns the newest revision and the changes.
 
-        There are none if nothing has changed within `wait_s`. Raises `CompactedError`.
+        The list is empty if nothing changed within `wait_s`. Raises `CompactedError`.
         """
         method, path = "GET", f"/watch?under={prefix}&since={revision}&blockMs={int(wait_s * 1000)}"
         expected = (HTTPStatus.OK, HTTPStatus.GONE)
         reply = await self._request(method, path, timeout_s=wait_s + self._timeout_s, expected=expected)
         if reply.status == HTTPStatus.GONE:
-            raise CompactedError(f"revision {revision} is too old", **self._context(method, path, reply.status))
-        return reply.body["epoch"], [_change(event) for event in reply.body["news"]]
+            raise CompactedError(f"revision {revision} is too old", **self._error_fields(method, path, reply.status))
+        return reply.body["epoch"], [_changed_item(event) for event in reply.body["news"]]
 
     async def _request(
         self,
@@ -221,50 +223,50 @@
         timeout_s: float | None = None,
         expected: tuple[HTTPStatus, ...] | None = None,
     ) -> Reply:
-        """A reply with one of the expected statuses; with any status if none are named."""
-        known, resets = self.highest_revision, self._resets
+        """Returns a reply with one of the expected statuses; with any status but 429 and 503 if `expected` is None."""
+        known_revision, resets = self.highest_revision, self._resets
         try:
             reply = await self._client.request(method, self._address, path, body, timeout_s or self._timeout_s)
         except ConnectionFailedError as error:
-            raise UnavailableError(f"no connection: {error}", **self._context(method, path)) from None
+            raise UnavailableError(f"no connection: {error}", **self._error_fields(method, path)) from None
         except NoResponseError as error:
-            raise UnknownOutcomeError(str(error), **self._context(method, path)) from None
+            raise UnknownOutcomeError(str(error), **self._error_fields(method, path)) from None
         if reply.status == HTTPStatus.TOO_MANY_REQUESTS:
-            raise ThrottledError("status 429", **self._context(method, path, reply.status))
+            raise ThrottledError("status 429", **self._error_fields(method, path, reply.status))
         if reply.status == HTTPStatus.SERVICE_UNAVAILABLE:
-            raise UnavailableError("status 503", **self._context(method, path, reply.status))
+            raise UnavailableError("status 503", **self._error_fields(method, path, reply.status))
         self.served_at = self._clock.seconds()
         if self.on_revision_regression is not None and isinstance(reply.body, dict) and "epoch" in reply.body:
             if resets != self._resets:
                 raise StoreLostError("it was asked before the store was found to be lost")
-            self._check_revision(known, reply.body["epoch"])
+            self._check_revision(known_revision, reply.body["epoch"])
         if expected is not None and reply.status not in expected:
-            raise UnavailableError(f"status {reply.status}", **self._context(method, path, reply.status))
+            raise UnavailableError(f"status {reply.status}", **self._error_fields(method, path, reply.status))
         return reply
 
-    def _context(self, method: str, path: str, status: int | None = None) -> _Context:
-        """The fields of an error in a request."""
+    def _error_fields(self, method: str, path: str, status: int | None = None) -> _ErrorFields:
+        """Returns the keyword arguments of an error in a request."""
         return {"operation": f"{method} {path}", "target": self._address, "status": status}
 
-    def _check_revision(self, known: int, revision: int) -> None:
-        """Raises `StoreLostError` if a reply's revision is older than one that was known when it was asked for.
+    def _check_revision(self, known_revision: int, revision: int) -> None:
+        """Raises `StoreLostError` if a reply's revision is lower than the highest known when its request was sent.
 
-        A consistent store never answers so.
+        A linearizable store never returns such a revision.
         """
-        if revision < known:
+        if revision < known_revision:
             if self.on_revision_regression is not None:
-                self.on_revision_regression(known, revision)
-            raise StoreLostError(f"the store has gone back from revision {known} to {revision}")
+                self.on_revision_regression(known_revision, revision)
+            raise StoreLostError(f"the store has gone back from revision {known_revision} to {revision}")
         self.highest_revision = max(self.highest_revision, revision)
 
 
 def _items(reply: Reply) -> list[Item]:
-    """The items of a page."""
+    """Returns the items of a page."""
     return [Item(item["path"], item["v"], item["stamp"]) for item in reply.body["pairs"]]
 
 
-def _change(event: dict[str, Any]) -> Item:
-    """A change that a watch tells."""
+def _changed_item(event: dict[str, Any]) -> Item:
+    """Returns the item of a watch event."""
     if "set" in event:
         return Item(event["set"], event["v"], event["stamp"])
     return Item(event["delete"], None, event["stamp"])
--- a/stileloft/protocol/users.py
+++ b/stileloft/protocol/users.py
@@ -1,4 +1,4 @@
-"""The resources of users, workers and health checks on the public address."""
+"""Routes of the public address: for users, workers and health checks."""
 
 import logging
 import re
@@ -17,21 +17,21 @@
 JOBS_PATH = "/v2/runs"
 JOB_PATH = re.compile(rf"^{JOBS_PATH}/([^/]+)$")
 CANCEL_PATH = re.compile(rf"^{JOBS_PATH}/([^/]+)/cancel$")
-VALID_ID = re.compile(JOB_ID)
+JOB_ID_PATTERN = re.compile(JOB_ID)
 NOT_READY_RETRY_S = 1.0
 
 
 class JobService(Protocol):
-    """What users ask for; each method may raise a `RequestError`, which its user is told."""
+    """The operations behind users' requests; each may raise a `RequestError`, whose status and reason the user gets."""
 
     async def submit(self, spec: JobSpec) -> tuple[bool, dict[str, Any]]:
-        """Accepts a job: whether it is new, and its status."""
+        """Accepts a job; returns whether it is new, and its status."""
 
     async def status(self, job: str) -> dict[str, Any] | None:
-        """A job's status; None for a job that was never accepted."""
+        """Returns a job's status; None for a job that was never accepted."""
 
     async def cancel(self, job: str) -> dict[str, Any] | None:
-        """Cancels a job: its final status, or None for a job that was never accepted."""
+        """Cancels a job; returns its final status, or None for a job that was never accepted."""
 
 
 class PublicResources:
@@ -50,20 +50,20 @@
         }
 
     def match(self, path: str) -> Route | None:
-        """The handlers of a path, by method, and its arguments."""
+        """Returns the handlers of a path by method, and its arguments; None for an unknown path."""
         handlers = self._fixed_routes.get(path)
         if handlers is not None:
             return handlers, {}
-        found = JOB_PATH.match(path)
-        if found:
-            return {"GET": self.status}, {"job": found.group(1)}
-        found = CANCEL_PATH.match(path)
-        if found:
-            return {"POST": self.cancel}, {"job": found.group(1)}
+        match = JOB_PATH.match(path)
+        if match:
+            return {"GET": self.status}, {"job": match.group(1)}
+        match = CANCEL_PATH.match(path)
+        if match:
+            return {"POST": self.cancel}, {"job": match.group(1)}
         return None
 
     def heartbeat(self, body: Any, _arguments: Arguments) -> Response:
-        """Takes in a worker's heartbeat."""
+        """Processes a worker's heartbeat."""
         try:
             heartbeat = parse_heartbeat(body)
         except MalformedError as error:
@@ -71,13 +71,13 @@
         return self._on_heartbeat(heartbeat)
 
     def health(self, _body: Any, _arguments: Arguments) -> Response:
-        """Tells a load balancer whether users may be sent here."""
+        """Tells a load balancer whether this controller can serve users."""
         if self._is_healthy():
             return Response(HTTPStatus.OK, {"ok": True})
         return retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", NOT_READY_RETRY_S)
 
     def submit(self, body: Any, _arguments: Arguments) -> Response | Awaitable[Response]:
-        """Accepts a job; a repeated submission is answered with the job's status."""
+        """Accepts a job; a repeated submission gets the job's status."""
         try:
             spec = parse_job(body)
         except MalformedError as error:
@@ -87,36 +87,41 @@
             is_new, status = await self._service.submit(spec)
             return Response(HTTPStatus.CREATED if is_new else HTTPStatus.OK, status)
 
-        return self._with_errors_told(answer())
+        return self._with_error_responses(answer())
 
     def status(self, _body: Any, arguments: Arguments) -> Response | Awaitable[Response]:
-        """Tells a job's status."""
-        return self._answer_about(arguments["job"], self._service.status)
+        """Answers with a job's status."""
+        return self._respond_for_job(arguments["job"], self._service.status)
 
     def cancel(self, _body: Any, arguments: Arguments) -> Response | Awaitable[Response]:
-        """Cancels a job, unless it has ended."""
-        return self._answer_about(arguments["job"], self._service.cancel)
+        """Cancels a job; a job that has ended keeps its final status."""
+        return self._respond_for_job(arguments["job"], self._service.cancel)
 
-    def _answer_about(
+    def _respond_for_job(
         self, job: str, request: Callable[[str], Awaitable[dict[str, Any] | None]]
     ) -> Response | Awaitable[Response]:
         no_such_job = Response(HTTPStatus.NOT_FOUND, {"error": "no such job"})
-        if not VALID_ID.match(job):
-            return no_such_job  # no job of such a name can have been accepted
+        if not JOB_ID_PATTERN.match(job):
+            return no_such_job  # submissions with such an id are rejected
 
         async def answer() -> Response:
             status = await request(job)
             return no_such_job if status is None else Response(HTTPStatus.OK, status)
 
-        return self._with_errors_told(answer())
+        return self._with_error_responses(answer())
 
     @staticmethod
-    async def _with_errors_told(pending: Awaitable[Response]) -> Response:
-        """The answer, or what the error that comes instead says to its user."""
+    async def _with_error_responses(pending: Awaitable[Response]) -> Response:
+        """Returns the pending response, or an error response if a `RequestError` is raised."""
         try:
             return await pending
         except RequestError as error:
             if error.retry_after_s is None:
                 return Response(error.status, {"error": error.reason})
-            log.debug("user told to retry reason=%s", error.reason)
+            log.debug(
+                "request deferred status=%d retry_after_s=%.1f reason=%s",
+                error.status,
+                error.retry_after_s,
+                error.reason,
+            )
             return retry_later(error.status, error.reason, error.retry_after_s)
--- a/stileloft/protocol/workers.py
+++ b/stileloft/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Requests to workers."""
+"""The client that sends commands to workers."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -16,27 +16,27 @@
 
 
 class DeliveryError(RemoteError):
-    """Commands of which no worker has said whether it executed them."""
+    """No worker confirmed whether it executed the commands."""
 
 
 class NotDeliveredError(DeliveryError):
-    """The commands were certainly not executed."""
+    """The commands were not executed and never will be."""
 
 
 class UncertainDeliveryError(DeliveryError):
-    """The commands may have been executed, or may be later."""
+    """The commands may have been executed, or may still be executed later."""
 
 
 class CommandResult(NamedTuple):
     """A worker's answer to commands."""
 
     executed: bool
-    """False if the worker dropped them, since it knows a higher token or is in another epoch."""
+    """Whether the worker executed the commands; False if it has seen a higher token or is in another epoch."""
     heartbeat: Heartbeat
 
 
 class WorkerClient:
-    """Sends commands to workers."""
+    """Sends commands to workers; each call is one request."""
 
     def __init__(self, client: Client, timeout_s: float) -> None:
         self._client = client
@@ -45,9 +45,10 @@
     async def command(
         self, address: str, token: int, epoch: int, commands: list[Command], is_wanted: Callable[[], bool]
     ) -> CommandResult:
-        """Has a worker execute commands; raises `NotDeliveredError` or `UncertainDeliveryError`.
+        """Sends commands to a worker; raises `NotDeliveredError` or `UncertainDeliveryError`.
 
-        `is_wanted` is asked just before they go out; if they are not wanted any more, they are not delivered.
+        `is_wanted` is called just before the commands are sent; if it returns False, they are not sent and
+        `NotDeliveredError` is raised.
         """
         body = msgspec.to_builtins(CommandMessage(token, commands, epoch))
         try:
@@ -58,11 +59,17 @@
             raise UncertainDeliveryError(str(error), operation=COMMANDS_OPERATION, target=address) from None
         if reply.status not in (HTTPStatus.OK, HTTPStatus.CONFLICT):
             raise NotDeliveredError(
-                f"status {reply.status}", operation=COMMANDS_OPERATION, target=address, status=reply.status
+                f"worker answered status {reply.status}, expected 200 or 409",
+                operation=COMMANDS_OPERATION,
+                target=address,
+                status=reply.status,
             )
         try:
             return CommandResult(reply.status == HTTPStatus.OK, parse_heartbeat(reply.body))
         except MalformedError as error:
             raise UncertainDeliveryError(
-                f"unreadable heartbeat: {error}", operation=COMMANDS_OPERATION, target=address, status=reply.status
+                f"heartbeat in the worker's response with status {reply.status} is invalid: {error}",
+                operation=COMMANDS_OPERATION,
+                target=address,
+                status=reply.status,
             ) from None
