--- a/stileloft/transport/__init__.py
+++ b/stileloft/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over TCP: the server, the pooled client, limits and timeouts."""
+"""HTTP server and pooled HTTP client, with clocks, timers, retries and rate limits."""
--- a/stileloft/transport/client.py
+++ b/stileloft/transport/client.py
@@ -1,4 +1,4 @@
-"""A pooled HTTP client whose errors tell whether a request may have been executed."""
+"""A pooled HTTP client whose errors distinguish requests that were not executed from those that may have been."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class TransportError(Exception):
-    """A request without a usable reply: `reason` says why, `target` is the address that was asked, if it is known."""
+    """A request got no usable reply; `reason` says why, `target` is the server's address or empty."""
 
     def __init__(self, reason: str, target: str = "") -> None:
         super().__init__(reason)
@@ -26,20 +26,20 @@
 
 
 class ConnectionFailedError(TransportError):
-    """The request was certainly not executed: no connection was made, or its body was not sent."""
+    """The request was not executed: no connection was established, or the body was not sent."""
 
 
 class NoResponseError(TransportError):
-    """No usable reply came: the request may have been executed, or may be later."""
+    """No usable reply came; the request may have been executed, or may still be executed later."""
 
 
 class _RequestWithdrawnError(Exception):
-    """The caller does not want the request any more."""
+    """The caller withdrew the request before its body was sent."""
 
 
 @implementer(IBodyProducer)
 class _RequestBody:
-    """A request's body; `is_wanted` is asked once the connection is made, just before the body is sent."""
+    """A request's body; `is_wanted` is called once the connection is established, just before the body is sent."""
 
     def __init__(self, data: bytes, is_wanted: Callable[[], bool]) -> None:
         self.data = data
@@ -48,7 +48,7 @@
         self.withdrawn = False
 
     def startProducing(self, consumer: Any) -> defer.Deferred[None]:
-        """Writes the body, or fails the request if it was withdrawn."""
+        """Writes the body, or fails the request if it is no longer wanted."""
         if not self._is_wanted():
             self.withdrawn = True
             return defer.fail(_RequestWithdrawnError())
@@ -67,28 +67,28 @@
 
 @implementer(IAgentEndpointFactory)
 class _NumericEndpoints:
-    """Connects by IP address: all hosts are named so, and Twisted's name lookup costs half of a request."""
+    """Connects by IP address, without Twisted's name lookup, which takes half the time of a request."""
 
     def __init__(self, reactor: Any, connect_timeout_s: float) -> None:
         self._reactor = reactor
         self._connect_timeout_s = connect_timeout_s
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
-        """The endpoint of a URL whose host is an IP address."""
+        """Returns the endpoint of a URL whose host is an IP address."""
         return TCP4ClientEndpoint(self._reactor, uri.host.decode(), uri.port, timeout=self._connect_timeout_s)
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a server answered to a request."""
+    """A server's reply to a request."""
 
     status: int
     body: Any
-    """Decoded; None if there is none."""
+    """The decoded body; None if the reply has no body."""
 
 
 class Client:
-    """Requests with bodies in one encoding, over persistent connections.
+    """Sends requests over persistent connections, with bodies in one encoding.
 
     `content_type` is the type of all bodies. The pool holds at most `max_idle_per_host` idle connections per host, each
     for at most `idle_s`. `keep_alive` is called before each request; if it returns False, the connection is closed
@@ -114,7 +114,7 @@
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = max_idle_per_host
         pool.cachedConnectionTimeout = round(idle_s)
-        # Only the caller knows whether its request is idempotent.
+        # Retries are left to the caller, who knows whether the request is idempotent.
         pool.retryAutomatically = False
         self._pool = pool
         self._keep_alive = keep_alive
@@ -131,9 +131,9 @@
     ) -> Reply:
         """Sends a request and waits for its reply; raises `ConnectionFailedError` or `NoResponseError`.
 
-        Connecting may take a while, or for as long as the process stands still. `is_wanted` is asked after that, and
-        says whether a body that was right when the request was made is still to be sent. `timeout_s` limits the time
-        until the reply's head, and again the time until the end of its body.
+        `is_wanted` is called once the connection is established, which may take long if the process is suspended; if it
+        returns False, the body is outdated and is not sent. `timeout_s` applies to the wait for the reply's headers
+        and again to the wait for the end of its body.
         """
         response = await self._send(method, address, path, body, timeout_s, is_wanted)
         try:
@@ -150,11 +150,11 @@
     async def _send(
         self, method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Callable[[], bool]
     ) -> Any:
-        """Sends a request and waits for the head of its reply."""
+        """Sends a request and waits for the headers of its reply."""
         url = f"http://{address}{path}".encode()
         producer = _RequestBody(self._encode(body), is_wanted) if body is not None else None
         headers = self._headers_with_body if producer is not None else self._headers
-        # A connection that is not kept is closed with its reply.
+        # A connection that is not kept alive is closed after its reply.
         self._pool.persistent = self._keep_alive()
         try:
             return await self._within(timeout_s, self._agent.request(method.encode(), url, headers, producer))
@@ -162,11 +162,11 @@
             raise ConnectionFailedError(str(failure), address) from None
         except Exception as failure:
             if producer is not None and producer.withdrawn:
-                raise ConnectionFailedError("withdrawn before it was sent", address) from None
+                raise ConnectionFailedError("request withdrawn before its body was sent", address) from None
             raise NoResponseError(repr(failure), address) from None
 
     async def _within(self, timeout_s: float, pending: "defer.Deferred[Result]") -> Result:
-        """The result of an operation, which is cancelled after so many seconds."""
+        """Returns the result of an operation, which is cancelled after `timeout_s`."""
         timer = self._clock.callLater(timeout_s, pending.cancel)
         try:
             return await pending
--- a/stileloft/transport/clock.py
+++ b/stileloft/transport/clock.py
@@ -1,31 +1,31 @@
-"""The monotonic clock and its timers, as every module sees them; tests use a simulated one."""
+"""Interfaces of the monotonic clock and its timers; tests use a simulated clock."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
 MAX_CLOCK_DRIFT = 0.0005
-"""Steady clocks of different machines drift apart by up to this part."""
+"""Maximum relative drift between the monotonic clocks of two machines."""
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Whether the call is still to be made: neither made nor cancelled."""
+        """Returns whether the call is pending: neither made nor cancelled."""
 
     def cancel(self) -> None:
-        """Withdraws the call; an error if the timer is not active any more."""
+        """Cancels the call; raises an error if the timer is no longer active."""
 
 
 class Clock(Protocol):
-    """The part of Twisted's reactor that tells the time and sets timers."""
+    """The subset of Twisted's reactor interface that reads the time and schedules calls."""
 
     def seconds(self) -> float:
-        """The current reading, in seconds; only differences between readings mean anything."""
+        """Returns the current reading in seconds; only differences between readings are meaningful."""
 
     def callLater(self, delay: float, callable: Callable[..., Any], *args: Any) -> Timer:
-        """Has a function called after so many seconds."""
+        """Schedules a call of `callable` after `delay` seconds."""
 
 
 WallClock = Callable[[], float]
-"""The time of day, in seconds since the epoch; it may be set back."""
+"""Returns the wall-clock time in seconds since the Unix epoch; it may be set back."""
--- a/stileloft/transport/retry.py
+++ b/stileloft/transport/retry.py
@@ -1,4 +1,4 @@
-"""Background loops: a step is repeated, and a failure pauses the loop instead of ending it."""
+"""Background loops that continue after a failed step, with a pause."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How a loop goes on after a step that failed."""
+    """How a loop continues after a failed step."""
 
     expected_errors: tuple[type[Exception], ...]
-    """Errors of a dependency that is down or overloaded; they are logged in a line."""
+    """Errors of a dependency that is down or overloaded; logged in one line, without a traceback."""
     retry_s: float
-    """Pause after an expected error, in seconds."""
+    """Pause in seconds after an expected error."""
     unexpected_retry_s: float
-    """Pause after any other error, which is logged with its traceback, in seconds."""
+    """Pause in seconds after any other error, which is logged with its traceback."""
     level: int = logging.DEBUG
     """Level at which expected errors are logged."""
 
@@ -31,16 +31,16 @@
     clock: Clock,
     is_active: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Awaits `step` again and again while `is_active()`; the step itself pauses between its successes.
+    """Awaits `step` repeatedly while `is_active()`; pauses after a successful step are up to the step itself.
 
-    No error of a step is raised; it is logged under the loop's name.
+    Errors of a step are logged with the loop's name and not raised.
     """
     while is_active():
         try:
             await step()
         except policy.expected_errors as error:
-            log.log(policy.level, "%s failed, retrying in %.2f s: %s", name, policy.retry_s, error)
+            log.log(policy.level, "loop step failed loop=%r retry_s=%.2f error=%s", name, policy.retry_s, error)
             await sleep(clock, policy.retry_s)
         except Exception:
-            log.exception("%s failed", name)
+            log.exception("loop step failed loop=%r retry_s=%.2f", name, policy.unexpected_retry_s)
             await sleep(clock, policy.unexpected_retry_s)
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: routes, the limit on bodies, responses, and one place for unexpected errors."""
+"""The HTTP server: routing, the limit on request bodies, responses, and the handling of unexpected errors."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -12,14 +12,14 @@
 log = logging.getLogger(__name__)
 
 BODY_LIMIT = 64 * 1024
-"""Bytes of a request's body, as the protocol limits it."""
+"""The protocol's limit on a request's body, in bytes."""
 METHODS_WITH_BODY = ("POST", "PUT")
 INTERNAL_ERROR_RETRY_S = 1.0
 
 
 @dataclass(slots=True)
 class Response:
-    """What a handler returns: the response's status, its body before it is encoded, and additional headers."""
+    """A handler's response: status, body before encoding, and additional headers."""
 
     status: int
     body: Any = None
@@ -29,36 +29,36 @@
 Arguments = dict[str, str]
 """The variable parts of a request's path, by name."""
 Handler = Callable[[Any, Arguments], "Awaitable[Response] | Response"]
-"""Takes a request's decoded body, None if it has none, and its arguments."""
+"""Handles a request; the parameters are the decoded body, or None, and the path's arguments."""
 Route = tuple[dict[str, Handler], Arguments]
-"""A path's handlers by method, and the arguments that the path holds."""
+"""A path's handlers by method, and the arguments in the path."""
 
 
 def retry_later(status: int, reason: str, after_s: float) -> Response:
-    """An error that tells when to come back, in whole seconds as the header requires."""
+    """Returns an error response with a Retry-After header, whose value must be whole seconds; at least 1."""
     return Response(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
 class LimitedRequest(server.Request):
-    """A request whose body is refused as soon as it is known to be too large."""
+    """A request that is rejected as soon as its body is known to exceed the limit."""
 
     received = 0
 
     def gotLength(self, length: int | None) -> None:
-        """Refuses a body whose announced length is beyond the limit."""
+        """Rejects a body whose Content-Length exceeds the limit."""
         super().gotLength(length)
         if length is not None and length > BODY_LIMIT:
-            self._refuse()
+            self._reject()
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Takes in a part of the body, whose length need not have been announced."""
+        """Receives a chunk of the body; a chunked body has no Content-Length, so received bytes are counted."""
         self.received += len(data)
         if self.received > BODY_LIMIT:
-            self._refuse()
+            self._reject()
         else:
             super().handleContentChunk(data)
 
-    def _refuse(self) -> None:
+    def _reject(self) -> None:
         channel: Any = self.channel
         if channel is None or channel.transport is None:
             return
@@ -69,7 +69,7 @@
 
 
 class Router(resource.Resource):
-    """Finds the handler for a request; handlers see decoded bodies only.
+    """Dispatches requests to handlers, which receive decoded bodies.
 
     `match` returns the route of a path, or None for an unknown path. `content_type` is the type of all bodies.
     `keep_alive` returns whether the connection is kept open after a response to the path.
@@ -93,7 +93,7 @@
         self._keep_alive = keep_alive
 
     def render(self, request: server.Request) -> int:
-        """Has a request answered, now or later."""
+        """Dispatches a request; the response is sent now or later."""
         route = self._match(_path_of(request))
         if route is None:
             self._send(request, Response(HTTPStatus.NOT_FOUND, {"error": "no such path"}))
@@ -125,13 +125,13 @@
             self._send_later(request, result)
 
     def _read_body(self, request: server.Request) -> Any:
-        """The decoded body; None if it is empty, since some requests have nothing to say but their path."""
+        """Returns the decoded body; None if it is empty, as in requests that consist of a path only."""
         content: Any = request.content
         data = content.read()
         return self._decode(data) if data else None
 
     def _send_later(self, request: server.Request, pending: Awaitable[Response]) -> None:
-        """Sends the answer once there is one, unless the connection has been closed by then."""
+        """Sends the response when it is ready, unless the connection has been closed before."""
         disconnected: list[Any] = []
         request.notifyFinish().addErrback(disconnected.append)
 
@@ -148,7 +148,7 @@
         defer.ensureDeferred(send())
 
     def _send_internal_error(self, request: server.Request) -> None:
-        """Logs the error that is being handled, and has the caller come back."""
+        """Logs the current exception, and answers with status 503 and a Retry-After header."""
         log.exception("request failed method=%s path=%s", request.method, request.path)
         self._send(request, retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "internal error", INTERNAL_ERROR_RETRY_S))
 
@@ -173,10 +173,10 @@
 
 
 def make_site(router: Router, idle_s: float) -> server.Site:
-    """The server of a router's paths; connections that are idle for so many seconds are closed."""
-    # Bodies are never forms; looking for one would take a third of the time of a heartbeat.
+    """Returns a server for a router's paths; it closes connections that are idle for `idle_s` seconds."""
+    # Bodies are never forms, and checking for one would take a third of a heartbeat's processing time.
     site: Any = server.Site(router, requestFactory=LimitedRequest, timeout=idle_s, parsePOSTFormSubmission=False)
-    # An access log would cost time with each request; failures are logged where they happen.
+    # No access log, since it would take time in each request; failures are logged where they occur.
     site.log = lambda _request: None
     made: server.Site = site
     return made
--- a/stileloft/transport/timers.py
+++ b/stileloft/transport/timers.py
@@ -1,4 +1,4 @@
-"""Pauses on the steady clock, for coroutines."""
+"""Pauses for coroutines, on the monotonic clock."""
 
 from twisted.internet import defer
 
@@ -6,7 +6,7 @@
 
 
 def sleep(clock: Clock, seconds: float) -> defer.Deferred[None]:
-    """A Deferred that fires after so many seconds of the clock."""
+    """Returns a Deferred that fires after `seconds` on the clock."""
     done: defer.Deferred[None] = defer.Deferred()
     clock.callLater(seconds, done.callback, None)
     return done
