--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start stileloft from a checkout, with the libraries in target/deps."""
+"""Starts stileloft from a checkout, with the libraries in target/deps."""
 
 import sys
 from pathlib import Path
--- a/stileloft/__main__.py
+++ b/stileloft/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m stileloft`, the same command line as run.py."""
+"""Entry point of `python -m stileloft`; the command line is the same as that of run.py."""
 
 import sys
 
--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -9,15 +9,16 @@
 from stileloft import __version__
 
 USAGE_ERROR = 2
-"""The exit code when a file, an argument or a request can't be carried out as it stands."""
+"""Exit code for an invalid file, argument or request."""
 FAILURE = 1
+"""Exit code for all other failures, such as an unreachable controller."""
 ADMIN_TIMEOUT_S = 10
-REQUEST_REFUSED = (400, 404)
-"""HTTP statuses that tell of a request that can't be carried out as it stands."""
+INVALID_REQUEST_STATUSES = (400, 404)
+"""HTTP statuses of responses to invalid requests."""
 
 
 class UsageError(Exception):
-    """An argument that can't be used; `reason` names it."""
+    """An argument is invalid; `reason` names it."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -25,7 +26,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command, and returns the process's exit code."""
+    """Runs a command and returns the process's exit code."""
     parser = _build_parser()
     options = parser.parse_args(arguments)
     if options.command == "check-config":
@@ -46,15 +47,17 @@
 def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="stileloft", description="A cluster scheduler.")
     parser.add_argument("--version", action="version", version=f"stileloft {__version__}")
-    parser.add_argument("--features", metavar="FILE", help="which features are on (TOML); all are off without it")
+    parser.add_argument("--features", metavar="FILE", help="features file (TOML); without it, all features are off")
     parser.add_argument("--config", metavar="FILE", help="the same as `serve --config FILE`")
     commands = parser.add_subparsers(dest="command", metavar="COMMAND")
     serve = commands.add_parser("serve", help="run a controller")
-    serve.add_argument("--config", metavar="FILE", required=True, dest="serve_config", help="settings (TOML)")
-    check = commands.add_parser("check-config", help="check a settings file and exit")
+    serve.add_argument("--config", metavar="FILE", required=True, dest="serve_config", help="settings file (TOML)")
+    check = commands.add_parser("check-config", help="validate a settings file and exit")
     check.add_argument("file", metavar="FILE")
-    settings = commands.add_parser("settings", help="read or change the operators' settings of a running service")
-    rebuild = commands.add_parser("rebuild", help="the rebuild of lost state, and what it left undecided")
+    settings = commands.add_parser("settings", help="show or change the operator settings of a running service")
+    rebuild = commands.add_parser(
+        "rebuild", help="show a rebuild of lost state, or decide about the tasks that it left undecided"
+    )
     _add_settings_arguments(settings)
     _add_rebuild_arguments(rebuild)
     return parser
@@ -63,19 +66,23 @@
 def _add_settings_arguments(parser: argparse.ArgumentParser) -> None:
     _add_node_argument(parser)
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
-    actions.add_parser("show", help="print the settings")
-    change = actions.add_parser("set", help="change some of them, on all controllers")
-    change.add_argument("changes", metavar="NAME=VALUE", nargs="+", help="the value as JSON, such as headroom=1.5")
+    actions.add_parser("show", help="print the operator settings")
+    change = actions.add_parser("set", help="change operator settings on all controllers")
+    change.add_argument(
+        "changes", metavar="NAME=VALUE", nargs="+", help="a setting and its value as JSON, such as headroom=1.5"
+    )
 
 
 def _add_rebuild_arguments(parser: argparse.ArgumentParser) -> None:
     _add_node_argument(parser)
     actions = parser.add_subparsers(dest="action", metavar="ACTION", required=True)
-    actions.add_parser("show", help="print whether the store is sound, how far a rebuild is, and what is undecided")
-    decide = actions.add_parser("decide", help="decide what is undecided of a job")
+    actions.add_parser("show", help="print the state of the store, the progress of a rebuild and the undecided tasks")
+    decide = actions.add_parser("decide", help="decide about the undecided tasks of a job")
     decide.add_argument("job", metavar="JOB")
     decide.add_argument("decision", choices=["run", "done", "forget"])
-    decide.add_argument("--task", type=int, metavar="NUMBER", help="this task only; else all that are undecided")
+    decide.add_argument(
+        "--task", type=int, metavar="NUMBER", help="only this task; by default all undecided tasks of the job"
+    )
 
 
 def _add_node_argument(parser: argparse.ArgumentParser) -> None:
@@ -86,17 +93,17 @@
 
 
 def _serve(path: str, features_path: str | None) -> int:
-    # Imported here, since the other commands have no use for the network.
+    # Imported here, since the other commands do not need the network.
     from stileloft import features, logs, settings
 
     try:
         loaded = settings.load(path)
     except settings.SettingsError as error:
-        return _refuse_file(path, error)
+        return _report_invalid_file(path, error)
     try:
         enabled = features.Features() if features_path is None else features.load(features_path)
     except features.FeaturesError as error:
-        return _refuse_file(str(features_path), error)
+        return _report_invalid_file(str(features_path), error)
     logs.configure()
     from twisted.internet import error as net_error
     from twisted.internet import reactor as installed
@@ -116,12 +123,15 @@
 
 
 def _fail_to_start(error: Exception) -> int:
-    """Logs why the controller cannot run; its text says all that an operator needs, so no trace is printed."""
-    logging.getLogger(__name__).error("%s", error)
+    """Logs why the controller cannot start, and returns the exit code.
+
+    No traceback is logged, since the error's text contains all that an operator needs.
+    """
+    logging.getLogger(__name__).error("controller failed to start error=%s", error)
     return FAILURE
 
 
-def _refuse_file(path: str, error: Exception) -> int:
+def _report_invalid_file(path: str, error: Exception) -> int:
     print(f"stileloft: {path}: {error}", file=sys.stderr)
     return USAGE_ERROR
 
@@ -132,12 +142,12 @@
     try:
         settings.load(path)
     except settings.SettingsError as error:
-        return _refuse_file(path, error)
+        return _report_invalid_file(path, error)
     if features_path is not None:
         try:
             features.load(features_path)
         except features.FeaturesError as error:
-            return _refuse_file(features_path, error)
+            return _report_invalid_file(features_path, error)
         print(f"{features_path}: the features are valid")
     print(f"{path}: the settings are valid")
     return 0
@@ -147,7 +157,7 @@
 
 
 def _administer(node: str, request: Callable[[], Any]) -> int:
-    """Prints what a controller answers to a request, and returns the exit code."""
+    """Prints a controller's response to a request, and returns the exit code."""
     import urllib.error
 
     import orjson
@@ -158,8 +168,8 @@
         print(f"stileloft: {error}", file=sys.stderr)
         return USAGE_ERROR
     except urllib.error.HTTPError as error:
-        print(f"stileloft: {node}: {error.code}: {error.read().decode('utf-8', 'replace')}", file=sys.stderr)
-        return USAGE_ERROR if error.code in REQUEST_REFUSED else FAILURE
+        print(f"stileloft: {node}: status {error.code}: {error.read().decode('utf-8', 'replace')}", file=sys.stderr)
+        return USAGE_ERROR if error.code in INVALID_REQUEST_STATUSES else FAILURE
     except (OSError, ValueError) as error:
         print(f"stileloft: {node}: {error}", file=sys.stderr)
         return FAILURE
@@ -168,7 +178,7 @@
 
 
 def _change_settings(node: str, changes: list[str] | None) -> Any:
-    """The settings, after the changes if there are any."""
+    """Applies the changes, if any, and returns the resulting settings and their version."""
     import orjson
 
     current = _request_admin(node, "/settings")
@@ -184,7 +194,7 @@
 
 
 def _administer_rebuild(options: argparse.Namespace) -> Any:
-    """The state of a rebuild, or what is left undecided of a job after a decision."""
+    """Returns the state of a rebuild, or the tasks of a job that remain undecided after a decision."""
     if options.action == "show":
         return _request_admin(options.node, "/rebuild")
     path = f"/rebuild/undecided/{options.job}"
@@ -192,7 +202,7 @@
 
 
 def _request_admin(node: str, path: str, body: Any = None) -> Any:
-    """What a controller's administration API answers; a body is sent with PUT."""
+    """Returns the response of a controller's administration API; the method is PUT with a body, otherwise GET."""
     import urllib.request
 
     import orjson
--- a/stileloft/features.py
+++ b/stileloft/features.py
@@ -1,4 +1,4 @@
-"""Which features are on: a checked file of its own, beside the settings that the platform hands over."""
+"""The features file, which is separate from the settings file that the platform provides."""
 
 from typing import Annotated
 
@@ -8,34 +8,34 @@
 
 
 class FeaturesError(ConfigError):
-    """A features file that cannot be used."""
+    """The features file is unreadable or invalid."""
 
 
 class RebuildFeature(Struct, frozen=True, forbid_unknown_fields=True):
-    """Rebuilding lost state: the state service's records are followed, and written back if they are lost."""
+    """Rebuilding of lost state: each controller replicates the state service's records and restores lost ones."""
 
     enabled: bool = False
     follow_s: Annotated[float, Meta(ge=0.05, le=5.0)] = 0.5
-    """Changes of the state service are gathered for so long: what is newer may be known to one controller only."""
+    """Seconds for which changes of the state service are batched; a newer change may be on one controller only."""
     directory: str | None = None
-    """Where a site has a disk: a folder in which each controller keeps its replica."""
+    """A directory in which each controller saves its replica, at sites that have a disk; None for no saving."""
     directory_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 30.0
-    """How often the replica is written there."""
+    """Seconds between two writes of the replica to `directory`."""
     run_once_classes: list[Annotated[str, Meta(min_length=1)]] = []
-    """Classes whose tasks are not repeated unless it is shown that they did not complete."""
+    """Classes whose tasks are run again only if there is proof that they did not complete."""
 
 
 class Features(Struct, frozen=True, forbid_unknown_fields=True):
-    """All features, each with its own settings; off if nothing is said."""
+    """All features with their settings; a feature that is not configured is off."""
 
     rebuild: RebuildFeature = RebuildFeature()
 
 
 def parse(text: str) -> Features:
-    """Checked features from the file's text; raises `FeaturesError`."""
+    """Returns validated features from the file's text; raises `FeaturesError`."""
     return parse_as(Features, text, FeaturesError)
 
 
 def load(path: str) -> Features:
-    """Checked features from a file; raises `FeaturesError`."""
+    """Returns validated features from a file; raises `FeaturesError`."""
     return parse(read_text(path, FeaturesError))
--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform hands over, checked."""
+"""The settings file, which the platform provides, and its validation."""
 
 from typing import Annotated
 
@@ -13,7 +13,7 @@
 
 
 class SettingsError(ConfigError):
-    """A settings file that cannot be used."""
+    """The settings file is unreadable or invalid."""
 
 
 class Peer(Struct, frozen=True):
@@ -32,7 +32,7 @@
 
 
 class Team(Struct, frozen=True):
-    """A team's guarantee and limit; 0 stands for none, so no limit in `*_max`."""
+    """A team's guaranteed resources and their limits (`*_max`); 0 stands for no guarantee or no limit."""
 
     name: str
     cpus: NonNegative = 0.0
@@ -42,7 +42,7 @@
 
 
 class Objective(Struct, frozen=True):
-    """A service-level objective: a share of the jobs of a class that has to start or finish in time."""
+    """A service-level objective: the share of a class's jobs that must start or finish within a time."""
 
     kind: str
     """`wait`, `finished`, `deadline` or `guarantee`."""
@@ -52,22 +52,22 @@
 
 
 class Workers(Struct, frozen=True):
-    """Times that the workers keep to."""
+    """Intervals and time-outs of the workers."""
 
     heartbeat_s: Positive = field(name="report_s")
-    """Between two heartbeats of a worker."""
+    """Seconds between two heartbeats of a worker."""
     lease_s: Positive
-    """A worker that gets no answer for so long ends its tasks, and begins a new epoch."""
+    """Seconds without a response after which a worker stops its tasks and starts a new epoch."""
     cancel_s: Positive
-    """A cancelled job's tasks have to end within this time."""
+    """Seconds within which the tasks of a cancelled job must stop."""
     gang_wait_s: Positive = 45.0
-    """A gang's task gives up when it has waited for the others for so long."""
+    """Seconds after which a gang's task stops waiting for the others and exits."""
     gang_peer_s: Positive = 4.0
-    """Within this time the tasks of a gang notice that one is lost, or have to be told to stop."""
+    """Seconds within which the tasks of a gang detect the loss of one of them, or must be sent a stop command."""
 
 
 class UpcomingLimits(Struct, frozen=True):
-    """Limits that the state service will have; what is not named stays."""
+    """Upcoming limits of the state service; None leaves the present limit unchanged."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -76,20 +76,20 @@
 
 
 class State(Struct, frozen=True):
-    """Limits of the state service, for all controllers together."""
+    """Limits of the state service, shared by all controllers."""
 
     rps: Positive
-    """Requests a second; renewals of leases and opened watches count."""
+    """Requests a second, including lease renewals and opened watches."""
     write_rps: Positive
     """Puts and deletes a second."""
     value_kb: Positive
     txn_ops: Annotated[int, Meta(ge=4)]
     """Puts and deletes in one transaction."""
     next: UpcomingLimits = UpcomingLimits()
-    """They come into force at some moment without notice, so they are kept from the start."""
+    """These limits take effect at an unannounced time, so they are observed from the start."""
 
     def strictest(self) -> "State":
-        """The smaller of the present limits and the upcoming ones."""
+        """Returns the lower of the present and the upcoming value of each limit."""
         upcoming = self.next
         return State(
             min(self.rps, upcoming.rps or self.rps),
@@ -100,30 +100,30 @@
 
     @property
     def value_bytes(self) -> int:
-        """The largest value."""
+        """Maximum size of a value, in bytes."""
         return int(self.value_kb * BYTES_PER_KB)
 
 
 class Cloud(Struct, frozen=True):
-    """Limits of the cloud, for all controllers together."""
+    """Limits of the cloud, shared by all controllers."""
 
     rps: Positive
     """Requests a second."""
     list_lag_s: NonNegative
-    """How old its list of machines may be."""
+    """Seconds by which the cloud's list of machines may lag behind."""
 
 
 class Quota(Struct, frozen=True):
-    """What a controller's process may use."""
+    """Resource limits of a controller's process."""
 
     cpu: Positive = 1.0
-    """As a share of a core."""
+    """Processor time, in cores."""
     ram_mb: Positive = 256.0
     max_sockets: Annotated[int, Meta(ge=32)] = 512
 
 
 class Deployment(Struct, frozen=True):
-    """What all controllers of a deployment have in common."""
+    """Settings that all controllers of a deployment share."""
 
     zones: list[str]
     teams: list[Team]
@@ -135,47 +135,49 @@
     size: Annotated[int, Meta(ge=1)] = 1
     """The number of controllers."""
     time_bound_ms: NonNegative = 0.0
-    """How far the wall clock may be from true time."""
+    """Maximum deviation of the wall clock from true time, in milliseconds."""
 
 
 class Settings(Struct, frozen=True):
-    """The whole file: a controller's own settings, and those of its deployment."""
+    """The contents of the file: a controller's own settings and those of its deployment."""
 
     member: str
     """The controller's name."""
     site: str
     listen: Address
-    """Where users, workers and health checks find it."""
+    """The address for users, workers and health checks."""
     peer_bind: Address
-    """Where other controllers and its operators find it."""
+    """The address for other controllers and for operators."""
     external: External
     deployment: Deployment
     peers: list[Peer] = []
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """The host and the port of an address."""
+    """Returns the host and the port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def parse(text: str) -> Settings:
-    """Checked settings from the file's text; raises `SettingsError`. Unknown fields are ignored."""
+    """Returns validated settings from the file's text; raises `SettingsError`. Unknown fields are ignored."""
     settings = parse_as(Settings, text, SettingsError)
     _check_teams(settings.deployment.teams)
     return settings
 
 
 def _check_teams(teams: list[Team]) -> None:
-    """What no single field can tell."""
+    """Validates constraints that involve several fields; raises `SettingsError`."""
     for team in teams:
         for guarantee, limit in ((team.cpus, team.cpus_max), (team.gpus, team.gpus_max)):
             if limit and guarantee > limit:
-                raise SettingsError(f"deployment.teams: {team.name!r} is guaranteed more than its limit")
+                raise SettingsError(
+                    f"deployment.teams: the guarantee of {team.name!r}, {guarantee}, exceeds its limit, {limit}"
+                )
     if len({team.name for team in teams}) != len(teams):
-        raise SettingsError("deployment.teams: a name occurs twice")
+        raise SettingsError(f"deployment.teams: a name occurs twice in {[team.name for team in teams]}")
 
 
 def load(path: str) -> Settings:
-    """Checked settings from a file; raises `SettingsError`."""
+    """Returns validated settings from a file; raises `SettingsError`."""
     return parse(read_text(path, SettingsError))
