--- a/stileloft/model/chunk_records.py
+++ b/stileloft/model/chunk_records.py
@@ -111,7 +111,7 @@
 
 
 def load_chunk(job: str, versioned: Mapping[int, VersionedValue], previous: Chunk | None) -> Chunk:
-    """Returns a chunk from its records, by overflow number; unchanged placements of `previous` are reused.
+    """Returns a chunk from its records, by overflow number (0: main record); reuses unchanged placements of `previous`.
 
     Overflow records may exist without the main record.
     """
--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -24,7 +24,7 @@
         self.dirty: dict[str, None] = {}
         """Ids of jobs that may have unwritten changes, in the order in which they changed."""
         self.nominations: dict[TaskKey, Nomination] = {}
-        """Room that is being made on machines, by the task that it is for."""
+        """Nominations, by the key of the task for which room is being made."""
         self.placement_backoff: dict[tuple[str, str], float] = {}
         """Time until which no task of a job is placed on a machine, by the ids of both."""
         self._write_order = itertools.count(1)
@@ -59,7 +59,7 @@
         return job is None or job.end_phase is not None or job.reload_pending
 
     def job_has_ended(self, job_id: str) -> bool:
-        """Whether the job is known to have ended, so that none of its tasks may run or start."""
+        """Whether the job has ended or is not held here, so that none of its tasks may run or start."""
         job = self.jobs.get(job_id)
         return job is None or job.end_phase is not None
 
--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -1,4 +1,4 @@
-"""Start commands sent to a machine that may still be executed, for the first time or again."""
+"""Start commands sent to a machine, which its worker may still execute, for the first time or again."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -20,7 +20,7 @@
     answered_at: float | None = None
     """When a message with the start was first answered; None before."""
     in_doubt_since: float | None = None
-    """When a message with the start first got no answer, and so may be executed at any later time; None before."""
+    """When a message with the start first got no answer; the worker may execute it at any later time. None before."""
 
 
 @dataclass(slots=True)
@@ -54,7 +54,10 @@
         return max((self.by_attempt[key].token for key in keys if key in self.by_attempt), default=0)
 
     def drop_fenced(self, epoch: int, acknowledged_token: int) -> None:
-        """Removes the starts that a worker no longer executes if it is in this epoch and has seen this token."""
+        """Removes starts of an earlier epoch or with a lower token.
+
+        A worker that is in this epoch and has seen this token refuses them.
+        """
         refused = [
             key for key, start in self.by_attempt.items() if start.epoch < epoch or start.token < acknowledged_token
         ]
--- a/stileloft/model/job_records.py
+++ b/stileloft/model/job_records.py
@@ -107,7 +107,7 @@
 
 
 def cancelled_job(job_id: str, items: Iterable[Item], default_chunk_size: int) -> Job:
-    """Returns a job that was cancelled and has only chunks left, with what is needed to count and stop its tasks."""
+    """Returns a cancelled job from its remaining chunk records, so that its tasks can be counted and stopped."""
     records = (read_chunk(value) for _, value, _ in items)
     main = next((record for record in records if record.resources is not msgspec.UNSET), ChunkRecord())
     resources = UNKNOWN_RESOURCES if main.resources is msgspec.UNSET else main.resources
--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -38,7 +38,7 @@
         self.chunk_size = chunk_size
         """Tasks per chunk; never changes, because the keys of the chunks depend on it."""
         self.stores_chunk_size = False
-        """Whether the record states the chunk size; if not, the size follows from the store's limit at acceptance."""
+        """Whether the record states the chunk size; if not, the size is `RecordFormat.legacy_chunk_size`."""
         self.max_placed_per_chunk: int | None = None
         """Most placed tasks per chunk, while a chunk must fit into one record; None if there is no limit."""
         self.inline_chunk: InlineChunk | None = None
@@ -47,11 +47,11 @@
         """Upper bound of the bytes of the record without a chunk; None until it is computed."""
         self.write = JobWriteState()
         self.reload_pending = False
-        """The job is being reloaded from the store; until that is done, none of it is started or written."""
+        """The job is being reloaded; until then none of its tasks is started, and none of its records is written."""
 
         # Its tasks.
         self.chunks: dict[int, Chunk] = {}
-        """Chunks in which a task has been placed, by number, without finished chunks."""
+        """Unfinished chunks in which a task has been placed, by number."""
         self.finished_chunks: set[int] = set()
         self.done = 0
         self.placed = 0
--- a/stileloft/model/placements.py
+++ b/stileloft/model/placements.py
@@ -37,7 +37,7 @@
     running_since: float | None = None
     """When this leader first saw the task run; None before."""
     placed_by_this_leader: bool = False
-    """Whether this leader placed the task; how long other tasks had run before is unknown."""
+    """Whether this leader placed the task; if not, it is unknown how long the task had run before `running_since`."""
     done: bool = False
     """For ENDED: whether the task completed, rather than having to run again."""
     stop_grace_s: float | None = None
--- a/stileloft/model/records/sizes.py
+++ b/stileloft/model/records/sizes.py
@@ -26,17 +26,17 @@
 MAX_ESCAPED_GROWTH = 3
 """Largest ratio of a text's size with all non-ASCII characters escaped to its size in UTF-8."""
 JOB_PROGRESS_BYTES = 256
-"""Bytes of a value that a job's specification must leave for its recorded progress."""
+"""Bytes of a job's record that the job's specification must leave free for the progress."""
 
 
 def chunk_size(value_kb: float) -> int:
-    """Returns the tasks per chunk in format 0, with which a chunk's record stays within half of the limit."""
+    """Returns the tasks per chunk in format 0: a chunk's record then takes at most half of the limit on values."""
     tasks = int(value_kb * 1024 / 2 / FORMAT_0_BYTES_PER_TASK)
     return max(MIN_TASKS_PER_CHUNK, min(MAX_TASKS_PER_FORMAT_0_CHUNK, tasks))
 
 
 def recorded_chunk_size(value_bytes: int) -> int:
-    """Returns the tasks per chunk where records state it: as many as a record has room for, with a margin.
+    """Returns the tasks per chunk in formats whose records state it: as many as a record has room for, with a margin.
 
     Each chunk that is written is one change of the store, however many of its tasks have changed. But a chunk must not
     need more records than a transaction has changes, even if the store's limits become lower than announced.
--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -7,7 +7,7 @@
 EPSILON = 1e-6
 """Tolerance of comparisons, because sums of amounts are not exact."""
 UNBOUNDED_SLOTS = 1_000_000
-"""Number of tasks that fit with regard to a resource that they do not use."""
+"""Number of tasks for which a resource that they do not request counts as having room."""
 
 
 class ResourceAmounts(Protocol):
@@ -54,7 +54,10 @@
         )
 
     def slots(self, spec: JobSpec, unbounded: int = UNBOUNDED_SLOTS) -> int:
-        """Returns how many of a job's tasks fit into this amount; an unused resource has room for `unbounded` tasks."""
+        """Returns how many of a job's tasks fit into this amount.
+
+        A resource that the job does not request counts as having room for `unbounded` tasks.
+        """
         return max(
             0,
             min(
