--- a/stileloft/model/cluster.py
+++ b/stileloft/model/cluster.py
@@ -26,7 +26,7 @@
         self.nominations: dict[TaskKey, Nomination] = {}
         """Nominations, by the key of the task for which room is being made."""
         self.placement_backoff: dict[tuple[str, str], float] = {}
-        """Time until which no task of a job is placed on a machine, by the ids of both."""
+        """Time until which no task of a job is placed on a machine, by job id and machine id."""
         self._write_order = itertools.count(1)
 
     def mark_dirty(self, job: Job) -> None:
--- a/stileloft/model/gangs.py
+++ b/stileloft/model/gangs.py
@@ -1,4 +1,4 @@
-"""Gang scheduling: all tasks of a job that is a gang run at the same time, or none does.
+"""Gang scheduling: all tasks of a gang job run at the same time, or none does.
 
 The state of a gang follows from its stored placements. Its tasks share one attempt number, and are started once all of
 them are placed. When one task is lost, the others are stopped; once every old task is certainly off its machine, the
--- a/stileloft/model/nominations.py
+++ b/stileloft/model/nominations.py
@@ -18,7 +18,7 @@
     rank: int
     spec: JobSpec
     expires_at: float
-    """By the leader's clock; not used within a scheduling cycle."""
+    """By the leader's clock; 0 in nominations that exist only within a scheduling cycle."""
 
     @property
     def is_expected(self) -> bool:
