--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -131,7 +131,7 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.legacy_chunk_size,
+                legacy_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
                 forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
--- a/stileloft/rebuild/environment.py
+++ b/stileloft/rebuild/environment.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebuildEnvironment:
-    """Dependencies of the feature in one controller."""
+    """What the feature `rebuild` needs of its controller."""
 
     clock: Clock
     sleep: Callable[[float], Awaitable[None]]
@@ -42,8 +42,8 @@
     leader_write_budget: TokenBucket
     """Limits the rate of changes that the leader makes in the store."""
     leadership: Callable[[], Leadership]
-    """Returns the current leadership; a callable, as the election is created after the feature."""
-    first_chunk_size: int
+    """Returns the current leadership; a callable, as the election is created after this object."""
+    legacy_chunk_size: int
     """Tasks per chunk of jobs whose records do not hold a chunk size."""
     renewal_grace_s: float
     """Time for which a leader may answer heartbeats without a confirmed lease."""
--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -19,12 +19,12 @@
 
     replica: MergedReplica
     stored_records: Mapping[str, Any]
-    """Records in the store: from an older state, from an interrupted rebuild, or accepted since the loss."""
+    """Records in the store: from an older state or an interrupted rebuild, or of jobs accepted since the loss."""
     heartbeats: Mapping[str, Heartbeat]
     """Newest heartbeat of each machine that has sent one since the loss."""
     run_once_classes: frozenset[str]
     """Classes of jobs whose tasks are not repeated unless it is shown that they did not complete."""
-    first_chunk_size: int
+    legacy_chunk_size: int
     """Tasks per chunk of jobs whose records do not hold a chunk size."""
 
 
@@ -53,7 +53,7 @@
 
 
 def locate_tasks(heartbeats: Mapping[str, Heartbeat]) -> dict[str, dict[int, ReportedTask]]:
-    """Returns the attempt that takes precedence of each task in the heartbeats, by job and task number."""
+    """Returns, for each task in the heartbeats, the attempt that takes precedence, by job and task number."""
     found: dict[str, dict[int, ReportedTask]] = {}
     for heartbeat in heartbeats.values():
         for task in heartbeat.tasks:
--- a/stileloft/rebuild/job_reconciler.py
+++ b/stileloft/rebuild/job_reconciler.py
@@ -1,7 +1,7 @@
 """Reconciles an unfinished job's records with the workers' heartbeats.
 
-This is needed if the merged replica may be out of date, and done once all tasks that no heartbeat lists have certainly
-ended: then the heartbeats show where the tasks are, and the replica only which tasks existed.
+This is needed if the merged replica may be out of date. It is done once all tasks that no heartbeat lists have
+certainly ended: the heartbeats then show where the tasks are, and the replica shows only which tasks existed.
 """
 
 from collections.abc import Mapping, Sequence
@@ -29,7 +29,7 @@
         self._job = job
         self._reported = reported
         self._spec = job.spec
-        self._chunk_size = job.chunk_size or evidence.first_chunk_size
+        self._chunk_size = job.chunk_size or evidence.legacy_chunk_size
         self.runs_once = self._spec.job_class in evidence.run_once_classes
         """Whether the job's tasks are not repeated unless it is shown that they did not complete."""
 
@@ -79,7 +79,7 @@
         return unlisted
 
     def _possibly_run_tasks(self, reconciled: ReconciledJob, silent_machine: str) -> dict[str, str]:
-        """Returns the evidence of tasks that were waiting, but may have run since on a machine without heartbeats."""
+        """Returns the evidence of tasks that wait in the replica but may have run since on a silent machine, by number."""
         accounted_for = reconciled.job.recorded_tasks() | {int(index) for index in reconciled.unresolved}
         for number in self._job.finished_chunks:
             accounted_for |= set(self._tasks_of_chunk(number))
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 RETRY_S = 0.3
-# Time for which peers that do not answer are asked again, in leases of a worker.
+# Time for which peers that do not answer are asked again, as a multiple of the duration of a worker's lease.
 PEER_WAIT_LEASES = 0.25
 
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebuildParts:
-    """The feature's process-wide objects that a rebuild uses."""
+    """Process-wide objects of the feature `rebuild` that each rebuild uses."""
 
     environment: RebuildEnvironment
     store: StoreStatus
@@ -118,7 +118,7 @@
                 stored_records,
                 dict(self._heartbeats.newest_heartbeats),
                 frozenset(self._environment.feature.run_once_classes),
-                self._environment.first_chunk_size,
+                self._environment.legacy_chunk_size,
             )
         )
         await self._writer.write(result)
