--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -46,7 +46,7 @@
         if self._is_outdated(heartbeat):
             return Response(200, CommandMessage(STALE_TOKEN, []))
         if heartbeat.token == self._token:
-            # A worker without this leader's token still obeys a former leader, so what it lists may change.
+            # A worker without this leader's token still executes a former leader's commands, so its tasks may change.
             self.newest_heartbeats[heartbeat.machine] = heartbeat
         return Response(200, CommandMessage(self._token, self._stop_commands(heartbeat, self.outcomes)))
 
--- a/stileloft/rebuild/job_outcomes.py
+++ b/stileloft/rebuild/job_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of jobs in a compact form, as they are kept without limit: users may ask for them at any later time.
+"""Outcomes of jobs in a compact form, because they are never deleted: users may request them at any later time.
 
 Job numbers with the same outcome share a bitmap, so that a job takes a few bytes rather than a record.
 """
--- a/stileloft/rebuild/local_replicas.py
+++ b/stileloft/rebuild/local_replicas.py
@@ -8,7 +8,7 @@
 
 
 class LocalReplicas:
-    """The replica in use, and its successor while that is loaded."""
+    """The replica in use and, while all records are being read, the next replica."""
 
     def __init__(self) -> None:
         self.current = Replica()
--- a/stileloft/rebuild/loss_detector.py
+++ b/stileloft/rebuild/loss_detector.py
@@ -17,7 +17,8 @@
 
 # Interval between checks; a sound store is only checked on request.
 CHECK_INTERVAL_S = 0.25
-# Time after which an empty store counts as new although other controllers have not answered, in leases of a worker.
+# Time after which an empty store counts as new although other controllers have not answered, as a multiple of the
+# duration of a worker's lease.
 NEW_STORE_WAIT_LEASES = 0.5
 # Interval at which the leader of a store without an identity asks whether all controllers protect it.
 IDENTITY_INTERVAL_S = 1.0
@@ -71,7 +72,8 @@
 
     async def _check_first(self) -> None:
         """Runs the first check: a store without an identity is new, not protected yet, or has lost all records."""
-        # Peers are asked before the store is read, as one of them may assign an identity in between.
+        # Peers are asked before the store is read. In the opposite order, a peer could assign an identity after the
+        # read and then report it, and the store would seem to have lost it.
         views = await self._environment.peers.views()
         found, revision = await self._state.lookup_at(records.IDENTITY)
         expected, replica = self._store.identity, self._replicas.current
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-# Pause between two records, so that they use little of the store's write limit.
+# Pause after the write of a record, so that reconciliation uses little of the store's write limit.
 RECORD_INTERVAL_S = 0.2
 
 
 class MissedChangesReconciler:
     """Adds outcomes and accepted jobs that the rebuilt store lacks; overwrites nothing that was accepted since.
 
-    Users were told of them, so an ended job must stay ended, and an accepted job must stay known.
+    Users were told of these outcomes and jobs, so an ended job must stay ended, and an accepted job must stay known.
     """
 
     def __init__(
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -93,7 +93,8 @@
         identity = self._store.identity
         token = version if identity is None else identity.token_base + version
         if token <= self._tokens.highest:
-            # Tokens follow the store's versions, so a known token that is not lower shows that the store has gone back.
+            # Tokens increase with the store's versions, so a known token at or above the next one shows that the store
+            # has gone back to an older state.
             self._store.mark_lost(f"workers know token {self._tokens.highest}, and the next one would be {token}")
             raise StoreLostError(self._store.reason)
         self._tokens.begin_term(token, self._store.generation)
--- a/stileloft/rebuild/replica_follower.py
+++ b/stileloft/rebuild/replica_follower.py
@@ -59,7 +59,8 @@
         except CompactedError:
             self._replicas.current.complete = False
         except (StoreLostError, ConflictError):
-            # Another controller is writing a record that reconciliation adds: all records are read and compared again.
+            # A conflict means that a record that reconciliation writes has changed: all records are read and compared
+            # again.
             await self._environment.sleep(UNSOUND_INTERVAL_S)
 
     async def _step(self) -> None:
--- a/stileloft/rebuild/replica_merge.py
+++ b/stileloft/rebuild/replica_merge.py
@@ -15,7 +15,7 @@
     records: dict[str, Any] = field(default_factory=dict)
     outcomes: JobOutcomes = field(default_factory=JobOutcomes)
     has_last_leader: bool = False
-    """Whether the last leader's own replica is included: then it holds every placement that was made."""
+    """Whether the last leader's own replica is included, which holds every placement that was made."""
     highest_token: int = 0
     """Highest token issued before the loss that any of the controllers has seen."""
     sources: list[str] = field(default_factory=list)
--- a/stileloft/rebuild/snapshot_provider.py
+++ b/stileloft/rebuild/snapshot_provider.py
@@ -35,7 +35,7 @@
         return Snapshot(holder, self._replicas.current)
 
     def piece(self, number: int) -> bytes | None:
-        """Returns an encoded piece, or None if there are not so many; a request for piece 0 makes a new snapshot."""
+        """Returns an encoded piece, or None if the snapshot has fewer; a request for piece 0 makes a new snapshot."""
         if number == 0 or not self._pieces:
             self._pieces = to_pieces(self.snapshot())
         return self._pieces[number] if number < len(self._pieces) else None
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -22,7 +22,7 @@
     STARTING = "starting"
     """The store has not been checked yet, or may have lost all records before this process started."""
     UNPROTECTED = "unprotected"
-    """The store has no identity, as not all controllers are known to have the feature."""
+    """The store has no identity, because not all controllers are known to have the feature `rebuild`."""
     SOUND = "sound"
     """The store's identity and revisions are consistent with what this controller knows."""
     LOST = "lost"
@@ -95,7 +95,7 @@
         self._state.forget_revisions()
 
     def mark_unprotected(self) -> None:
-        """Marks the store as trusted although it has no identity."""
+        """Marks the store as unprotected: it is used, but has no identity with which a loss would be detected."""
         self.phase = StorePhase.UNPROTECTED
         log.info(
             "state service has no identity, loss of its records is not detected phase=%s generation=%d",
@@ -151,6 +151,6 @@
             log.info("state service phase changed phase=%s generation=%d", self.phase, current.generation)
 
     def begin_rebuild(self, marked: Identity, version: int) -> None:
-        """Notes that this controller, as the leader, has marked the store as being rebuilt."""
+        """Records that this controller, as the leader, has marked the store as being rebuilt."""
         self.identity, self.identity_version = marked, version
         self.phase = StorePhase.REBUILDING
--- a/stileloft/rebuild/unresolved_task_manager.py
+++ b/stileloft/rebuild/unresolved_task_manager.py
@@ -94,7 +94,7 @@
         # The record is no longer needed: its tasks are resolved, or the job has ended or been submitted again.
         key = records.UNRESOLVED + job_id
         await self._store.commit({}, [key], guards={key: version})
-        log.info("unresolved tasks resolved job=%s", job_id)
+        log.info("record of unresolved tasks deleted job=%s tasks=%d", job_id, len(unresolved.evidence))
         with self._cluster.lock:
             self._jobs.lost_spec_jobs -= {job_id}
         self._request_scheduling()
