--- a/stileloft/rebuild/job_reconciler.py
+++ b/stileloft/rebuild/job_reconciler.py
@@ -79,7 +79,7 @@
         return unlisted
 
     def _possibly_run_tasks(self, reconciled: ReconciledJob, silent_machine: str) -> dict[str, str]:
-        """Returns the evidence of tasks that wait in the replica but may have run on a silent machine, by task number."""
+        """Returns the evidence of tasks that wait in the replica but may have run on a silent machine, by number."""
         accounted_for = reconciled.job.recorded_tasks() | {int(index) for index in reconciled.unresolved}
         for number in self._job.finished_chunks:
             accounted_for |= set(self._tasks_of_chunk(number))
