--- a/stileloft/features.py
+++ b/stileloft/features.py
@@ -16,7 +16,7 @@
 
     enabled: bool = False
     follow_s: Annotated[float, Meta(ge=0.05, le=5.0)] = 0.5
-    """Seconds for which changes of the state service are batched; a newer change may be on one controller only."""
+    """Seconds for which a replica batches the store's changes; a newer change may be known to one controller only."""
     directory: str | None = None
     """A directory in which each controller saves its replica, at sites that have a disk; None for no saving."""
     directory_s: Annotated[float, Meta(ge=1.0, le=3600.0)] = 30.0
--- a/stileloft/protocol/cloud.py
+++ b/stileloft/protocol/cloud.py
@@ -31,7 +31,7 @@
 
 
 class NoCapacityError(CloudError):
-    """The cloud has no free machine of the requested type and zone, spot or not as requested."""
+    """The cloud has no free machine of the requested type, zone and kind of price (spot or full)."""
 
 
 class CloudClient:
--- a/stileloft/protocol/messages.py
+++ b/stileloft/protocol/messages.py
@@ -17,7 +17,7 @@
 JOB_ID = r"^j-[0-9]{1,30}$"
 MAX_TASKS = 100_000
 REQUIRED_FIELDS = ("accelerators", "snapshotS", "stashS", "together", "spread", "loaner")
-"""Fields that a submission must contain, although they have defaults for stored records.
+"""Fields that a submission must contain; they have defaults because stored records omit zero and false.
 
 The other required fields have no default, so decoding reports them as missing.
 """
@@ -84,7 +84,7 @@
 
 
 class ExitReason(StrEnum):
-    """The reason why an attempt exited or was refused."""
+    """The reason why an attempt exited, or why the worker refused to start it."""
 
     DONE = "done"
     """The attempt completed."""
--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -14,7 +14,7 @@
 SNAPSHOT_PATH = "/rebuild/snapshot/"
 CHANGE_NOTICE_PATH = "/rebuild/notes"
 SNAPSHOT_TIMEOUT_FACTOR = 5.0
-"""A piece of a replica takes longer to build and send than a view."""
+"""The time-out for a piece of a replica, as a multiple of that for other requests: it takes longer to build and send."""
 
 
 class PeerView(Struct, omit_defaults=True):
@@ -23,10 +23,10 @@
     served_ago_s: float
     """Seconds since the state service last executed a request of the controller."""
     machines: dict[str, tuple[int, int]]
-    """Machines recently referred to the leader, with (epoch, sequence) of their newest heartbeat."""
+    """Machines whose heartbeats the controller recently referred to the leader: (epoch, sequence) of the newest one."""
     member: str = ""
     reads: int = 0
-    """The newest record format that the controller reads; 0 from the version before gangs, which does not send it."""
+    """The newest record format that the controller reads; 0 if not sent, as by the version before gangs existed."""
     protects: bool = False
     """Whether the controller protects the store's records against loss."""
     deployment: str = ""
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -22,7 +22,7 @@
 
 
 class RebuildBackend(Protocol):
-    """The controller interface behind the routes of the feature."""
+    """The controller interface behind the routes of the feature `rebuild`."""
 
     def snapshot_piece(self, number: int) -> bytes | None:
         """Returns a piece of the controller's replica of the store; None if it has no piece of this number."""
@@ -99,7 +99,7 @@
         return Response(200) if self._controller.receive_change_notice(body) else INVALID_CHANGE_NOTICE
 
     async def decide(self, body: Any, arguments: dict[str, str]) -> Response:
-        """Stores an operator's decision about tasks that a rebuild left unresolved, complete or not."""
+        """Stores an operator's decision about tasks for which a rebuild could not determine whether they completed."""
         job = arguments["job"]
         try:
             request = parse_decision(body)
--- a/stileloft/protocol/users.py
+++ b/stileloft/protocol/users.py
@@ -71,7 +71,7 @@
         return self._on_heartbeat(heartbeat)
 
     def health(self, _body: Any, _arguments: Arguments) -> Response:
-        """Tells a load balancer whether this controller can serve users."""
+        """Answers a load balancer's health check: status 200 if this controller can serve users, otherwise 503."""
         if self._is_healthy():
             return Response(HTTPStatus.OK, {"ok": True})
         return retry_later(HTTPStatus.SERVICE_UNAVAILABLE, "not ready", NOT_READY_RETRY_S)
--- a/stileloft/protocol/workers.py
+++ b/stileloft/protocol/workers.py
@@ -16,7 +16,7 @@
 
 
 class DeliveryError(RemoteError):
-    """No worker confirmed whether it executed the commands."""
+    """The worker did not confirm whether it executed the commands."""
 
 
 class NotDeliveredError(DeliveryError):
--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -63,7 +63,7 @@
     gang_wait_s: Positive = 45.0
     """Seconds after which a gang's task stops waiting for the others and exits."""
     gang_peer_s: Positive = 4.0
-    """Seconds within which the tasks of a gang detect the loss of one of them, or must be sent a stop command."""
+    """Seconds within which a gang's tasks detect the loss of one of them; a stop must be sent to all within this time."""
 
 
 class UpcomingLimits(Struct, frozen=True):
@@ -86,7 +86,7 @@
     txn_ops: Annotated[int, Meta(ge=4)]
     """Puts and deletes in one transaction."""
     next: UpcomingLimits = UpcomingLimits()
-    """These limits take effect at an unannounced time, so they are observed from the start."""
+    """Limits that take effect at an unannounced time; they are therefore observed from the start."""
 
     def strictest(self) -> "State":
         """Returns the lower of the present and the upcoming value of each limit."""
@@ -110,7 +110,7 @@
     rps: Positive
     """Requests a second."""
     list_lag_s: NonNegative
-    """Seconds by which the cloud's list of machines may lag behind."""
+    """Seconds by which the cloud's list of machines may lag behind its actual state."""
 
 
 class Quota(Struct, frozen=True):
@@ -139,7 +139,7 @@
 
 
 class Settings(Struct, frozen=True):
-    """The contents of the file: a controller's own settings and those of its deployment."""
+    """The contents of the settings file: a controller's own settings and those of its deployment."""
 
     member: str
     """The controller's name."""
--- a/stileloft/transport/retry.py
+++ b/stileloft/transport/retry.py
@@ -31,7 +31,7 @@
     clock: Clock,
     is_active: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Awaits `step` repeatedly while `is_active()`; pauses after a successful step are up to the step itself.
+    """Awaits `step` repeatedly while `is_active()`; there is no pause after a successful step, so the step must wait.
 
     Errors of a step are logged with the loop's name and not raised.
     """
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -35,7 +35,7 @@
 
 
 def retry_later(status: int, reason: str, after_s: float) -> Response:
-    """Returns an error response with a Retry-After header, whose value must be whole seconds; at least 1."""
+    """Returns an error response with a Retry-After header; `after_s` is rounded to whole seconds, at least 1."""
     return Response(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
@@ -131,7 +131,7 @@
         return self._decode(data) if data else None
 
     def _send_later(self, request: server.Request, pending: Awaitable[Response]) -> None:
-        """Sends the response when it is ready, unless the connection has been closed before."""
+        """Sends the response when it is ready, unless the connection was closed first."""
         disconnected: list[Any] = []
         request.notifyFinish().addErrback(disconnected.append)
 
--- a/stileloft/transport/sockets.py
+++ b/stileloft/transport/sockets.py
@@ -67,6 +67,6 @@
         """Returns whether the heartbeat connections of this number of workers are kept alive.
 
         Either all or none are kept alive: if some were kept until the limit is reached, the other workers could not
-        connect until their leases expire.
+        connect, and their leases would expire.
         """
         return workers <= KEEP_HEARTBEATS_SHARE * self._max_sockets
