--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -14,7 +14,7 @@
 SNAPSHOT_PATH = "/rebuild/snapshot/"
 CHANGE_NOTICE_PATH = "/rebuild/notes"
 SNAPSHOT_TIMEOUT_FACTOR = 5.0
-"""The time-out for a piece of a replica, as a multiple of that for other requests: it takes longer to build and send."""
+"""Time-out for a piece of a replica, as a multiple of that for a view; a piece takes longer to build and send."""
 
 
 class PeerView(Struct, omit_defaults=True):
--- a/stileloft/protocol/state.py
+++ b/stileloft/protocol/state.py
@@ -105,7 +105,7 @@
         self._resets = 0
         """How many times `reset_revisions` was called."""
         self.on_revision_regression: Callable[[int, int], None] | None = None
-        """Called with the highest known and the received revision if a reply's revision is too low; None turns checks off."""
+        """Called with the highest known and the received revision if the latter is lower; None turns the check off."""
 
     def reset_revisions(self) -> None:
         """Forgets the highest revision after the store was lost; replies to requests in flight are then rejected."""
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -178,5 +178,5 @@
     site: Any = server.Site(router, requestFactory=LimitedRequest, timeout=idle_s, parsePOSTFormSubmission=False)
     # No access log, since it would take time in each request; failures are logged where they occur.
     site.log = lambda _request: None
-    made: server.Site = site
-    return made
+    typed_site: server.Site = site
+    return typed_site
