--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -63,7 +63,7 @@
     gang_wait_s: Positive = 45.0
     """Seconds after which a gang's task stops waiting for the others and exits."""
     gang_peer_s: Positive = 4.0
-    """Seconds within which a gang's tasks detect the loss of one of them, and within which all must receive a stop."""
+    """Seconds in which a gang's tasks detect the loss of one of them, and in which all must receive a stop command."""
 
 
 class UpcomingLimits(Struct, frozen=True):
--- a/stileloft/transport/retry.py
+++ b/stileloft/transport/retry.py
@@ -31,7 +31,7 @@
     clock: Clock,
     is_active: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Awaits `step` repeatedly while `is_active()`; there is no pause after a successful step, so the step must wait.
+    """Awaits `step` repeatedly while `is_active()`; after a successful step, there is no pause but the step's own.
 
     Errors of a step are logged with the loop's name and not raised.
     """
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -35,7 +35,7 @@
 
 
 def retry_later(status: int, reason: str, after_s: float) -> Response:
-    """Returns an error response with a Retry-After header, which must be whole seconds: `after_s` rounded, at least 1."""
+    """Returns an error response with a Retry-After header, which must be whole seconds: `after_s`, rounded; min. 1."""
     return Response(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
