--- a/stileloft/transport/retry.py
+++ b/stileloft/transport/retry.py
@@ -31,7 +31,7 @@
     clock: Clock,
     is_active: Callable[[], bool] = lambda: True,
 ) -> None:
-    """Awaits `step` repeatedly while `is_active()`; pauses after a successful step are up to the step itself.
+    """Awaits `step` repeatedly while `is_active()`; after a successful step, there is no pause but the step's own.
 
     Errors of a step are logged with the loop's name and not raised.
     """
