--- a/stileloft/leadership/authority.py
+++ b/stileloft/leadership/authority.py
@@ -50,11 +50,14 @@
     # -- the whole cluster -------------------------------------------------------------
 
     def check_leadership(self) -> Refusal | None:
-        """Checks an action that another leader could take as well; allowed only while the lease is certainly held."""
+        """Checks an action that another leader could take too; it is allowed only while the lease is certainly held."""
         return None if self._lease.is_held() else Refusal.LEASE_NOT_CONFIRMED
 
     def check_commands(self) -> Refusal | None:
-        """Checks direct commands; refused until the store has been read, because every task would look orphaned."""
+        """Checks direct commands.
+
+        They are refused until the store has been read, because before that every task would look orphaned.
+        """
         return self.check_leadership() or (None if self._cluster.loaded else Refusal.STORE_NOT_READ)
 
     def check_renewal(self) -> Refusal | None:
@@ -62,8 +65,8 @@
 
         Both the lease and the view of cancellations must be recent: a leader that may have been replaced, or one that
         receives no cancellations, must not keep tasks alive any longer. Each renewing answer stops the tasks of all
-        jobs known to be cancelled, and its token fences their starts, so several leaders in succession keep a cancelled
-        task alive no longer than a single leader does.
+        jobs known to be cancelled, and its token fences the starts of these tasks, so several leaders in succession
+        keep a cancelled task alive no longer than a single leader does.
         """
         if not self._cluster.loaded:
             return Refusal.STORE_NOT_READ
@@ -72,7 +75,7 @@
         return Refusal.CANCELLATIONS_STALE if self._watch.staleness_s() > self._lease.renewal_grace_s else None
 
     def check_scale_out(self) -> Refusal | None:
-        """Checks a request for machines: another leader would request the same ones."""
+        """Checks a request for machines: another leader would request the same machines."""
         return self.check_leadership()
 
     def check_scale_in(self) -> Refusal | None:
@@ -95,10 +98,10 @@
         return None if self._tokens.has_spare_above(machine.token) else Refusal.NO_SPARE_TOKEN
 
     def check_start(self, placement: Placement, machine: Machine) -> Refusal | None:
-        """Checks the start of a task, or a retry of it, on a machine that passes `check_starts_on`.
+        """Checks the start of a task, or a retry of the start, on a machine that passes `check_starts_on`.
 
-        An unanswered start may be executed at any later time. It is retried even if the task has to be stopped by now,
-        because only a task that its worker reports can be stopped and then released.
+        An unanswered start may be executed at any later time. Such a start is retried even if the task has to be
+        stopped by now, because only a task that its worker reports can be stopped and then released.
         """
         if placement.state != PlacementState.BOUND:
             return Refusal.NOT_STORED
@@ -144,9 +147,9 @@
     def check_forget(self, machine: Machine, task: str, attempt: int, done: bool) -> Refusal | None:
         """Checks whether a worker may forget an exited attempt.
 
-        A late start would run a forgotten attempt again, in parallel with a newer one elsewhere, so the start must be
-        fenced first. A late start of a done task only makes the worker report it as done again. But a message in doubt
-        may also carry starts of other tasks, so a start in doubt must be fenced even if its task is done.
+        A late start would run a forgotten attempt again, in parallel with a newer attempt elsewhere, so the start must
+        be fenced first. A late start of a done task only makes the worker report the task as done again. But a message
+        in doubt may also carry starts of other tasks, so a start in doubt must be fenced even if its task is done.
         """
         start = machine.inflight_starts.get(task, attempt)
         if start is None or (done and start.in_doubt_since is None):
--- a/stileloft/leadership/election.py
+++ b/stileloft/leadership/election.py
@@ -52,9 +52,10 @@
         on_deposed: Callable[[str], None],
         integrity: StoreIntegrity,
     ) -> None:
-        """`nonce` distinguishes this process from the member's former ones; `lease_s` is the lease duration in seconds.
+        """`nonce` distinguishes this process from the member's former processes.
 
-        `on_elected` is called with the fencing token, `on_deposed` with the reason.
+        `lease_s` is the lease duration in seconds. `on_elected` is called with the fencing token, `on_deposed` with the
+        reason.
         """
         self._clock = clock
         self._state = state
@@ -65,7 +66,7 @@
         self._on_deposed = on_deposed
         self._integrity = integrity
         self._suspicion_reason: str | None = None
-        """Why the leadership is in doubt: it may have ended, or the store may be lost. None if it is not in doubt."""
+        """Why the leadership is in doubt: it may have ended, or the store may be lost. None if there is no doubt."""
         self.key_version = 0
         """The version of the leader key while this controller leads; it guards the leader's transactions."""
         self.token: int | None = None
@@ -96,8 +97,9 @@
     def suspect(self, reason: str) -> None:
         """Suspends all decisions until it is known whether the leadership has ended.
 
-        If the store has lost its records, no other controller can lead either, and this one still answers heartbeats
-        for the renewal grace. If the store's losses are not detected, this controller steps down at once.
+        If the store has lost its records, no other controller can lead, and this one still answers heartbeats for the
+        renewal grace, the time for which that is allowed without a confirmed lease. If losses of the store cannot be
+        detected, this controller steps down at once.
         """
         if not self._integrity.detects_loss:
             self.step_down(reason)
@@ -143,7 +145,7 @@
             await self._integrity.verify()
         except StoreLostError:
             # The next holder of the leader key writes the records back; until then this leadership continues,
-            # unconfirmed. Its lease was lost with the records, and another lease may have the same number by now.
+            # unconfirmed. The lease was lost with the records, and another lease may have the same number by now.
             self._lease = None
             await self._campaign()
             return
--- a/stileloft/leadership/failover.py
+++ b/stileloft/leadership/failover.py
@@ -84,8 +84,8 @@
         return True
 
     async def _recover(self) -> None:
-        """Loads the cluster state from the store; may be called again after it raised an error of the state service."""
-        # The watch continues from the revision of the first read, so that no change after it is missed.
+        """Loads the cluster state from the store; may be called again after an error of the state service."""
+        # The watch continues from the revision of the first read, so that no change after that read is missed.
         asked_at = self._clock.seconds()
         client = self._store.client
         active, revision = await client.scan(records.ACTIVE)
--- a/stileloft/leadership/fencing_tokens.py
+++ b/stileloft/leadership/fencing_tokens.py
@@ -1,14 +1,15 @@
 """Fencing tokens of one leadership.
 
 A worker rejects every command whose token is lower than the highest token it has seen. An in-flight start is therefore
-fenced permanently, however late it arrives, once the worker has seen a token above the start's; no running task is
-lost. Waiting does not fence a start: a command may be delayed for hours.
+fenced permanently, however late it arrives, once the worker has seen a token higher than that of the start. Seeing a
+higher token does not end the worker's running tasks. Waiting does not fence a start: a command may be delayed for
+hours.
 
 A token must be unique to one leader and higher than all tokens of its predecessors. The first token is derived from the
 version of the leader key. Spare tokens are derived from the revisions of the leader's own transactions. These
-transactions are guarded on the leader key, so their revisions are higher than the one that wrote this leader's key and
-lower than the one that writes a successor's. This holds whatever program version the successor runs, and the tokens
-need no record of their own in the store.
+transactions are guarded on the leader key, so their revisions are higher than the revision that wrote this leader's
+key and lower than the revision that writes a successor's key. This holds whatever program version the successor runs,
+and the tokens need no record of their own in the store.
 """
 
 import bisect
@@ -18,7 +19,7 @@
 
 
 class FencingTokens:
-    """The tokens of one leadership: the first one, and spare tokens that fence commands sent under lower ones."""
+    """The tokens of one leadership: the first token, and spare tokens that fence commands sent under lower tokens."""
 
     def __init__(self, first: int, key_version: int) -> None:
         self.first = first
@@ -31,7 +32,10 @@
         self._spares: list[int] = []
 
     def record_commit(self, revision: int) -> None:
-        """Adds a spare token for an executed transaction, whose guard on the leader key makes its revision unique."""
+        """Adds a spare token for an executed transaction.
+
+        Its revision belongs to this leader alone, because the transaction was guarded on the leader key.
+        """
         token = revision + self._offset
         if token > self.first and (not self._spares or token > self._spares[-1]):
             self._spares.append(token)
@@ -42,7 +46,7 @@
         return bool(self._spares) and self._spares[-1] > token
 
     def issue_spare_above(self, token: int) -> int | None:
-        """Returns the lowest spare token above `token`, to keep the higher ones for later; None if there is none."""
+        """Returns the lowest spare token above `token`, to keep higher tokens for later; None if none is higher."""
         index = bisect.bisect_right(self._spares, token)
         if index == len(self._spares):
             return None
@@ -56,5 +60,5 @@
         return self.first <= token <= self.highest_issued
 
     def is_from_successor(self, token: int) -> bool:
-        """Returns whether a token that a worker reports shows that another leader was elected after this one."""
+        """Returns whether a token that a worker reports shows that another leader was elected after this leader."""
         return token > self.highest_issued
--- a/stileloft/leadership/invariants.py
+++ b/stileloft/leadership/invariants.py
@@ -1,7 +1,7 @@
 """Invariants that are checked at run time.
 
-A violation is counted, logged with its evidence and shown in `GET /status`. It never ends the process: where a refusal
-is safe, the code that detects the violation refuses the action.
+A violation is counted, logged with its evidence and shown in `GET /status`. No violation ends the process: where a
+refusal is safe, the code that detects the violation refuses the action.
 """
 
 import logging
--- a/stileloft/leadership/leader.py
+++ b/stileloft/leadership/leader.py
@@ -69,7 +69,11 @@
                     self.dispatcher.send(machine)
                 self.cluster.expire_nominations(self._clock.seconds())
         except Exception:
-            log.exception("machine check failed token=%d machines=%d", self.tokens.first, len(self.cluster.machines))
+            log.exception(
+                "periodic check of all machines failed token=%d machines=%d",
+                self.tokens.first,
+                len(self.cluster.machines),
+            )
         if self.cluster.dirty:
             self.commit_queue.flush()
         self.request_scheduling()
--- a/stileloft/leadership/lease.py
+++ b/stileloft/leadership/lease.py
@@ -12,7 +12,7 @@
         self._election = election
         self._key_version = election.key_version
         self.active = True
-        """False once the leadership has ended for this controller; nothing is decided, sent or stored afterwards."""
+        """Whether the leadership lasts for this controller; once it has ended, nothing is decided, sent or stored."""
         self.began_at = clock.seconds()
         self.renewal_grace_s = renewal_grace_s
         """Time for which heartbeats are answered without a confirmed lease, in seconds."""
--- a/stileloft/leadership/renewal_grace.py
+++ b/stileloft/leadership/renewal_grace.py
@@ -11,11 +11,12 @@
 def renewal_grace(timings: Workers, leader_lease_s: float, store_timeout_s: float) -> float:
     """Returns for how many seconds heartbeats are answered without a confirmed lease, or without news of cancellations.
 
-    `JobWatch.up_to_date_at` is when the leader last knew of all cancellations; any that it does not know of was
-    confirmed at that time or later. A worker's lease starts when it sends the heartbeat, which is before the answer. So
-    a cancelled task that an answer keeps alive ends, after the confirmation, within this grace and one worker lease,
-    plus the margins for expiry checks and clock drift. That sum must not exceed `cancel_s`, the time limit of a
-    cancellation. One leader lease and one time-out of the state service are subtracted as a reserve.
+    `JobWatch.up_to_date_at` is when the leader last knew of all cancellations; any cancellation that this leader
+    does not know of was confirmed at that time or later. A worker's lease starts when the worker sends the heartbeat,
+    which is before the answer. So a cancelled task that an answer keeps alive ends, after the confirmation, within this
+    grace and one worker lease, plus the margins for expiry checks and clock drift. That sum must not exceed `cancel_s`,
+    the time limit of a cancellation. One leader lease and one time-out of the state service are subtracted as a
+    reserve.
     """
     max_worker_lease_s = timings.lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
     remaining_s = timings.cancel_s - max_worker_lease_s - leader_lease_s - store_timeout_s
