--- a/stileloft/workers/command_assertions.py
+++ b/stileloft/workers/command_assertions.py
@@ -9,7 +9,7 @@
 
 
 class CommandAssertions:
-    """Asserts the invariants of answers and commands; a message that would violate one is not sent."""
+    """Asserts the invariants of answers and commands; a message that would violate an invariant is not sent."""
 
     def __init__(self, cluster: ClusterState, tokens: FencingTokens, invariants: InvariantMonitor) -> None:
         self._cluster = cluster
--- a/stileloft/workers/command_planner.py
+++ b/stileloft/workers/command_planner.py
@@ -47,7 +47,7 @@
     def due_stops(self, machine: Machine, limit: int, for_renewal: bool = False) -> list[StopCommand]:
         """Returns at most `limit` stops that are due.
 
-        `for_renewal` selects those for an answer that renews the lease: stops of all tasks of ended jobs come first.
+        `for_renewal` selects stops for an answer that renews the lease: stops of all tasks of ended jobs come first.
         """
         now = self._clock.seconds()
         required: list[Placement] = []
@@ -79,7 +79,7 @@
     def due_forgets(self, machine: Machine, limit: int) -> list[ForgetCommand]:
         """Returns at most `limit` forget commands, for exited attempts that the store no longer places on the machine.
 
-        An attempt is forgotten only once its start is fenced, because a late start would run it again.
+        An attempt is forgotten only once its start is fenced, because a late start would run the attempt again.
         """
         authority = self._authority
         if not machine.pending_forgets or authority.check_forgets_on(machine) is not None:
@@ -99,7 +99,7 @@
         return allowed
 
     def stops_required_for_renewal(self, machine: Machine) -> set[AttemptKey]:
-        """Returns the attempts whose job has ended: an answer may renew the worker's lease only if it stops them."""
+        """Returns the attempts whose job has ended: only an answer that stops them may renew the worker's lease."""
         return {
             (placement.task, placement.attempt)
             for placement in machine.placements.values()
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -70,14 +70,14 @@
         self._after_heartbeat = after_heartbeat
         self._claims_in_flight = 0
         self._max_claims = int(MAX_CLAIMS_SOCKET_FRACTION * settings.max_sockets)
-        """Limit of claims in flight; the periodic check of the machines sends the others later."""
+        """Limit of claims in flight; the periodic check of the machines sends the other claims later."""
 
     def is_reachable(self, machine: Machine, now: float) -> bool:
         """Returns whether the machine recently showed that answers or commands reach it; heartbeats alone do not."""
         return now - machine.last_reachable_at <= self._settings.reachability_timeout_s
 
     def send(self, machine: Machine) -> None:
-        """Sends the commands that are due, unless a message to the machine is in flight or it is in back-off."""
+        """Sends due commands, unless a message to the machine is in flight or the machine is in back-off."""
         now = self._clock.seconds()
         if machine.command_in_flight or not machine.address or now < machine.retry_at:
             return
@@ -151,7 +151,10 @@
 
 
 def _can_answer(machine: Machine) -> bool:
-    """Returns whether the machine may be up. A booting machine needs no claim: it sends a heartbeat once it is up."""
+    """Returns whether the machine may be up and could thus answer a claim.
+
+    A booting machine needs no claim, because it sends a heartbeat once it is up.
+    """
     return machine.heartbeat_received or bool(machine.placements) or machine.cloud_state == "running"
 
 
--- a/stileloft/workers/fencing.py
+++ b/stileloft/workers/fencing.py
@@ -1,6 +1,6 @@
 """Fences starts that must not be executed any more, by raising the token that a machine's worker knows.
 
-An in-flight start may be executed at any later time. Once its job has ended, only an answer with a higher token renews
+An in-flight start may be executed at any later time. Once the job has ended, only an answer with a higher token renews
 the worker's lease: either the worker has seen that token and refuses the start, or its lease expires, and with it the
 epoch that the start was sent to. Neither the state service nor the cloud is needed at that moment.
 """
@@ -52,7 +52,10 @@
         """Number of starts that were sent and then fenced, so that they are never executed and no task is lost."""
 
     def fence_starts_of_ended_jobs(self, machine: Machine, now: float) -> bool:
-        """Raises the token if in-flight starts of ended jobs need it; returns whether the next message fences them."""
+        """Raises the token if in-flight starts of ended jobs have to be fenced.
+
+        Returns whether the next message fences these starts.
+        """
         attempts = self._unreported_starts_of_ended_jobs(machine)
         if not attempts or machine.inflight_starts.highest_token(attempts) < machine.token:
             return True
@@ -75,7 +78,7 @@
     def fence_for_forgets(self, machine: Machine, now: float) -> None:
         """Raises the token so that exited attempts can be forgotten, once a heartbeat has acknowledged the token.
 
-        It is raised at most once per worker lease, for many attempts at once, because each raise takes a heartbeat.
+        The token is raised at most once per worker lease, for many attempts, because each raise takes a heartbeat.
         """
         recently_raised = now - machine.token_raised_at <= self._timings.lease_s
         if not recently_raised and self._tokens.has_spare_above(machine.token):
@@ -111,7 +114,7 @@
         return machine.acknowledged_token < machine.token and now > machine.token_raised_at + self._timings.heartbeat_s
 
     def process_heartbeat(self, machine: Machine, tasks: list[TaskStatus]) -> None:
-        """Drops the starts that a trusted heartbeat shows to be fenced: with a lower token, or an earlier epoch."""
+        """Drops starts that a trusted heartbeat shows as fenced: sent under a lower token or to an earlier epoch."""
         machine.inflight_starts.drop_fenced(machine.epoch, machine.acknowledged_token)
         if not machine.fenced_starts:
             return
--- a/stileloft/workers/forget_scheduler.py
+++ b/stileloft/workers/forget_scheduler.py
@@ -17,9 +17,10 @@
     def schedule(self, machine: Machine, task: str, attempt: int, done: bool) -> None:
         """Schedules the forget command for an exited attempt that the store no longer places on the machine.
 
-        A late copy of its start would run a forgotten attempt again, possibly in parallel with a newer one elsewhere.
-        So the worker keeps an attempt that is not done until its start is fenced; the delay lets one fence serve many
-        attempts. A done attempt needs no delay: a late start only makes the worker report it as done again.
+        A late copy of the start would run a forgotten attempt again, possibly in parallel with a newer attempt
+        elsewhere. So the worker keeps an attempt that is not done until its start is fenced; the delay lets one fence
+        serve many attempts. A done attempt needs no delay: a late start only makes the worker report the attempt as
+        done again.
         """
         pending = machine.pending_forgets.get(task)
         if pending is None or pending.attempt != attempt:
--- a/stileloft/workers/heartbeat_responder.py
+++ b/stileloft/workers/heartbeat_responder.py
@@ -55,15 +55,17 @@
         previous_heartbeat_at, was_claimed = machine.last_heartbeat_at, machine.claimed
         self._heartbeats.process(heartbeat)
         if (machine.epoch, machine.sequence) == (epoch, sequence):
-            # A late duplicate is no sign of life. It may also be the original, overtaken by the heartbeat in an answer
-            # to a command; the worker must then ignore this answer, as a renewal would not be recorded here.
+            # This heartbeat is a late duplicate, which is no sign of life, or the original, overtaken by the heartbeat
+            # in an answer to a command. The worker must ignore this answer, as a renewal would not be recorded here.
             return CommandMessage(NO_TOKEN, [])
         if machine.epoch != epoch:
             # The worker has lost its tasks despite the answers to its heartbeats, so answers may not reach it.
             machine.last_reachable_at = float("-inf")
         elif was_claimed and now - previous_heartbeat_at < UNANSWERED_RETRY_S:
-            # Without an answer the worker would not have returned to this controller so soon. The previous heartbeat
-            # may have been an old one, so this counts only once the worker is known to have the leader's token.
+            # The answer to the previous heartbeat reached the worker: without an answer, it would not have sent another
+            # heartbeat to this controller so soon. A previous heartbeat that was delayed would prove nothing, so the
+            # machine counts as reachable only if the worker was already known to have the leader's token
+            # (`was_claimed`).
             machine.last_reachable_at = max(machine.last_reachable_at, previous_heartbeat_at)
         machine.last_pushed_heartbeat_at = now
         answer = self._renew_lease(machine, now)
@@ -74,8 +76,8 @@
     def _renew_lease(self, machine: Machine, now: float) -> CommandMessage:
         """Returns the answer to a heartbeat.
 
-        It renews the worker's lease, unless a renewal could keep cancelled tasks alive beyond their bound; the worker
-        then ignores the answer.
+        The answer renews the worker's lease, unless a renewal could keep cancelled tasks alive beyond their bound; the
+        worker then ignores the answer.
 
         A worker that does not know the leader's token learns it from this answer. So the answer must cover all
         cancelled jobs: it stops their tasks that may run, and its token fences their starts that may still be executed.
--- a/stileloft/workers/transmission.py
+++ b/stileloft/workers/transmission.py
@@ -31,7 +31,7 @@
     machine: Machine
     token: int
     epoch: int
-    """The worker's epoch for which the commands are meant; the worker refuses them in any other."""
+    """The worker's epoch for which the commands are meant; the worker refuses them in any other epoch."""
     commands: list[Command]
     starts: list[Placement]
     """The placements whose tasks the message starts."""
