--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -87,7 +87,7 @@
         machines += self._planner.planned
         if spec.cpus <= self._planner.smallest_cpus and self._has_large_tasks():
             # Other tasks need the large machines, so headroom is counted on small machines only, and is kept also for
-            # the tasks of this class that now run on large ones.
+            # the tasks of this class that now run on large machines.
             count += self._tasks_on_large_machines(spec.job_class)
             machines = [machine for machine in machines if machine.type.cpus <= self._planner.smallest_cpus]
         count_left = self._planner.fill(spec, count, {}, machines)
--- a/stileloft/scheduling/candidate_machines.py
+++ b/stileloft/scheduling/candidate_machines.py
@@ -15,7 +15,7 @@
 ScoredMachine = tuple[float, str, int]
 """An entry of the heap: cost, machine id, and the machine's version when it was scored.
 
-A plain tuple, because the interpreter reuses the memory of tuples: a cycle makes one for each machine and job.
+A plain tuple, because the interpreter reuses the memory of tuples: a cycle makes a tuple for each machine and job.
 """
 
 
--- a/stileloft/scheduling/gang_placement.py
+++ b/stileloft/scheduling/gang_placement.py
@@ -24,7 +24,7 @@
 
 
 class GangAssignment(NamedTuple):
-    """Machines for a gang's tasks in one zone, or in several if the job allows it."""
+    """Machines for a gang's tasks in one zone, or in several zones if the job allows it."""
 
     tasks: list[TaskAssignment]
     fetch_s: float
@@ -61,7 +61,7 @@
     are still ending. Leaves the resources in the snapshot unchanged.
     """
     if any(job.placed_by_zone.values()):
-        return None  # tasks of its former attempt are still ending; the gang is placed again as a whole
+        return None  # the gang is placed again as a whole once all tasks of its former attempt have ended
     if not cycle.quotas.within_limit(job.spec, job.waiting_count):
         return None
     best: tuple[tuple[float, str], list[TaskAssignment]] | None = None
--- a/stileloft/scheduling/gang_reservations.py
+++ b/stileloft/scheduling/gang_reservations.py
@@ -86,6 +86,6 @@
         return min(count, sum(max(0, slots) for slots, _ in slots_by_zone[zone]))
 
     zone = max(slots_by_zone, key=lambda zone: (placeable(zone), zone))
-    # Machines with more images first, as they are likely to have the right one; then machines with more room.
+    # Machines with more images first, as they are likely to have the right image; then machines with more room.
     ranked = sorted(slots_by_zone[zone], key=lambda item: (-len(item[1].images), -item[0], item[1].id))
     return [machine.id for slots, machine in ranked for _ in range(min(slots, count))][:count]
--- a/stileloft/scheduling/machine_scoring.py
+++ b/stileloft/scheduling/machine_scoring.py
@@ -12,8 +12,8 @@
 # Weights of the image fetch time in the cost of a machine, which is in seconds, for urgent and for other tasks.
 FETCH_WEIGHT_URGENT = 1.0
 FETCH_WEIGHT = 0.3
-# Bin packing: cost of a small task on a large machine. It is lower for a class with a start objective, and higher while
-# tasks wait that fit only on large machines.
+# Bin packing: cost of a small task on a large machine, lower for a class with a start objective, and higher while tasks
+# that fit only on large machines are waiting.
 FRAGMENTATION_PENALTY_S = 5.0
 FRAGMENTATION_PENALTY_START_OBJECTIVE_S = 1.0
 FRAGMENTATION_PENALTY_LARGE_SCARCE_S = 30.0
@@ -35,7 +35,7 @@
     smallest_cpus: float
     largest_cpus: float
     large_scarce: bool
-    """Whether tasks wait that do not fit on the smallest machines."""
+    """Whether tasks that do not fit on the smallest machines are waiting."""
 
     @classmethod
     def of(cls, types: Iterable[MachineType], waiting: Iterable[JobSpec]) -> "MachineSizes":
@@ -51,7 +51,7 @@
         return 0.0
     exclusive_fetch_s = spec.image_gb / max(machine.type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
     if spec.image in machine.fetching:
-        return exclusive_fetch_s  # the fetch is under way, but may share the rate with others
+        return exclusive_fetch_s  # the fetch is under way, but may share the rate with other fetches
     return exclusive_fetch_s * (1 + len(machine.fetching))  # concurrent fetches share the rate
 
 
@@ -76,7 +76,7 @@
 def _fragmentation_cost(machine: MachineView, sizes: MachineSizes, start_objective_s: float | None) -> float:
     """Returns the cost in seconds of a small task on a large machine.
 
-    It steers small tasks to small machines first, and then to large machines that are already partly filled.
+    This cost steers small tasks to small machines first, and then to large machines that are already partly filled.
     """
     if start_objective_s is not None:
         weight = FRAGMENTATION_PENALTY_START_OBJECTIVE_S
--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -33,9 +33,9 @@
     within_preemption_budget: bool = True
     """Whether stopping the task keeps its job within its budget of preemptions."""
     group_size: int = 1
-    """Number of tasks that are stopped together: all of its gang, or 1."""
+    """Number of tasks that are stopped together: all tasks of the task's gang, or 1."""
     recently_started: bool = False
-    """Whether its class has a start objective and the task has run too briefly to count as started."""
+    """Whether the job's class has a start objective and the task has run too briefly to count as started."""
 
     @classmethod
     def from_spec(
@@ -75,13 +75,13 @@
     zone: str
     spot: bool
     ready: bool
-    """Whether tasks may be placed there, once it is up."""
+    """Whether tasks may be placed on the machine once it is up."""
     up: bool
-    """Whether it has sent a heartbeat to this leader."""
+    """Whether the machine has sent a heartbeat to this leader."""
     tasks: list[RunningTask] = field(default_factory=list)
     images: frozenset[str] = frozenset()
     fetching: frozenset[str] = frozenset()
-    """Images that its tasks need and that it does not have yet."""
+    """Images that the machine's tasks need and that the machine does not have yet."""
     free_cpus: float = 0.0
     free_gpus: float = 0.0
     free_memory_gb: float = 0.0
--- a/stileloft/scheduling/pending_jobs.py
+++ b/stileloft/scheduling/pending_jobs.py
@@ -14,7 +14,7 @@
 START_LIMIT_S = 240.0
 """Jobs should start within this many seconds."""
 AGED_FRACTION = 0.6
-"""A job is aged after this fraction of `START_LIMIT_S`: it goes before higher priorities, which could starve it."""
+"""A job is aged after this fraction of `START_LIMIT_S`: it precedes jobs of higher priority, which could starve it."""
 MIN_AGED_FRACTION = 0.25
 """Lower bound to which `AGED_FRACTION` is reduced while many jobs have not started and the machines need the time to
 start them."""
@@ -47,7 +47,7 @@
             if job.waiting <= 0 or job.backoff_until > now or job.reload_pending:
                 continue
             if job.spec.is_gang and job.placed:
-                continue  # tasks of its former attempt are still ending; the gang is placed again as a whole
+                continue  # the gang is placed again as a whole once all tasks of its former attempt have ended
             tasks = job.free_tasks(_max_considered(job))
             if not tasks:
                 continue
--- a/stileloft/scheduling/preemption.py
+++ b/stileloft/scheduling/preemption.py
@@ -68,8 +68,8 @@
     def is_preemptible(task: RunningTask) -> bool:
         if task.stopping or task.spec is None:
             return False
-        # A team gets its guarantee at the cost of teams that exceed theirs, but not of tasks of higher priority:
-        # those would preempt this task in turn at once.
+        # To use its guaranteed quota, a team may preempt tasks of teams that exceed theirs, but no tasks of a higher
+        # priority: those would at once preempt the task to be placed.
         return task.rank < spec.rank or (
             guaranteed and task.rank <= spec.rank and task.team != spec.team and quotas.exceeds_guarantee(task.team)
         )
--- a/stileloft/scheduling/preemption_search.py
+++ b/stileloft/scheduling/preemption_search.py
@@ -124,7 +124,7 @@
         return None
 
     def machine_changed(self, machine_id: str) -> None:
-        """Searches a machine again whose tasks or nominations have changed."""
+        """Searches a machine again after its tasks or nominations have changed."""
         self._heap = [result for result in self._heap if result.machine_id != machine_id]
         heapq.heapify(self._heap)
         self._search_machine(self._context.machines[machine_id])
--- a/stileloft/scheduling/provisioning_planner.py
+++ b/stileloft/scheduling/provisioning_planner.py
@@ -24,7 +24,7 @@
 LARGE_MACHINE_WEIGHT = 1.3
 # Factor on the price of an offer whose machines often boot late: another zone is preferred, but not at any price.
 UNRELIABLE_WEIGHT = 2.0
-# Prices are rounded to this many decimals, so that nearly equal ones compare as equal.
+# Prices are rounded to this many decimals, so that nearly equal prices compare as equal.
 PRICE_DECIMALS = 4
 
 
@@ -35,7 +35,7 @@
     unmet: list[UnmetDemand]
     """Tasks that were neither placed nor nominated."""
     headroom: list[ExpectedTasks] = field(default_factory=list)
-    """Expected tasks of classes other than gangs that cannot wait for a machine to boot."""
+    """Expected tasks, other than those of gangs, of classes that cannot wait for a machine to boot."""
     jobs_arriving: bool = True
     """Whether any class still submits jobs."""
     without_capacity: frozenset[InstanceOffer] = frozenset()
@@ -111,7 +111,7 @@
     def _cheapest(self, spec: JobSpec, zones: dict[str, int], spot_only: bool) -> InstanceOffer | None:
         """Returns the cheapest offer that fits a task; None if none does.
 
-        Among offers of nearly equal price, the one with the fewest machines of its type in its zone is chosen.
+        Among offers of nearly equal price, the offer with the fewest machines of its type in its zone is chosen.
         """
         possible = [
             priced
--- a/stileloft/scheduling/queue_order.py
+++ b/stileloft/scheduling/queue_order.py
@@ -21,7 +21,7 @@
 def latest_start(job: PendingJob, snapshot: Snapshot) -> float:
     """Returns the latest start that meets the job's deadline, in Unix time.
 
-    For a job without a deadline, returns the time at which it would complete if it ran alone. If its submission time
+    For a job without a deadline, returns the time at which it would complete if it ran alone. If the submission time
     counted instead, an array of tens of thousands of tasks would be served before all small jobs submitted after it.
     """
     if job.spec.deadline_s is None:
@@ -42,7 +42,7 @@
 
 
 def promote_aged_jobs(snapshot: Snapshot) -> None:
-    """Promotes aged jobs: one task of each that has not started, then tasks of the oldest within `AGED_CPU_SHARE`.
+    """Promotes aged jobs: one task of each job that has not started, then tasks of the oldest within `AGED_CPU_SHARE`.
 
     The other tasks of a promoted job are split off and keep their ordinary place in the queue, so that an old job of
     thousands of tasks is not limited to the share while machines are idle.
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -13,7 +13,7 @@
 # No machine is provisioned for tasks that the present machines will serve within this fraction of a boot time.
 WORTHWHILE_WAIT_BOOTS = 0.4
 # An on-demand machine is provisioned for a deadline if the time to spare, in times that a new machine takes to become
-# ready, is between -LATE_BOOTS and EARLY_BOOTS. It may be negative, since estimates are often wrong.
+# ready, is between -LATE_BOOTS and EARLY_BOOTS. The time to spare may be negative, since estimates are often wrong.
 EARLY_BOOTS = 0.5
 LATE_BOOTS = 1.0
 
--- a/stileloft/scheduling/scheduling_cycle.py
+++ b/stileloft/scheduling/scheduling_cycle.py
@@ -23,7 +23,7 @@
 
 
 class TaskPreemption(NamedTuple):
-    """A task that needs room on a machine, and the preemption that makes it."""
+    """A task that needs room on a machine, and the preemption that makes room."""
 
     key: TaskKey
     preemption: Preemption
--- a/stileloft/scheduling/scheduling_loop.py
+++ b/stileloft/scheduling/scheduling_loop.py
@@ -1,7 +1,7 @@
 """The scheduling loop, which runs scheduling cycles and applies their decisions.
 
-Decisions are computed from a snapshot in a separate thread. The cluster may have changed in the meantime, so they are
-checked again under its lock when they are applied.
+Decisions are computed from a snapshot in a separate thread. The cluster may have changed in the meantime, so the
+decisions are checked again under the cluster's lock when they are applied.
 """
 
 import logging
@@ -36,7 +36,7 @@
 SCALING_INTERVAL_S = 2.0
 """Minimum seconds between cycles that also plan scaling."""
 MAX_PLACED_TRANSACTIONS = 2
-"""Limit of the tasks that a cycle places, as a multiple of a transaction's limit of changes: many tasks share one."""
+"""Limit of tasks that a cycle places, as a multiple of a transaction's limit of changes: many tasks share a change."""
 MAX_PREEMPTIONS = 8
 """Limit of the tasks that a cycle makes room for by preemption."""
 MAX_REPORTED_UNMET = 50
@@ -105,7 +105,7 @@
         self._timer = self._clock.callLater(wait_s, self._begin_cycle)
 
     def _next_cycle_at(self) -> float:
-        """Returns the earliest start of the next cycle: after the last one and a pause."""
+        """Returns the earliest start of the next cycle: after the last cycle and a pause."""
         return self._cycle_started_at + max(MIN_CYCLE_INTERVAL_S, (1.0 + PAUSE_RATIO) * self._cycle_duration_s)
 
     def _begin_cycle(self) -> None:
--- a/stileloft/scheduling/snapshot.py
+++ b/stileloft/scheduling/snapshot.py
@@ -35,7 +35,7 @@
     estimate_s: float
     """Expected run time of a task, in seconds."""
     start_objective_s: float | None = None
-    """The time within which jobs of its class should start; None without such an objective."""
+    """The time within which jobs of the same class should start; None without such an objective."""
     excluded_machines: frozenset[str] = frozenset()
     """Ids of machines on which placing the job is in back-off."""
     aged: bool = False
@@ -43,13 +43,13 @@
     promoted: bool = False
     """Whether the job goes before jobs of higher priority in this cycle. No job preempts tasks that start this way."""
     started: bool = True
-    """Whether one of its tasks has run."""
+    """Whether one of the job's tasks has run."""
     starving: bool = False
     """Whether none of the job's tasks was placed for long; it may then use room kept for expected gangs or for jobs
     that are not promoted."""
 
     def split(self, count: int) -> "PendingJob":
-        """Keeps the first `count` tasks, and returns the others as a job that is not promoted.
+        """Keeps the first `count` tasks, and returns the other tasks as a job that is not promoted.
 
         Both share `placed_by_zone`, so that tasks placed for either count for both.
         """
@@ -72,7 +72,7 @@
     leftover: Resources
     """Resources free at that time in addition to those reserved."""
     exclusive_job_id: str = ""
-    """Id of the promoted job that the room is kept for; no other job preempts tasks there. Empty if not promoted."""
+    """Id of the promoted job that the room is kept for; no other job preempts tasks there. Empty for any other job."""
 
     @classmethod
     def for_job(cls, job: PendingJob, available_in_s: float, room: Resources, count: int = 1) -> "Reservation":
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -15,8 +15,8 @@
 
 # Weight of the newest observation in an exponential moving average.
 MOVING_MEAN_WEIGHT = 0.2
-# Number of tasks, one per machine, that headroom is kept for in a class with a start objective and no job yet: its
-# first gangs can then start while more machines boot.
+# Headroom for a class that has a start objective but no job yet, in tasks, one per machine. With it, the first gangs of
+# the class can start while more machines boot.
 UNSEEN_CLASS_TASKS = 3
 # A class counts as ended after no submission for this many of its mean interarrival times.
 ENDED_AFTER_INTERARRIVALS = 4.0
@@ -190,8 +190,8 @@
         """Returns the seconds that a new job with this specification can wait before a machine must be provisioned.
 
         The result is negative if the job would be late even on a machine provisioned at its submission. For a job
-        without a deadline or an objective on completion, it is the time in which a new machine becomes ready. It is 0
-        if no machine type fits.
+        without a deadline or an objective on completion, the result is the time in which a new machine becomes ready,
+        or 0 if no machine type fits.
         """
         machine_types = [machine_type for machine_type in self._types().values() if fits_type(spec, machine_type)]
         if not machine_types:
