--- a/stileloft/store/commit_queue.py
+++ b/stileloft/store/commit_queue.py
@@ -33,7 +33,7 @@
 MAX_IN_FLIGHT = 3
 """The most transactions in flight at once."""
 MIN_BATCH_DIVISOR = 3
-"""A transaction begins only if the write budget covers the limit on its changes, divided by this."""
+"""A transaction begins only if the write budget covers the limit on its changes, divided by this number."""
 COUNTS_CHECK_S = 0.25
 """Interval between checks of a job if only its counts can have changed, in seconds."""
 REFUSED_BACKOFF_S = 0.3
@@ -103,7 +103,7 @@
         due = []
         for job in self._cluster.dirty_jobs():
             if not job.write.dirty and now < job.write.checked_at + COUNTS_CHECK_S:
-                # Only its counts can have changed.
+                # Only the job's counts can have changed.
                 self._flush_timer.flush_within(job.write.checked_at + COUNTS_CHECK_S - now)
             elif (
                 job.write.coalescing_since is not None
@@ -135,7 +135,10 @@
         return min(self._store.limits.max_changes, int(self._store.write_budget.rate_per_s))
 
     def _budget_allows(self) -> bool:
-        """Whether a transaction may begin; checked before write sets are built that could not be committed."""
+        """Whether the write budget allows a transaction.
+
+        Checked first, so that no write sets are built that could not be committed.
+        """
         write_budget = self._store.write_budget
         min_level, level = self._max_changes() // MIN_BATCH_DIVISOR, write_budget.level()
         if level < min_level:
@@ -255,7 +258,7 @@
     def _reduce_limits(
         self, write_sets: list[JobWriteSet], error: TooLargeError, puts: dict[str, Any], changes: int
     ) -> None:
-        """Lowers a limit that is lower than announced: the store would always refuse the unchanged transaction."""
+        """Lowers a limit that was announced too high: the store would always refuse the unchanged transaction."""
         limits = self._store.limits
         limits.reduce_after_refusal(puts.values(), changes)
         log.info(
@@ -285,7 +288,7 @@
         self._flush_timer.flush_within(REFUSED_BACKOFF_S)
 
     def _requeue(self, write_set: JobWriteSet) -> None:
-        """Marks the job and the chunks of a write set that was not executed as dirty again."""
+        """Marks the job and the chunks of an unexecuted write set as dirty again."""
         write_set.job.write.commit_in_flight = False
         for number in write_set.chunks:
             write_set.job.chunks[number].dirty = True
--- a/stileloft/store/format_upgrade.py
+++ b/stileloft/store/format_upgrade.py
@@ -1,4 +1,4 @@
-"""The upgrade of the store's format, once all controllers can read the new one."""
+"""The upgrade of the store's format, once all controllers can read the new format."""
 
 import logging
 from collections.abc import Callable
@@ -89,7 +89,10 @@
         self._request_scheduling()
 
     def split_large_records(self, job: Job) -> None:
-        """Marks chunks dirty whose record exceeds the limit of a value, so that they are split before the job ends."""
+        """Marks chunks as dirty if their record is larger than the store allows for a value.
+
+        These chunks are then split before the job ends.
+        """
         for chunk in job.chunks.values():
             if (
                 not chunk.overflow
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -1,6 +1,6 @@
 """The check that the state service still holds its records: its interface, and an implementation without checks.
 
-The feature `rebuild` replaces it by `stileloft.rebuild.protection.StoreProtection`.
+The feature `rebuild` replaces this implementation by `stileloft.rebuild.protection.StoreProtection`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -35,7 +35,7 @@
         """Checks that the store still has the known identity; raises `StoreLostError` if not."""
 
     async def verify_absence(self) -> None:
-        """Like `verify`, before a user is told that a job does not exist.
+        """Checks the store as `verify` does, before a user is told that a job does not exist.
 
         Raises `StoreLostError` also while not all replicas that may hold the job's record have been read.
         """
@@ -62,7 +62,7 @@
     ) -> None:
         """Records a commit of this controller.
 
-        `announce_all`: the other controllers are notified of all its changes, not only of the outcomes of jobs.
+        `announce_all`: whether the other controllers are notified of all changes, not only of the outcomes of jobs.
         """
 
     def outcome_of(self, _job: str) -> JobOutcome | None:
--- a/stileloft/store/job_record_policy.py
+++ b/stileloft/store/job_record_policy.py
@@ -1,4 +1,4 @@
-"""Rules for a job's own record: when it is written, and what it has room for."""
+"""Rules for a job's own record: when it is written, and what the record has room for."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
 AMPLE_BUDGET_FRACTION = 0.75
 """Deferrable changes are written while the budget holds more than this fraction of a second's changes."""
 MAX_UNMEASURED_RANGES = 8
-"""The size of a job's record is not checked while its finished chunks form at most this many ranges."""
+"""The size of a job's record is not checked while the job's finished chunks form at most this many ranges."""
 MAX_INLINE_VALUE_FRACTION = 0.5
 """Fraction of the limit of a value that a record with a chunk may take: it still fits if the limit is lowered."""
 
--- a/stileloft/store/job_reloader.py
+++ b/stileloft/store/job_reloader.py
@@ -34,7 +34,7 @@
     record: records.VersionedValue | None
     """The job's record under `active/`; None if the job has ended."""
     end_phase: EndPhase | None
-    """How the job ended; None if it has not."""
+    """How the job ended; None if it has not ended."""
     chunks: list[Item]
 
 
--- a/stileloft/store/job_write_set.py
+++ b/stileloft/store/job_write_set.py
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True)
 class JobWriteSet:
-    """One job's guards, puts and deletes in a transaction, and what changes in the job once it is executed."""
+    """One job's guards, puts and deletes in a transaction, and what the executed transaction changes in the job."""
 
     job: Job
     is_inline: bool = False
-    """The job's own record holds its only chunk once the transaction is executed."""
+    """Whether the job's own record holds the job's only chunk once the transaction is executed."""
     guards: dict[str, int] = field(default_factory=dict)
     """Versions that records must have, by key; 0 if there must be no record."""
     puts: dict[str, StoredValue] = field(default_factory=dict)
@@ -32,10 +32,10 @@
     """Overflow records of the written chunks, by chunk number."""
 
     ends_job: bool = False
-    """The job is done: its record moves to `final/`."""
+    """Whether the job is done: its record then moves to `final/`."""
     writes_job_record: bool = False
     has_chunk_size: bool = False
-    """The job's record, if it is written, states the number of tasks per chunk."""
+    """Whether the job's record, if it is written, states the number of tasks per chunk."""
     counts: StoredCounts = field(default_factory=StoredCounts)
 
     @property
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -24,9 +24,9 @@
         self.record_version = 0
         """The version of the format record; 0 if there is none."""
         self.legacy_chunk_size = records.chunk_size(limits.value_kb)
-        """Tasks per chunk of jobs whose records do not state it."""
+        """Tasks per chunk of jobs whose records do not state this number."""
         self.chunk_size = records.recorded_chunk_size(limits.strictest().value_bytes)
-        """Tasks per chunk of new jobs, once their records may state it."""
+        """Tasks per chunk of new jobs, once their records may state this number."""
         self.on_advance: Callable[[], None] = lambda: None
         """Called after the format has advanced."""
 
--- a/stileloft/store/transaction_batch.py
+++ b/stileloft/store/transaction_batch.py
@@ -8,7 +8,7 @@
 GUARDS_PER_CHANGE = 4
 """Limit on the guards of a transaction, as a multiple of its limit on changes."""
 JOB_END_CHANGES = 4
-"""Changes that the end of a job may take; a transaction with fewer left gets no further job."""
+"""Changes that the end of a job may take; a transaction with fewer changes left gets no further job."""
 
 
 class TransactionBatch:
