--- a/stileloft/scheduling/decision_applier.py
+++ b/stileloft/scheduling/decision_applier.py
@@ -182,7 +182,7 @@
         for victim in preemption.victims:
             placement = machine.placements.get(victim.key)
             if placement is None or placement.stop_grace_s is not None:
-                continue  # the task is gone, or already being stopped, as with another task of its gang
+                continue  # the task is gone, or is being stopped already, for example with its gang
             log.info(
                 "task preempted task=%s attempt=%d machine=%s preemptor=%s/%d",
                 placement.task,
--- a/stileloft/scheduling/workload.py
+++ b/stileloft/scheduling/workload.py
@@ -190,8 +190,8 @@
         """Returns the seconds that a new job with this specification can wait before a machine must be provisioned.
 
         The result is negative if the job would be late even on a machine provisioned at its submission. For a job
-        without a deadline or an objective on completion, the result is the time in which a new machine becomes ready,
-        or 0 if no machine type fits.
+        without a deadline or an objective on completion, the result is the time in which a new machine becomes ready.
+        The result is 0 if no machine type fits.
         """
         machine_types = [machine_type for machine_type in self._types().values() if fits_type(spec, machine_type)]
         if not machine_types:
