--- a/stileloft/controller/administration.py
+++ b/stileloft/controller/administration.py
@@ -93,13 +93,13 @@
         return None if self.rebuild is None else self.rebuild.status()
 
     def snapshot_piece(self, number: int) -> bytes | None:
-        """Returns a piece of this controller's replica for a peer that rebuilds the store; None if there is none."""
+        """Returns a piece of this controller's replica for a peer's rebuild of the store; None if there is no piece."""
         return None if self.rebuild is None else self.rebuild.snapshots.piece(number)
 
     def receive_change_notice(self, body: Any) -> bool:
-        """Applies a peer's change notice; returns whether it could be used."""
+        """Applies a peer's change notice; returns whether the notice could be used."""
         return self.rebuild is not None and self.rebuild.receive_change_notice(body)
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Applies an operator's decision on a job's unresolved tasks; returns None if the job has none."""
+        """Applies an operator's decision on a job's unresolved tasks; returns None if the job has no such tasks."""
         return None if self.rebuild is None else await self.rebuild.decide(job, task, decision)
--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -49,11 +49,11 @@
 LEADER_LEASE_FRACTION = 0.1
 """The leader's lease, as a fraction of the workers' lease."""
 CLAIMING_LEASES = 0.5
-"""How long a new leader claims machines whose workers have not turned to it yet, in worker leases."""
+"""How long a new leader claims machines whose workers do not have its token yet, in worker leases."""
 IDLE_TIMEOUT_LEASES = 4
 """How long unused connections to the servers are kept open, in worker leases."""
 BACKLOG_DIVISOR = 4
-"""The listen backlog is the limit on sockets divided by this."""
+"""The listen backlog is the limit on sockets divided by this number."""
 
 
 class Controller:
@@ -117,7 +117,8 @@
     def _rebuild_feature(self) -> "RebuildService | None":
         if not self.features.rebuild.enabled:
             return None
-        # Imported here, because its library takes memory that controllers without the feature do not need.
+        # These imports stand here because they load pyroaring, which takes memory that controllers without the feature
+        # do not need.
         from stileloft.rebuild.environment import RebuildEnvironment
         from stileloft.rebuild.service import RebuildService
 
@@ -287,7 +288,7 @@
             self.leader.upgrade.on_format_advanced()
 
     def _on_local_cancellation(self, job: str, revision: int) -> None:
-        """Applies a cancellation that this controller stored, if it leads: at once, without waiting for the watch."""
+        """If this controller leads, applies a cancellation that this controller stored; does not wait for the watch."""
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
--- a/stileloft/controller/heartbeat_referrals.py
+++ b/stileloft/controller/heartbeat_referrals.py
@@ -27,7 +27,7 @@
         now = self._clock.seconds()
         self._newest.pop(heartbeat.machine, None)
         self._newest[heartbeat.machine] = now, newest
-        # Entries are kept as long as a delayed duplicate may arrive, however many there are; the oldest is first.
+        # Entries, whatever their number, are kept as long as a delayed duplicate may arrive; the oldest entry is first.
         oldest = next(iter(self._newest))
         if now - self._newest[oldest][0] > RETENTION_LEASES * self._timings.lease_s:
             del self._newest[oldest]
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -65,6 +65,6 @@
                 len(views),
             )
         if not views and self._peers.addresses and now - failing_since > ISOLATION_TIMEOUT_S:
-            # This controller is isolated, rather than in an outage of the service: others can serve its users.
+            # No peer answers either: not the service but this controller is isolated, so others can serve users.
             refused = True
         self.is_refused = refused
