--- a/stileloft/jobs/cancellation.py
+++ b/stileloft/jobs/cancellation.py
@@ -22,7 +22,7 @@
 
 
 class JobCanceller:
-    """Cancels jobs directly in the store; the leader learns of it from its watch."""
+    """Cancels jobs directly in the store; the leader learns of each cancellation by watching the store."""
 
     def __init__(
         self,
--- a/stileloft/jobs/end_reason.py
+++ b/stileloft/jobs/end_reason.py
@@ -14,5 +14,5 @@
     NOT_NEEDED = "not needed"
     JOB_ENDED = "job ended"
     EPOCH_ENDED = "epoch ended"
-    """The worker was restarted, or its lease expired: it killed its tasks, and refuses starts of that epoch."""
+    """The worker was restarted, or its lease expired: it killed its tasks, and refuses starts of the ended epoch."""
     START_FENCED = "start fenced"
--- a/stileloft/jobs/failure_attribution.py
+++ b/stileloft/jobs/failure_attribution.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 FAULTY_MACHINE_JOBS = 2
-"""A machine counts as faulty once tasks of this many jobs failed on it, as slow once tasks of this many were slow."""
+"""A machine counts as faulty once tasks of this many jobs failed there, as slow once tasks of this many ran slowly."""
 MAX_FAILURES = 4
 """A machine with more failures than this is faulty even if only one job fails on it and nowhere else."""
 FAULTY_JOB_MACHINES = 2
@@ -66,7 +66,7 @@
         job.backoff_s = 0.0
 
     def record_run_time(self, machine: Machine, job: Job, run_time_s: float) -> None:
-        """Records a run time, and drains a machine that is much slower than others with tasks of the same jobs."""
+        """Records a run time, and drains a machine that is much slower than others with the same jobs' tasks."""
         elsewhere = sorted(duration for other, duration in job.durations if other != machine.id)
         if len(job.durations) < MAX_SAMPLES:
             job.durations.append((machine.id, run_time_s))
--- a/stileloft/jobs/feasibility.py
+++ b/stileloft/jobs/feasibility.py
@@ -57,6 +57,6 @@
 
 
 def _can_spread(spec: JobSpec, types: dict[str, MachineType]) -> bool:
-    """Whether the job may use several zones, and several zones have machine types that fit it."""
+    """Whether the job may use several zones, and several zones have machine types that fit the job."""
     zones = {zone for kind in types.values() if fits_type(spec, kind) for zone in kind.zones}
     return not spec.one_zone and spec.zone is None and len(zones) > 1
--- a/stileloft/jobs/job_backoff.py
+++ b/stileloft/jobs/job_backoff.py
@@ -10,7 +10,7 @@
 MIN_BACKOFF_S = 1.0
 """The first pause of a job that fails on several machines, in seconds; doubled with each further failure."""
 MAX_BACKOFF_S = 60.0
-"""The longest pause of such a job, in seconds."""
+"""The longest pause of a job that fails on several machines, in seconds."""
 
 
 class JobBackoff:
--- a/stileloft/jobs/job_status.py
+++ b/stileloft/jobs/job_status.py
@@ -12,7 +12,7 @@
 
 MAX_CACHED_OUTCOMES = 5000
 SPARE_READS_FRACTION = 0.5
-"""While the read budget holds more than this fraction of a second's reads, each request has a read of its own."""
+"""While the read budget holds more than this fraction of a second's reads, each request makes its own read."""
 
 
 class JobOutcomes:
@@ -27,7 +27,7 @@
         cached = self._cache.get(job)
         if cached is not None:
             return cached
-        # A job that ended before a rebuild of the store has no record of its own there.
+        # A job that ended before a rebuild of the store has no record of its own in the store.
         outcome = self._integrity.outcome_of(job)
         return None if outcome is None else self.record(job, records.final_record(outcome.phase, outcome.tasks))
 
--- a/stileloft/jobs/job_watch.py
+++ b/stileloft/jobs/job_watch.py
@@ -31,7 +31,7 @@
 
 
 class JobWatch:
-    """Applies submissions and cancellations to the leader's jobs, and measures how old its view of them is."""
+    """Applies submissions and cancellations to the leader's jobs, and measures the age of the leader's view."""
 
     def __init__(
         self,
@@ -59,9 +59,9 @@
         self.revision = 0
         self.watch_s = lease.duration_s * WATCH_LEASE_FRACTION
         self.up_to_date_at = float("-inf")
-        """All cancellations before this time are known: it is when the newest answered request was sent."""
+        """When the newest answered request was sent: all cancellations before this time are known."""
         self._compacted = False
-        """The store no longer holds the changes since `revision`: all jobs have to be read again."""
+        """Whether the store no longer holds the changes since `revision`, so that all jobs have to be read again."""
 
     def staleness_s(self) -> float:
         """Returns the age of the leader's view of cancellations, in seconds; infinite before the store was read."""
@@ -91,7 +91,7 @@
         if not self._lease.active:
             return
         if any(value is None and self._is_unexplained(key) for key, value, _ in events):
-            # The job was cancelled, or the store has lost its record. After a loss, its tasks must not be stopped.
+            # The job was cancelled, or the store has lost the job's record; a lost job's tasks must not be stopped.
             await self._integrity.verify()
         for key, value, version in events:
             self.on_change(key[len(records.ACTIVE) :], value, version)
@@ -126,7 +126,7 @@
         return job is not None and job.end_phase is None and not job.write.commit_in_flight
 
     def on_change(self, job_id: str, value: Any, version: int) -> None:
-        """Adds a new job, or ends one whose record was deleted (`value` is None), by whichever controller."""
+        """Applies any controller's change: adds a new job, or ends a job whose record was deleted (`value` is None)."""
         job = self._cluster.jobs.get(job_id)
         if value is None:
             if job is not None and not job.end_phase:
@@ -150,8 +150,8 @@
         not wait for it; the store is read afterwards to find out how the job ended.
         """
         with self._cluster.lock:
-            # Without a transaction in flight, the job was cancelled, and all that the store holds of it is known,
-            # unless its record held a chunk: that chunk has a record of its own now.
+            # Without a transaction in flight, the job was cancelled, and all that the store holds of the job is known,
+            # unless the job's record held a chunk: this chunk now has its own record.
             unsettled = job.write.commit_in_flight or job.has_inline_chunk
             log.info("job record deleted job=%s revision=%d", job.id, version)
             self._lifecycle.end_job(job, EndPhase.UNSETTLED if unsettled else EndPhase.CANCELLED)
--- a/stileloft/jobs/registry.py
+++ b/stileloft/jobs/registry.py
@@ -55,7 +55,7 @@
         return job_id in self._removed
 
     def prune_removed(self, before: float) -> None:
-        """Forgets jobs removed before this time: requests sent to the store since then return no record of them."""
+        """Forgets jobs removed before this time: later requests to the store return no record of these jobs."""
         while self._removed and next(iter(self._removed.values())) < before:
             del self._removed[next(iter(self._removed))]
 
--- a/stileloft/jobs/shared_scan.py
+++ b/stileloft/jobs/shared_scan.py
@@ -34,7 +34,7 @@
         return waiting
 
     async def _scan(self) -> None:
-        # Later requests wait for the next scan: this one may begin before they arrive.
+        # Later requests wait for the next scan: this scan may begin before they arrive.
         waiting, self._waiting = self._waiting, []
         try:
             self._store.take_reads()
--- a/stileloft/jobs/task_lifecycle.py
+++ b/stileloft/jobs/task_lifecycle.py
@@ -98,7 +98,7 @@
                 self.reconcile_gang(job)
 
     def reconcile_gang(self, job: Job) -> None:
-        """Ends all tasks of a gang if one of them is done; stops the remaining ones if one is lost."""
+        """Ends all tasks of a gang if one of them is done; stops the remaining tasks if a task is lost."""
         if job.end_phase or job.reload_pending:
             return
         if gangs.is_completed(job):
@@ -125,7 +125,7 @@
     def stop(self, placement: Placement, grace_s: float | None = None) -> None:
         """Stops a task, and at the same time all others of its gang.
 
-        `grace_s`: time to save a checkpoint, in seconds; None for that of a pending stop, or else the job's default.
+        `grace_s`: time to save a checkpoint, in seconds; None for a pending stop's grace, or else the job's default.
         """
         job = self._cluster.jobs.get(placement.job)
         placements = list(job.placements()) if job is not None and job.spec.is_gang else [placement]
