--- a/stileloft/machines/boot_monitor.py
+++ b/stileloft/machines/boot_monitor.py
@@ -1,4 +1,4 @@
-"""Detection of machines that boot late, and of instance offers whose machines repeatedly do."""
+"""Detection of machines that boot late, and of instance offers whose machines repeatedly boot late."""
 
 import logging
 
@@ -11,9 +11,9 @@
 log = logging.getLogger(__name__)
 
 OVERDUE_BOOT_TIMES = 1.6
-"""Multiple of its type's boot time after which a machine is overdue; normal boots take at most 1.5 times that time."""
+"""A machine is overdue after this multiple of its type's boot time; normal boots take at most 1.5 times that time."""
 ABANDONED_BOOT_TIMES = 3.0
-"""Multiple of its type's boot time after which a machine that is not up is released."""
+"""A machine that is not up is released after this multiple of its type's boot time."""
 UNRELIABLE_AFTER_OVERDUE_BOOTS = 2
 """Consecutive overdue machines after which their offer counts as unreliable."""
 MAX_UNRELIABLE_BOOT_TIMES = 8.0
--- a/stileloft/machines/image_locations.py
+++ b/stileloft/machines/image_locations.py
@@ -21,7 +21,7 @@
 FULL_INTERVAL_TRANSACTIONS = 64
 """Intervals become shorter when the unrecorded machines take more transactions than this."""
 MAX_IMAGES_PER_MACHINE = 40
-"""Images that a machine is assumed to keep; beyond these the least recently used one is dropped."""
+"""Images that a machine is assumed to keep; beyond these the least recently used image is dropped."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
             self._records_to_delete -= set(changes.deleted)
 
     def _recorded_images(self, machine: Machine) -> list[str]:
-        """Returns the machine's most recently used images that fit into one value."""
+        """Returns the machine's most recently used images, limited to what fits into one value of the store."""
         images = list(machine.images)
         while records.json_bytes(images) > self._store.limits.max_value_bytes:
             images = images[1 + len(images) // 8 :]
--- a/stileloft/machines/inventory.py
+++ b/stileloft/machines/inventory.py
@@ -27,7 +27,7 @@
 class MachineInventory:
     """Reads the cloud's machine list page by page, in a loop.
 
-    Each page is applied as it arrives, and a failed page is requested again by itself. If a list of many pages were
+    Each page is applied as it arrives, and only a failed page is requested again. If a list of many pages were
     read without pauses and from the start, it would exhaust the cloud's request limit before its end, and would never
     be complete.
     """
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -30,9 +30,10 @@
     def is_suspected(self, machines: list[Machine], now: float) -> bool:
         """Whether so many machines are silent that a partition is suspected, and none of them may be released yet."""
         up = [m for m in machines if m.up_since is not None or m.cloud_state == "running"]
-        # Heartbeats arrive at different times, so a lost link affects all machines only after a heartbeat interval.
-        # Machines count as silent well before the failure time-out: otherwise the first one whose failure time-out ends
-        # would be released before most of them are silent.
+        # Heartbeats arrive at different times, so after a link is lost, it takes a heartbeat interval until all
+        # machines have missed a heartbeat. Machines therefore count as silent well before the failure time-out:
+        # otherwise the machine that reaches its failure time-out first would be released before most machines count as
+        # silent.
         silent = [m for m in up if now - self._last_heartbeat_at(m) > self._timeouts.suspicion_s]
         suspected = len(up) > 1 and len(silent) * 2 > len(up) and now > self._failures_confirmed_until
         if suspected and not self._query_in_flight:
@@ -58,7 +59,7 @@
         # A machine whose heartbeat has arrived during the query was only slow.
         still_silent = [machine for machine in silent if machine.last_heartbeat_at == heartbeats_at_query[machine.id]]
         # A delayed duplicate that reached a peer does not show that a machine is alive: only heartbeats newer than the
-        # last one received here count.
+        # last heartbeat received here count.
         reaching_peers = sum(
             1
             for machine in still_silent
--- a/stileloft/machines/provision_records.py
+++ b/stileloft/machines/provision_records.py
@@ -18,8 +18,8 @@
 class ProvisionRecords:
     """Records newly provisioned machines, which the cloud's list may not show yet, for the next leader.
 
-    Each request has its own record, which is overwritten once it is no longer needed: one record for all machines of a
-    large cluster would exceed the store's limit on values.
+    Each request has its own record, because one record for all machines of a large cluster would exceed the store's
+    limit on values. A record is overwritten once it is no longer needed.
     """
 
     def __init__(
--- a/stileloft/machines/scale_in.py
+++ b/stileloft/machines/scale_in.py
@@ -59,7 +59,7 @@
         """When the cloud confirmed the release of each machine, by machine id, on the leader's clock."""
 
     def release(self, machine: Machine, reason: str) -> None:
-        """Queues a machine for release, unless it is queued; `reason` becomes its drain reason if it has none."""
+        """Queues a machine for release, unless it is queued; sets its drain reason to `reason` if it has none."""
         if machine.releasing:
             return
         machine.releasing = True
