--- a/stileloft/model/chunk_records.py
+++ b/stileloft/model/chunk_records.py
@@ -130,7 +130,7 @@
 
 
 def _load_placements(job: str, stored: Mapping[int, StoredPlacement], previous: Chunk | None) -> dict[int, Placement]:
-    """Returns the stored placements; the objects in `previous` are reused for those that have not changed."""
+    """Returns the stored placements; the objects in `previous` are reused for unchanged placements."""
     previous_placements = previous.placements if previous else {}
     placements: dict[int, Placement] = {}
     for index, new in stored.items():
--- a/stileloft/model/inflight_starts.py
+++ b/stileloft/model/inflight_starts.py
@@ -12,7 +12,7 @@
     """The start command of one attempt, in the worker's current epoch."""
 
     first_sent_at: float
-    """By this leader's clock, in seconds."""
+    """When the start was first sent, by this leader's clock, in seconds."""
     token: int
     """The highest token under which the start was sent."""
     epoch: int
@@ -56,7 +56,7 @@
     def drop_fenced(self, epoch: int, acknowledged_token: int) -> None:
         """Removes starts of an earlier epoch or with a lower token.
 
-        A worker that is in this epoch and has seen this token refuses them.
+        A worker that is in this epoch and has seen this token refuses these starts.
         """
         refused = [
             key for key, start in self.by_attempt.items() if start.epoch < epoch or start.token < acknowledged_token
--- a/stileloft/model/job_write_state.py
+++ b/stileloft/model/job_write_state.py
@@ -10,9 +10,9 @@
     """A job's unwritten changes and its transactions in flight. Times are by the leader's clock."""
 
     dirty: bool = False
-    """The job has unwritten changes."""
+    """Whether the job has unwritten changes."""
     flush_now: bool = False
-    """The changes are written without delay, whereas completions may wait while the job has further tasks."""
+    """Whether the changes are written without delay; completions may wait while the job has further tasks."""
     coalescing_since: float | None = None
     """When the first of the completions that wait to be written together was recorded; None if none waits."""
     order: int = 0
@@ -22,9 +22,9 @@
     commit_began_at: float = float("-inf")
     """When the newest transaction with records of the job began."""
     commit_in_flight: bool = False
-    """A transaction with records of the job is in flight, or its outcome is unknown."""
+    """Whether a transaction with records of the job is in flight or has an unknown outcome."""
     has_unresolved_commit: bool = False
-    """A transaction got no answer, and may still be executed, even after newer ones."""
+    """Whether a transaction got no answer and may still be executed, even after newer transactions."""
     stored_counts: StoredCounts = field(default_factory=StoredCounts)
     """The counts in the store, which users are shown."""
     counts_stored_at: float = 0.0
--- a/stileloft/model/jobs.py
+++ b/stileloft/model/jobs.py
@@ -47,7 +47,7 @@
         """Upper bound of the bytes of the record without a chunk; None until it is computed."""
         self.write = JobWriteState()
         self.reload_pending = False
-        """The job is being reloaded; until then none of its tasks is started, and none of its records is written."""
+        """Whether a reload of the job is pending; until its end no task of the job is started and no record written."""
 
         # Its tasks.
         self.chunks: dict[int, Chunk] = {}
@@ -66,7 +66,7 @@
 
         # Progress, failures and preemptions.
         self.started = False
-        """One of the job's tasks has run."""
+        """Whether one of the job's tasks has run."""
         self.last_placed_at = float("-inf")
         """When a task of the job was last placed."""
         self.failed_machines: set[str] = set()
@@ -80,7 +80,7 @@
 
     @property
     def id(self) -> str:
-        """The id that the job's user gave it."""
+        """The job's id, chosen by its user."""
         return self.spec.id
 
     @property
--- a/stileloft/model/machines.py
+++ b/stileloft/model/machines.py
@@ -49,13 +49,14 @@
     sequence: int = 0
     """Sequence number of the newest accepted heartbeat within the epoch."""
     has_current_token: bool = False
-    """The newest heartbeat carries a token of this leader."""
+    """Whether the newest heartbeat carries a token of this leader."""
     heartbeat_received: bool = False
     last_heartbeat_at: float = 0.0
     claimed: bool = False
-    """A heartbeat with a token of this leader has arrived: no former leader can renew the worker's lease."""
+    """Whether a token of this leader has arrived in a heartbeat: no former leader can then renew the worker's lease."""
     lease_renewed_at: float = float("-inf")
-    """When the worker's lease was last renewed, or may have been: by an answer, a claim or a new epoch."""
+    """When the worker's lease was last renewed or may last have been renewed: at an answer to a heartbeat, at the
+    heartbeat that completed the claim, or at the first heartbeat of a new epoch."""
     last_pushed_heartbeat_at: float = float("-inf")
     """When the worker last sent an unsolicited heartbeat; answers to commands renew no lease and do not count."""
     last_reachable_at: float = float("-inf")
@@ -67,13 +68,13 @@
     provisioned_at: float = 0.0
     """When the machine was requested from the cloud; 0 if unknown."""
     boot_overdue: bool = False
-    """The machine was not up in time, and is no longer counted as coming up."""
+    """Whether the machine was not up in time, and is no longer counted as coming up."""
     reclaim_at: float | None = None
     """When the cloud reclaims the spot instance; None if no reclaim is announced."""
     cloud_state: str = ""
     """State in the cloud's newest list; empty if the machine was not listed yet."""
     releasing: bool = False
-    """The machine's release is queued or requested."""
+    """Whether the machine's release is queued or requested."""
     drain_reason: str | None = None
     """Why no more tasks are started on the machine; None if it is not drained."""
 
@@ -90,7 +91,7 @@
 
     # Commands to the worker.
     command_in_flight: bool = False
-    """A command was sent and has not been answered; at most one is in flight."""
+    """Whether a command was sent and has not been answered; at most one command is in flight."""
     send_failures: int = 0
     """Consecutive commands that failed."""
     retry_at: float = 0.0
--- a/stileloft/model/nominations.py
+++ b/stileloft/model/nominations.py
@@ -6,7 +6,7 @@
 from stileloft.protocol.messages import JobSpec
 
 EXPECTED_JOB_ID = "expected"
-"""Stands for the job id of tasks for which room is kept although their job has not been submitted yet."""
+"""Stands for the job id of tasks for which room is kept although the tasks' job has not been submitted yet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     rank: int
     spec: JobSpec
     expires_at: float
-    """By the leader's clock; 0 in nominations that exist only within a scheduling cycle."""
+    """Time of expiry by the leader's clock; 0 in nominations that exist only within a scheduling cycle."""
 
     @property
     def is_expected(self) -> bool:
--- a/stileloft/model/placements.py
+++ b/stileloft/model/placements.py
@@ -45,7 +45,7 @@
     stop_sent_at: float = 0.0
     """When this leader last sent the stop."""
     preemption_exempt: bool = False
-    """Because of its job's age the task was placed before tasks of higher priority, which do not preempt it."""
+    """Whether the task was placed before tasks of higher priority because of its job's age; they do not preempt it."""
 
     @property
     def key(self) -> TaskKey:
--- a/stileloft/model/records/forms.py
+++ b/stileloft/model/records/forms.py
@@ -68,7 +68,7 @@
 
 
 class ChunkRecord(Struct, frozen=True):
-    """A chunk's main record; it states its tasks' resources, because the job's record may be gone when it is read."""
+    """A chunk's main record; it states its tasks' resources, because the job's record may be deleted earlier."""
 
     resources: TaskResources | UnsetType = field(name="r", default=UNSET)
     attempt: int = field(name="a", default=0)
--- a/stileloft/model/records/sizes.py
+++ b/stileloft/model/records/sizes.py
@@ -36,7 +36,7 @@
 
 
 def recorded_chunk_size(value_bytes: int) -> int:
-    """Returns the tasks per chunk in formats whose records state it: as many as a record has room for, with a margin.
+    """Returns the chunk size in formats whose records state it: as many tasks as a record has room for, with a margin.
 
     Each chunk that is written is one change of the store, however many of its tasks have changed. But a chunk must not
     need more records than a transaction has changes, even if the store's limits become lower than announced.
--- a/stileloft/model/resources.py
+++ b/stileloft/model/resources.py
@@ -7,7 +7,7 @@
 EPSILON = 1e-6
 """Tolerance of comparisons, because sums of amounts are not exact."""
 UNBOUNDED_SLOTS = 1_000_000
-"""Number of tasks for which a resource that they do not request counts as having room."""
+"""Number of tasks for which a resource that the tasks do not request counts as having room."""
 
 
 class ResourceAmounts(Protocol):
