--- a/stileloft/protocol/peers.py
+++ b/stileloft/protocol/peers.py
@@ -14,7 +14,7 @@
 SNAPSHOT_PATH = "/rebuild/snapshot/"
 CHANGE_NOTICE_PATH = "/rebuild/notes"
 SNAPSHOT_TIMEOUT_FACTOR = 5.0
-"""Time-out for a piece of a replica, as a multiple of that for a view; a piece takes longer to build and send."""
+"""Time-out for a piece of a replica, as a multiple of a view's time-out; a piece takes longer to build and send."""
 
 
 class PeerView(Struct, omit_defaults=True):
@@ -26,7 +26,7 @@
     """Machines whose heartbeats the controller recently referred to the leader: (epoch, sequence) of the newest one."""
     member: str = ""
     reads: int = 0
-    """The newest record format that the controller reads; 0 if not sent, as by the version before gangs existed."""
+    """The newest record format that the controller reads; 0 if not sent: the version before gangs does not send it."""
     protects: bool = False
     """Whether the controller protects the store's records against loss."""
     deployment: str = ""
--- a/stileloft/protocol/rebuild_admin.py
+++ b/stileloft/protocol/rebuild_admin.py
@@ -37,7 +37,7 @@
         ...
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Stores an operator's decision about unresolved tasks; returns None if the job has none."""
+        """Stores an operator's decision about unresolved tasks; returns None if the job has no such tasks."""
         ...
 
 
--- a/stileloft/rebuild/change_broadcast.py
+++ b/stileloft/rebuild/change_broadcast.py
@@ -52,5 +52,7 @@
     def _send_to(self, address: str, notice: ChangeNotice) -> None:
         sent = self._environment.peers.send_change_notice(address, msgspec.to_builtins(notice))
         defer.ensureDeferred(sent).addErrback(
-            lambda failure: log.error("change notice failed peer=%s error=%s", address, failure.getTraceback())
+            lambda failure: log.error(
+                "sending of change notice failed peer=%s error=%s", address, failure.getTraceback()
+            )
         )
--- a/stileloft/rebuild/change_notice.py
+++ b/stileloft/rebuild/change_notice.py
@@ -1,4 +1,4 @@
-"""The message in which a controller announces changes to the others when it confirms them to its users."""
+"""The message that announces changes to the other controllers when a controller confirms these changes to its users."""
 
 from typing import Any
 
--- a/stileloft/rebuild/evidence.py
+++ b/stileloft/rebuild/evidence.py
@@ -19,7 +19,8 @@
 
     replica: MergedReplica
     stored_records: Mapping[str, Any]
-    """Records in the store: from an older state or an interrupted rebuild, or of jobs accepted since the loss."""
+    """Records in the store: those of an older state to which the store went back, those written by an interrupted
+    rebuild, and those of jobs accepted since the loss."""
     heartbeats: Mapping[str, Heartbeat]
     """Newest heartbeat of each machine that has sent one since the loss."""
     run_once_classes: frozenset[str]
@@ -43,7 +44,7 @@
 
     @property
     def precedence(self) -> tuple[bool, bool, int]:
-        """Sort key of a task's attempts: a completed one counts most, then one that has not exited, then the newest."""
+        """Sort key of a task's attempts: a completed attempt counts most, then a not exited one, then the newest."""
         task = self.task
         return (
             task.state == TaskState.EXITED and task.exit_reason == ExitReason.DONE,
--- a/stileloft/rebuild/heartbeat_collector.py
+++ b/stileloft/rebuild/heartbeat_collector.py
@@ -9,7 +9,7 @@
 from stileloft.rebuild.token_history import TokenHistory
 from stileloft.transport.server import Response, retry_later
 
-# Lower than every issued token: a worker drops an answer with it.
+# Lower than every issued token: a worker drops an answer with this token.
 STALE_TOKEN = 0
 RETRY_AFTER_S = 1
 
--- a/stileloft/rebuild/identity.py
+++ b/stileloft/rebuild/identity.py
@@ -19,10 +19,10 @@
     generation: Annotated[int, Meta(ge=1)] = FIRST_GENERATION
     """Incremented by each rebuild."""
     token_base: Annotated[int, Meta(ge=0)] = 0
-    """Fencing tokens are this plus the version of the leader key: a wiped store counts versions from the start again,
-    and tokens must not repeat."""
+    """Number added to the leader key's version to form a fencing token: a wiped store counts versions from the start
+    again, and tokens must not repeat."""
     rebuilding: bool = False
-    """Whether a leader is writing the records back; a missing record may not have been written yet."""
+    """Whether a leader is writing the records back, so that a missing record may not have been written yet."""
     unreconciled_members: tuple[str, ...] = field(default=(), name="unheard")
     """Controllers whose replicas the rebuild could not read: they may know records that the store lacks."""
 
--- a/stileloft/rebuild/job_outcomes.py
+++ b/stileloft/rebuild/job_outcomes.py
@@ -82,7 +82,7 @@
         return None
 
     def update(self, other: "JobOutcomes") -> None:
-        """Adds the jobs of another set that this one lacks."""
+        """Adds the jobs of another set that this set lacks."""
         for job, outcome in other.items():
             self.add(job, outcome)
 
--- a/stileloft/rebuild/job_reconciler.py
+++ b/stileloft/rebuild/job_reconciler.py
@@ -1,6 +1,6 @@
 """Reconciles an unfinished job's records with the workers' heartbeats.
 
-This is needed if the merged replica may be out of date. It is done once all tasks that no heartbeat lists have
+Reconciliation is needed if the merged replica may be out of date. It begins once all tasks that no heartbeat lists have
 certainly ended: the heartbeats then show where the tasks are, and the replica shows only which tasks existed.
 """
 
--- a/stileloft/rebuild/loss_detector.py
+++ b/stileloft/rebuild/loss_detector.py
@@ -73,7 +73,7 @@
     async def _check_first(self) -> None:
         """Runs the first check: a store without an identity is new, not protected yet, or has lost all records."""
         # Peers are asked before the store is read. In the opposite order, a peer could assign an identity after the
-        # read and then report it, and the store would seem to have lost it.
+        # read and then report this identity, and the store would seem to have lost the identity.
         views = await self._environment.peers.views()
         found, revision = await self._state.lookup_at(records.IDENTITY)
         expected, replica = self._store.identity, self._replicas.current
--- a/stileloft/rebuild/missed_changes.py
+++ b/stileloft/rebuild/missed_changes.py
@@ -1,6 +1,6 @@
 """Reconciliation after a rebuild: adds changes of the lost store that the rebuild missed and this controller knows.
 
-A rebuild misses them if the controller was down or unreachable while the records were written back.
+A rebuild misses changes if the controller was down or unreachable while the records were written back.
 """
 
 import logging
@@ -28,7 +28,7 @@
 
 
 class MissedChangesReconciler:
-    """Adds outcomes and accepted jobs that the rebuilt store lacks; overwrites nothing that was accepted since.
+    """Adds outcomes and accepted jobs that the rebuilt store lacks; overwrites nothing accepted since the loss.
 
     Users were told of these outcomes and jobs, so an ended job must stay ended, and an accepted job must stay known.
     """
@@ -69,7 +69,7 @@
         self._store.accept_identity(reconciled, await self._state.commit(self._store.guards(), puts, []))
 
     async def _record_outcome(self, job: str, outcome: JobOutcome, active_version: int) -> None:
-        """Records a job's outcome; the same transaction deletes its record as an unfinished job, if there is one."""
+        """Records a job's outcome, and in the same transaction deletes the job's active record if it exists."""
         active, final = records.active_key(job), records.final_key(job)
         guards = {active: active_version, final: 0, **self._store.guards()}
         value = records.final_record(outcome.phase, outcome.tasks)
--- a/stileloft/rebuild/peer_replicas.py
+++ b/stileloft/rebuild/peer_replicas.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-# Maximum number of pieces that are read of a snapshot; a longer one is refused.
+# Maximum number of pieces that are read of a snapshot; a snapshot with more pieces is refused.
 MAX_PIECES = 10_000
 
 
--- a/stileloft/rebuild/protection.py
+++ b/stileloft/rebuild/protection.py
@@ -105,7 +105,7 @@
         self._tokens.observe(token)
 
     def record_raised_token(self, token: int) -> None:
-        """Records a token above the one of the election, which this leader issues to a worker."""
+        """Records a token that this leader issues to a worker, and that is above the token of the election."""
         self._tokens.record_raised(token)
 
     # -- changes --------------------------------------------------------------------
@@ -115,7 +115,7 @@
     ) -> None:
         """Applies a commit of this controller to the replica, and notifies the other controllers.
 
-        With `announce_all` they are notified of all changes that users are told of, otherwise only of jobs' outcomes.
+        With `announce_all` the notice contains all changes that users are told of, otherwise only jobs' outcomes.
         """
         identity = self._store.identity
         if self._store.phase is not StorePhase.SOUND or identity is None:
--- a/stileloft/rebuild/rebuilder.py
+++ b/stileloft/rebuild/rebuilder.py
@@ -56,7 +56,7 @@
 
 
 class Rebuilder:
-    """One leader's rebuild of the store; after a change of leader, the next one starts from the beginning."""
+    """One leader's rebuild of the store; after a change of leader, the next leader starts from the beginning."""
 
     def __init__(self, parts: RebuildParts, token: int, on_finished: Callable[[], None]) -> None:
         self._environment = environment = parts.environment
@@ -157,7 +157,7 @@
     def _have_unlisted_tasks_ended(self) -> bool:
         """Whether the tasks that no heartbeat lists have ended, as their workers' leases have expired.
 
-        The last leader can have renewed leases only within its grace after the loss.
+        The last leader can have renewed leases only within the renewal grace after the loss.
         """
         lost_at = self._store.lost_at or self._started_at
         latest_lease_s = self._environment.worker_lease_s * (1 + EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
--- a/stileloft/rebuild/reconstruction.py
+++ b/stileloft/rebuild/reconstruction.py
@@ -40,7 +40,7 @@
 
 
 class _Reconstructor:
-    """Collects the records that the store should hold, then compares them with those that it holds."""
+    """Collects the records that the store should hold, then compares them with the records in the store."""
 
     def __init__(self, evidence: Evidence) -> None:
         self._evidence = evidence
@@ -127,7 +127,7 @@
 
     @functools.cached_property
     def _silent_machines(self) -> list[str]:
-        """Machines that the replica names, and that have sent no heartbeat since the loss."""
+        """Returns the machines that the replica names, and that have sent no heartbeat since the loss."""
         named: set[str] = set()
         for _, value in self._records(records.PROVISIONED):
             named |= set(value["m"])
@@ -144,7 +144,7 @@
         self._target_records[records.UNRESOLVED + job] = unresolved_tasks.to_record(unresolved)
 
     def _keep_jobs_without_spec(self) -> None:
-        """Keeps jobs that only heartbeats name: workers have tasks of accepted jobs only, which must stay known."""
+        """Keeps jobs that only heartbeats name: workers have tasks only of accepted jobs, which must stay known."""
         for job, reported in self._reported.items():
             active = records.active_key(job)
             if active in self._target_records or active in self._evidence.stored_records or self._has_ended(job):
--- a/stileloft/rebuild/record_writer.py
+++ b/stileloft/rebuild/record_writer.py
@@ -32,7 +32,7 @@
         self._stored: dict[str, Any] = {}
         """Values in the store, by key."""
         self._versions: dict[str, int] = {}
-        """Versions of these records, by key."""
+        """Versions of the records in the store, by key."""
         self.written = 0
         """Changes committed by the last `write` so far."""
         self.to_write = 0
--- a/stileloft/rebuild/replica.py
+++ b/stileloft/rebuild/replica.py
@@ -51,7 +51,7 @@
     """Records of the store with the versions in which they were last seen, and job outcomes.
 
     Changes come from the store's change feed, in order but delayed, and from this and other controllers as they
-    commit. So a change is not applied if a newer one of the same key has been applied.
+    commit. So a change is not applied if a newer change of the same key has been applied.
     """
 
     def __init__(self, generation: int = 0) -> None:
@@ -64,7 +64,7 @@
         self.records: dict[str, StoredRecord] = {}
         self.outcomes = JobOutcomes()
         self._deleted: dict[str, int] = {}
-        """Versions of deletions after `revision`, by key: the feed may still deliver older changes of the keys."""
+        """Versions of deletions after `revision`, by key: the feed may still deliver older changes of these keys."""
 
     def apply(self, key: str, value: Any, version: int) -> None:
         """Applies a change of a record; a value of None is a deletion."""
--- a/stileloft/rebuild/replica_merge.py
+++ b/stileloft/rebuild/replica_merge.py
@@ -26,8 +26,8 @@
     """Returns the merged replica of one deployment's snapshots; of all snapshots if `deployment` is None.
 
     `highest_token` is the highest token that this controller saw before the loss; tokens above `token_base` were issued
-    after it. Records come only from replicas of the newest generation, since versions of different generations are not
-    comparable.
+    after the loss. Records come only from replicas of the newest generation, since versions of different generations
+    are not comparable.
     """
     usable = [s for s in snapshots if deployment is None or s.holder.deployment == deployment]
     merged = MergedReplica(highest_token=highest_token)
--- a/stileloft/rebuild/service.py
+++ b/stileloft/rebuild/service.py
@@ -48,7 +48,7 @@
             MissedChangesReconciler(environment, self.store, self.replicas, self._detector),
         )
         self._rebuilder: Rebuilder | None = None
-        """The rebuild that this controller is leading; None if there is none."""
+        """The rebuild that this controller is leading; None if it leads no rebuild."""
         self._refused_notices = 0
 
     def start(self) -> None:
@@ -79,13 +79,13 @@
             self._rebuilder = None
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> Response | None:
-        """Answers a worker's heartbeat during a rebuild; returns None if this controller leads none."""
+        """Answers a worker's heartbeat during a rebuild; returns None if this controller leads no rebuild."""
         return None if self._rebuilder is None else self._rebuilder.on_heartbeat(heartbeat)
 
     # -- requests of other controllers and operators --------------------------------------
 
     def receive_change_notice(self, body: Any) -> bool:
-        """Applies another controller's change notice; returns whether it was valid."""
+        """Applies another controller's change notice; returns whether the notice was valid."""
         try:
             notice = parse_change_notice(body)
         except InvalidChangeNoticeError as error:
@@ -97,7 +97,7 @@
         return True
 
     async def decide(self, job: str, task: int | None, decision: str) -> dict[str, Any] | None:
-        """Stores an operator's decision about unresolved tasks; returns None if the job has none.
+        """Stores an operator's decision about unresolved tasks; returns None if the job has no such tasks.
 
         Raises the errors of `DecisionRecorder.record`.
         """
--- a/stileloft/rebuild/snapshot.py
+++ b/stileloft/rebuild/snapshot.py
@@ -24,7 +24,7 @@
     last_term_token: int = field(default=0, name="led_token")
     """Highest token under which this process has led; its replica holds everything that it committed."""
     last_term_generation: int = field(default=0, name="led_generation")
-    """Generation of the store in that term."""
+    """Generation of the store in this process's last term as the leader."""
     highest_token: int = 0
     """Highest token that the controller has seen."""
 
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -45,7 +45,7 @@
         self.identity: Identity | None = None
         self.identity_version = 0
         self.lost_at: float | None = None
-        """Time of the first loss since the store was last sound, by this process's clock; None if there was none."""
+        """Time of the first loss since the store was last sound, by this process's clock; None if there was no loss."""
         self.reason = ""
         """Why the store was marked as lost; empty once it is sound again."""
         self._revision_at_loss = 0
--- a/stileloft/rebuild/stored_jobs.py
+++ b/stileloft/rebuild/stored_jobs.py
@@ -42,7 +42,7 @@
     value: dict[str, Any]
     """The job's own record."""
     chunks: dict[str, Any] = field(default_factory=dict)
-    """The records of its chunks, by key."""
+    """The records of the job's chunks, by key."""
 
     @functools.cached_property
     def spec(self) -> JobSpec:
@@ -82,7 +82,7 @@
         return chunk
 
     def store_chunk(self, number: int, chunk: StoredChunk) -> None:
-        """Puts a chunk into the job's own record if that holds the chunk inline, or else into a chunk record."""
+        """Puts a chunk into the job's own record if this record holds the chunk inline, or else into a chunk record."""
         if self.inline_chunk is not None:
             self.value = self.value | {records.INLINE_CHUNK: chunk.to_value()}
         else:
--- a/stileloft/rebuild/token_history.py
+++ b/stileloft/rebuild/token_history.py
@@ -7,7 +7,7 @@
     def __init__(self) -> None:
         self.highest = 0
         self.highest_before_loss = 0
-        """Highest token known when this controller began a rebuild, which is the last leader's; 0 after the rebuild."""
+        """Highest token known when this controller began a rebuild: the last leader's token; 0 after the rebuild."""
         self.last_term_token = 0
         self.last_term_generation = 0
         """Generation of the store in this controller's last term."""
@@ -17,7 +17,7 @@
         self.highest = max(self.highest, token)
 
     def record_raised(self, token: int) -> None:
-        """Records that this leader issued a token above the one of its election."""
+        """Records that this leader issued a token above the token of its election."""
         # After a loss, the controller that led under the highest known token counts as the last leader.
         self.last_term_token = max(self.last_term_token, token)
         self.observe(token)
--- a/stileloft/settings.py
+++ b/stileloft/settings.py
@@ -110,7 +110,7 @@
     rps: Positive
     """Requests a second."""
     list_lag_s: NonNegative
-    """Seconds by which the cloud's list of machines may lag behind its actual state."""
+    """Seconds by which the cloud's list of machines may lag behind the cloud's actual state."""
 
 
 class Quota(Struct, frozen=True):
--- a/stileloft/transport/clock.py
+++ b/stileloft/transport/clock.py
@@ -28,4 +28,4 @@
 
 
 WallClock = Callable[[], float]
-"""Returns the wall-clock time in seconds since the Unix epoch; it may be set back."""
+"""Returns the wall-clock time in seconds since the Unix epoch; the wall clock may be set back."""
--- a/stileloft/transport/server.py
+++ b/stileloft/transport/server.py
@@ -35,7 +35,7 @@
 
 
 def retry_later(status: int, reason: str, after_s: float) -> Response:
-    """Returns an error response with a Retry-After header, which must be whole seconds: `after_s`, rounded; min. 1."""
+    """Returns an error response; Retry-After, which must be whole seconds, is `after_s` rounded, but at least 1."""
     return Response(status, {"error": reason}, {"Retry-After": str(max(1, round(after_s)))})
 
 
@@ -174,7 +174,7 @@
 
 def make_site(router: Router, idle_s: float) -> server.Site:
     """Returns a server for a router's paths; it closes connections that are idle for `idle_s` seconds."""
-    # Bodies are never forms, and checking for one would take a third of a heartbeat's processing time.
+    # Bodies are never forms, and checking for a form would take a third of a heartbeat's processing time.
     site: Any = server.Site(router, requestFactory=LimitedRequest, timeout=idle_s, parsePOSTFormSubmission=False)
     # No access log, since it would take time in each request; failures are logged where they occur.
     site.log = lambda _request: None
