--- a/stileloft/cli.py
+++ b/stileloft/cli.py
@@ -93,7 +93,7 @@
 
 
 def _serve(path: str, features_path: str | None) -> int:
-    # Imported here, since the other commands do not need the network.
+    # These imports stand here, since the other commands do not need the network.
     from stileloft import features, logs, settings
 
     try:
--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -65,6 +65,6 @@
                 len(views),
             )
         if not views and self._peers.addresses and now - failing_since > ISOLATION_TIMEOUT_S:
-            # No peer answers either: not the service but this controller is isolated, so others can serve users.
+            # No peer answers either: this controller is isolated, not the service; other controllers can serve users.
             refused = True
         self.is_refused = refused
