--- a/stileloft/controller/state_service_check.py
+++ b/stileloft/controller/state_service_check.py
@@ -56,7 +56,8 @@
     async def _compare_with_peers(self, now: float, failing_since: float) -> None:
         """Compares with the other controllers' views, after a request of this controller has failed."""
         views = await self._peers.views()
-        # Peers that were served only before this controller's failures began prove nothing: the outage may affect all.
+        # A peer counts only if the state service has served it since this controller's requests began to fail: earlier
+        # service does not rule out an outage for all controllers.
         refused = any(view.served_ago_s < now - failing_since for view in views)
         if refused and not self.is_refused:
             log.info(
--- a/stileloft/machines/partition_detector.py
+++ b/stileloft/machines/partition_detector.py
@@ -48,8 +48,8 @@
     async def _query_peers(self, silent: list[Machine]) -> None:
         """Finds out whether the silent machines have failed, or the leader is partitioned from them.
 
-        Workers that do not reach the leader try the other controllers, which remember the heartbeats that they refer
-        to the leader.
+        A worker that does not reach the leader sends its heartbeats to the other controllers. Each of them refers the
+        worker to the leader, and remembers the heartbeat.
         """
         heartbeats_at_query = {machine.id: machine.last_heartbeat_at for machine in silent}
         views = await self._peers.views()
--- a/stileloft/machines/worker_leases.py
+++ b/stileloft/machines/worker_leases.py
@@ -25,9 +25,9 @@
         """Whether the worker's lease has certainly expired, so that the worker has killed the machine's tasks."""
         margin_s = self._worker_lease_s * (EXPIRY_MARGIN_LEASES + 2 * MAX_CLOCK_DRIFT)
         # Until the worker is known to have this leader's token, a former leader may still renew the worker's lease: a
-        # leader does so for the renewal grace without a confirmed leadership. An answered heartbeat does not rule this
-        # out: the heartbeat may have been delayed and have arrived just as this leadership began, from a worker that
-        # still reaches the former leader.
+        # leader goes on renewing leases for the renewal grace after its leadership was last confirmed. A heartbeat that
+        # this leader has answered does not rule out such renewals: it may have been delayed and have arrived just as
+        # this leadership began, from a worker that still reaches the former leader.
         renewed_at = machine.lease_renewed_at
         if not machine.claimed:
             renewed_at = max(renewed_at, self._lease.began_at + self._lease.renewal_grace_s)
--- a/stileloft/model/quota.py
+++ b/stileloft/model/quota.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class QuotaUsage:
-    """Resources used by a team's placed tasks, including those on silent machines."""
+    """Resources used by a team's placed tasks, including tasks on machines that send no heartbeats."""
 
     cpus: float = 0.0
     gpus: float = 0.0
--- a/stileloft/protocol/cloud.py
+++ b/stileloft/protocol/cloud.py
@@ -70,17 +70,20 @@
     async def provision(
         self, request: str, type_name: str, zone: str, spot: bool, count: int, is_wanted: Callable[[], bool]
     ) -> list[str]:
-        """Provisions machines and returns their names; raises `NoCapacityError` or `CloudError`.
+        """Provisions at most `PROVISION_LIMIT` machines and returns their names.
 
-        `request` is the idempotency key: a repeated request provisions no further machines, and a key is never reused
-        for another request.
+        Raises `NoCapacityError` or `CloudError`. `request` is the idempotency key: a repeated request provisions no
+        further machines, and a key is never reused for another request.
         """
         body = {"hire": request, "build": type_name, "yard": zone, "loaner": spot, "count": min(count, PROVISION_LIMIT)}
         reply = await self._request("POST", "/hosts", body, is_wanted)
         return list(reply.body["hosts"])
 
     async def release(self, machines: list[str], is_wanted: Callable[[], bool]) -> None:
-        """Releases machines; raises `CloudError`. After it returns, the machines and their tasks are gone."""
+        """Releases the first `RELEASE_LIMIT` of the machines and ignores any others; raises `CloudError`.
+
+        After it returns, the released machines and their tasks are gone.
+        """
         await self._request("POST", "/hosts/release", {"hosts": machines[:RELEASE_LIMIT]}, is_wanted)
 
     async def _request(
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -66,7 +66,11 @@
         return self.phase in (StorePhase.UNPROTECTED, StorePhase.SOUND)
 
     def guards(self) -> dict[str, int]:
-        """Returns guards under which a transaction commits only if the store has the identity that is known here."""
+        """Returns guards with which a transaction commits only if the store's identity record is unchanged.
+
+        While the store is unprotected, the transaction commits only if there is still no identity record. Returns no
+        guards in the phases in which the store is not sound.
+        """
         if self.phase is StorePhase.SOUND:
             return {records.IDENTITY: self.identity_version}
         if self.phase is StorePhase.UNPROTECTED:
--- a/stileloft/scheduling/autoscaling.py
+++ b/stileloft/scheduling/autoscaling.py
@@ -34,7 +34,8 @@
         self._demand = demand
         self._settings = settings
         self._planner = ProvisioningPlanner(snapshot, demand, settings)
-        # Machines that stay anyway are filled first, and idle on-demand machines last, so that they can be released.
+        # Spot machines are filled first, those with tasks before idle ones, then on-demand machines with tasks. Idle
+        # on-demand machines come last, so that they stay idle and can be released.
         self._usable = sorted(
             (machine for machine in self._planner.machines if machine.ready),
             key=lambda machine: (not machine.spot, not machine.tasks, machine.id),
@@ -81,7 +82,7 @@
             self._planner.provision_for(job.spec, count_left, zones, spot_only)
 
     def _provide_headroom(self, spec: JobSpec, count: int) -> None:
-        """Provisions headroom for a class whose next jobs cannot wait for a boot."""
+        """Provides room for `count` tasks of a job class whose next jobs cannot wait for a new machine to boot."""
         urgent = spec.rank >= URGENT_RANK
         machines = [machine for machine in self._usable if machine.spot or machine.tasks or urgent]
         machines += self._planner.planned
--- a/stileloft/scheduling/machine_view.py
+++ b/stileloft/scheduling/machine_view.py
@@ -41,7 +41,7 @@
     def from_spec(
         cls, spec: JobSpec, key: TaskKey, preemption_exempt: bool = False, remaining_s: float = 0.0
     ) -> "RunningTask":
-        """Returns a task of a job that is about to be placed."""
+        """Returns the entry for a task that is about to be placed, from its job's specification."""
         return cls(
             key,
             spec,
--- a/stileloft/scheduling/pending_jobs.py
+++ b/stileloft/scheduling/pending_jobs.py
@@ -75,7 +75,7 @@
         )
 
     def _excluded_machines(self, now: float) -> dict[str, set[str]]:
-        """Returns the ids of the machines on which placing a job is in back-off, by job id."""
+        """Returns, by job id, the ids of the machines on which back-off still prevents placing the job."""
         excluded: dict[str, set[str]] = {}
         for (job_id, machine_id), until in self._cluster.placement_backoff.items():
             if until > now:
--- a/stileloft/scheduling/scaling_criteria.py
+++ b/stileloft/scheduling/scaling_criteria.py
@@ -54,9 +54,10 @@
 
 
 def needs_on_demand(job: PendingJob, snapshot: Snapshot) -> bool:
-    """Whether the job needs an on-demand machine now to meet its deadline and may still meet it.
+    """Whether on-demand machines may be provisioned for the job now.
 
-    Returns True for a job without a deadline.
+    For a job with a deadline, only if a machine is needed now to meet the deadline, and the deadline may still be met;
+    for a job without a deadline, always.
     """
     spec = job.spec
     if spec.deadline_s is None:
--- a/stileloft/store/chunk_writer.py
+++ b/stileloft/store/chunk_writer.py
@@ -47,12 +47,12 @@
         return len(completed - chunk.done)
 
     def _put(self, write_set: JobWriteSet, number: int, chunk: Chunk) -> None:
-        """Adds the chunk's own records: the main record and, if it is too large, overflow records."""
+        """Adds the chunk's own records to the write set: the main record and, if it is full, overflow records."""
         job = write_set.job
         key = chunk_key(job.id, number)
-        # `has_chunk_sizes` is False until a new leader has read the format. If the job's record states the chunk size,
-        # its chunks must state it even then: the remaining chunks of a cancelled job are read by the size stated in
-        # them.
+        # `has_chunk_sizes` is False until a new leader has read the format. Even before that, a job's chunk records
+        # must state the chunk size if the job's own record states it: after a cancellation, the remaining chunk records
+        # are read by the size that they state.
         if not self._store.format.has_chunk_sizes and not job.stores_chunk_size:
             write_set.puts[key] = whole_chunk_value(chunk, job.spec, None)
             return
--- a/stileloft/store/integrity.py
+++ b/stileloft/store/integrity.py
@@ -16,7 +16,7 @@
     """Whether a loss of records is detected."""
 
     def is_sound(self) -> bool:
-        """Whether the store may be trusted and written."""
+        """Whether the store may be read and written."""
         return True
 
     def may_campaign(self) -> bool:
--- a/stileloft/workers/dispatcher.py
+++ b/stileloft/workers/dispatcher.py
@@ -37,7 +37,7 @@
     heartbeat_s: float
     """Interval of workers' heartbeats, in seconds."""
     reachability_timeout_s: float
-    """A machine is unreachable after this time without evidence that it receives answers or commands, in seconds."""
+    """Seconds without evidence that a machine receives answers or commands, after which it counts as unreachable."""
     max_sockets: int
 
 
