--- a/tests/measure_fleet.py
+++ b/tests/measure_fleet.py
@@ -1,7 +1,7 @@
-"""Measures what a fleet's size costs a leader: `python3 -m tests.measure_fleet 600 2000 4000`.
+"""Measures a leader's processor time and memory by fleet size: `python3 -m tests.measure_fleet 600 2000 4000`.
 
-Processor time is that of this machine, on the fakes; it is no part of the tests. The HTTP side of a report is measured
-apart, with the real server on a transport in memory.
+The processor time is that of this machine, with fakes of the other services. This tool is not part of the tests. The
+HTTP request of a heartbeat is measured separately, with the real server on a transport in memory.
 """
 
 import sys
@@ -22,18 +22,19 @@
 from stileloft.workers.heartbeat_responder import HeartbeatResponder
 from tests.simulation.fleet import FleetWorld
 
-REPEATS = 2000
+REQUESTS = 2000
+"""Heartbeat requests per measurement."""
 
 
 @dataclass
 class Cost:
-    """Processor time of the calls of one function."""
+    """The processor time of all calls of a method."""
 
     calls: int = 0
     total_s: float = 0.0
     longest_s: float = 0.0
 
-    def add(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         self.calls += 1
         self.total_s += seconds
         self.longest_s = max(self.longest_s, seconds)
@@ -41,21 +42,21 @@
 
 @dataclass
 class Costs:
-    """Costs of the functions that are watched, by their names."""
+    """The costs of measured methods, by name."""
 
     by_name: dict[str, Cost] = field(default_factory=dict)
 
-    def watch(self, owner: Any, method: str) -> None:
-        """Has the processor time of a method counted."""
-        plain: Callable[..., Any] = getattr(owner, method)
+    def measure(self, owner: Any, method: str) -> None:
+        """Replaces a method of a class by one that records its processor time."""
+        original: Callable[..., Any] = getattr(owner, method)
         cost = self.by_name[f"{owner.__name__}.{method}"] = Cost()
 
         def timed(*arguments: Any, **more: Any) -> Any:
             began = time.process_time()
             try:
-                return plain(*arguments, **more)
+                return original(*arguments, **more)
             finally:
-                cost.add(time.process_time() - began)
+                cost.record(time.process_time() - began)
 
         setattr(owner, method, timed)
 
@@ -63,15 +64,17 @@
         for cost in self.by_name.values():
             cost.calls, cost.total_s, cost.longest_s = 0, 0.0, 0.0
 
-    def table(self, title: str) -> None:
+    def print_table(self, title: str) -> None:
         print(f"  {title}")
         for name, cost in self.by_name.items():
             mean_ms = 1000 * cost.total_s / max(1, cost.calls)
-            print(f"    {name:22} {cost.calls:6} calls, mean {mean_ms:8.3f} ms, most {1000 * cost.longest_s:8.2f} ms")
+            print(
+                f"    {name:22} {cost.calls:6} calls, mean {mean_ms:8.3f} ms, longest {1000 * cost.longest_s:8.2f} ms"
+            )
 
 
 def measure_size(machines: int, costs: Costs) -> None:
-    """A batch, then a change of leader, with so many machines."""
+    """Measures a batch, then the take-over by a new leader, with this number of machines."""
     costs.reset()
     world = FleetWorld(1, machines)
     world.submit_batch(12.0)
@@ -79,7 +82,7 @@
     costs.reset()
     world.run(20)
     print(f"{machines} machines, {sum(len(m.tasks) for m in world.every_machine.values())} tasks on them")
-    costs.table("20 s with a batch")
+    costs.print_table("20 s with a batch")
     costs.reset()
     world.kill(world.leader())
     killed_at = world.now
@@ -87,29 +90,33 @@
         world.run(0.5)
         name = world.leader()
         if name is not None and world.nodes[name].leader.cluster.loaded:
-            known = sum(
+            registered = sum(
                 1 for machine in world.nodes[name].leader.cluster.machines.values() if machine.has_current_token
             )
-            if known >= machines:
+            if registered >= machines:
                 break
-    print(f"  all machines known to the new leader {world.now - killed_at:.1f} s (simulated) after the loss of the old")
-    costs.table("take-over")
+    print(f"  all machines knew the new leader's token {world.now - killed_at:.1f} s (simulated) after the kill")
+    costs.print_table("take-over")
 
 
 def measure_memory(machines: int) -> None:
-    """What the leader's picture takes: all that was allocated by the program's own modules."""
+    """Measures the memory allocated by the modules of stileloft on three nodes."""
     tracemalloc.start()
     world = FleetWorld(1, machines)
     world.submit_batch(8.0)
     world.run(20)
     own = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, "*/stileloft/*")])
     tracemalloc.stop()
-    held = sum(trace.size for trace in own.traces)
-    print(f"{machines} machines: {held / 2**20:.1f} MB are held by the program's modules on three nodes")
+    allocated = sum(trace.size for trace in own.traces)
+    print(f"{machines} machines: {allocated / 2**20:.1f} MB allocated by the modules of stileloft on three nodes")
+
 
+def measure_heartbeat_requests(connections_kept: bool) -> None:
+    """Measures a heartbeat's request to the real server; the response contains no commands.
 
-def measure_report_requests(connections_kept: bool) -> None:
-    """A report through the real server, with an answer that has nothing to say."""
+    Args:
+        connections_kept: whether all requests use one connection, or each a new one.
+    """
     handlers = {"POST": lambda _body, _arguments: Response(200, CommandMessage(7, []))}
     router = Router(
         lambda _path: (handlers, {}), messages.encode, messages.decode, "application/cbor", lambda _: connections_kept
@@ -131,20 +138,20 @@
 
     protocol, transport = connect()
     began = time.process_time()
-    for _ in range(REPEATS):
+    for _ in range(REQUESTS):
         if not connections_kept:
             protocol, transport = connect()
         protocol.dataReceived(request)
         assert transport.value().startswith(b"HTTP/1.1 200")
         transport.clear()
-    took = (time.process_time() - began) / REPEATS
-    print(f"a report's request, connection {'kept' if connections_kept else 'made anew'}: {1000 * took:.3f} ms")
+    took = (time.process_time() - began) / REQUESTS
+    print(f"a heartbeat's request, {'persistent' if connections_kept else 'new'} connection: {1000 * took:.3f} ms")
 
 
 def main() -> None:
     sizes = [int(text) for text in sys.argv[1:]] or [600, 2000, 4000]
-    for kept in (True, False):
-        measure_report_requests(kept)
+    for connections_kept in (True, False):
+        measure_heartbeat_requests(connections_kept)
     for machines in sizes:
         measure_memory(machines)
     costs = Costs()
@@ -154,8 +161,8 @@
         (Leader, "_check_machines"),
         (HeartbeatResponder, "on_heartbeat"),
     ):
-        costs.watch(owner, method)
-    costs.watch(MachineInventory, "_reconcile")
+        costs.measure(owner, method)
+    costs.measure(MachineInventory, "_reconcile")
     for machines in sizes:
         measure_size(machines, costs)
 
--- a/tests/measure_rebuild.py
+++ b/tests/measure_rebuild.py
@@ -1,6 +1,6 @@
-"""Measures what a rebuild and its replicas cost: `python3 -m tests.measure_rebuild 600 4000`.
+"""Measures a rebuild and its replicas by fleet size: `python3 -m tests.measure_rebuild 600 4000`.
 
-Processor time is that of this machine, times of a rebuild are simulated; it is no part of the tests.
+The processor time is that of this machine; the duration of a rebuild is simulated. This tool is not part of the tests.
 """
 
 import logging
@@ -18,11 +18,12 @@
 
 REBUILD_ENABLED = Features(rebuild=RebuildFeature(enabled=True))
 ENDED_JOBS = 20_000
-LONGEST_S = 60.0
+REBUILD_TIMEOUT_S = 60.0
+"""The maximum wait for a rebuild, or for the next start after it, in simulated seconds."""
 
 
-class RebuiltLines(logging.Handler):
-    """Keeps what rebuilds say of themselves."""
+class RebuildLogLines(logging.Handler):
+    """Collects the log lines of finished rebuilds."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,49 +35,50 @@
             self.lines.append(text)
 
 
-class Applied:
-    """Processor time of the changes that replicas take in."""
+class ReplicaCost:
+    """The number of changes applied to replicas, and their processor time."""
 
     def __init__(self) -> None:
         self.calls, self.total_s = 0, 0.0
-        plain = Replica.apply
+        original = Replica.apply
 
         def timed(replica: Replica, *arguments: object) -> None:
             began = time.process_time()
-            plain(replica, *arguments)  # type: ignore[arg-type]
+            original(replica, *arguments)  # type: ignore[arg-type]
             self.total_s += time.process_time() - began
             self.calls += 1
 
         Replica.apply = timed  # type: ignore[method-assign]
 
 
-def measure_fleet(machines: int, applied: Applied, lines: RebuiltLines) -> None:
+def measure_fleet(machines: int, cost: ReplicaCost, lines: RebuildLogLines) -> None:
+    """Measures snapshots, replicas and a rebuild with this number of machines."""
     world = FleetWorld(1, machines, features=REBUILD_ENABLED)
     world.submit_batch(12.0)
     world.run(12)
-    applied.calls, applied.total_s = 0, 0.0
+    cost.calls, cost.total_s = 0, 0.0
     world.run(14)
     tasks = sum(len(machine.tasks) for machine in world.every_machine.values())
     rebuild = world.nodes[world.leader()].rebuild
     pieces = to_pieces(rebuild.snapshots.snapshot())
-    held = sum(len(record.data) for record in rebuild.replicas.current.records.values())
+    record_bytes = sum(len(record.data) for record in rebuild.replicas.current.records.values())
     print(f"{machines} machines, {tasks} tasks on them, {len(world.jobs)} jobs")
-    print(f"  a snapshot: {len(pieces)} pieces, {sum(map(len, pieces))} bytes; its records {held} bytes")
-    print(f"  replicas: {applied.calls} changes in 14 s on three nodes, {1000 * applied.total_s:.1f} ms in all")
+    print(f"  a snapshot: {len(pieces)} pieces, {sum(map(len, pieces))} bytes; its records {record_bytes} bytes")
+    print(f"  replicas: {cost.calls} changes in 14 s on three nodes, {1000 * cost.total_s:.1f} ms in total")
     wiped_at = world.now
     lines.lines.clear()
     world.state.wipe()
-    while not lines.lines and world.now < wiped_at + LONGEST_S:
+    while not lines.lines and world.now < wiped_at + REBUILD_TIMEOUT_S:
         world.run(0.05)
     rebuilt_s, starts = world.now - wiped_at, world.rules.starts
-    while world.rules.starts == starts and world.now < wiped_at + LONGEST_S:
+    while world.rules.starts == starts and world.now < wiped_at + REBUILD_TIMEOUT_S:
         world.run(0.05)
     print(f"  {lines.lines[0] if lines.lines else 'not rebuilt'}")
     print(f"  simulated: all records after {rebuilt_s:.1f} s, the next start after {world.now - wiped_at:.1f} s")
 
 
 def measure_outcomes() -> None:
-    """Bitmaps beside ranges, for job numbers in no order."""
+    """Compares the size of bitmaps and of ranges for random job numbers."""
     numbers = random.Random(1).sample(range(1_000_000), ENDED_JOBS)
     began = time.process_time()
     outcomes = JobOutcomes()
@@ -90,19 +92,19 @@
     ranges = records.to_ranges(set(numbers))
     ranges_s = time.process_time() - began
     size = sum(map(records.json_bytes, values))
-    print(f"{ENDED_JOBS} outcomes of forty kinds: bitmaps {size} bytes in {len(values)} records, ", end="")
+    print(f"{ENDED_JOBS} outcomes of 40 kinds: bitmaps {size} bytes in {len(values)} records, ", end="")
     print(f"added in {1000 * added_s:.0f} ms, encoded in {1000 * encoded_s:.0f} ms; ", end="")
     print(f"ranges of the numbers alone {records.json_bytes(ranges)} bytes, {1000 * ranges_s:.0f} ms")
 
 
 def main() -> None:
-    lines = RebuiltLines()
+    lines = RebuildLogLines()
     logging.getLogger().addHandler(lines)
     logging.getLogger().setLevel(logging.INFO)
     measure_outcomes()
-    applied = Applied()
+    cost = ReplicaCost()
     for machines in [int(text) for text in sys.argv[1:]] or [600, 4000]:
-        measure_fleet(machines, applied, lines)
+        measure_fleet(machines, cost, lines)
 
 
 if __name__ == "__main__":
--- a/tests/test_wire_trace.py
+++ b/tests/test_wire_trace.py
@@ -1,4 +1,4 @@
-"""The controllers send, answer and store what the committed digests say."""
+"""What the controllers send, answer and store matches the committed digests."""
 
 import os
 import subprocess
@@ -11,29 +11,29 @@
 from tests.wire_trace import SEEDS, Trace, read_digests
 
 ROOT = Path(__file__).parent.parent
-DAYS = {"limits to come": 2, "lost records are rebuilt": 3, "the version in production beside it": 5, "rebuild on": 12}
+TESTED_SEEDS = {"upcoming limits": 2, "rebuild of lost records": 3, "version in production": 5, "rebuild enabled": 12}
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
-def test_all_that_is_sent_and_stored_is_as_recorded() -> None:
-    """In a process of its own, as the order of sets of text is settled when a process starts."""
+def test_messages_and_records_match_the_digests() -> None:
+    """In a separate process, because the hash seed, and with it the order of sets, is fixed at the start."""
     command = [sys.executable, "-m", "tests.wire_trace", "--processes", "2"]
-    for seed in DAYS.values():
+    for seed in TESTED_SEEDS.values():
         command += ["--seed", str(seed)]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, cwd=ROOT, env=os.environ | {"PYTHONHASHSEED": "0"}, capture_output=True, text=True, check=False
     )
-    assert done.returncode == 0, done.stdout
-    assert f"{len(DAYS)} of {len(DAYS)} days as recorded" in done.stdout
+    assert completed.returncode == 0, completed.stdout
+    assert f"{len(TESTED_SEEDS)} of {len(TESTED_SEEDS)} runs as recorded" in completed.stdout
 
 
-def test_no_recorded_day_breaks_a_rule() -> None:
+def test_no_recorded_run_breaks_a_rule() -> None:
     recorded = read_digests()
     assert list(recorded) == list(SEEDS)
-    assert all(day.broken == [] and day.events > 4000 for day in recorded.values())
+    assert all(run.broken == [] and run.events > 4000 for run in recorded.values())
 
 
-def test_a_digest_depends_on_each_part_of_each_event() -> None:
+def test_a_digest_depends_on_all_parts_of_an_event() -> None:
     events = [
         ("request", 1.0, {"a": 1, "b": 2}),
         ("request", 1.000001, {"a": 1, "b": 2}),
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -1,13 +1,12 @@
-"""Characterization of the controllers: all that they send, answer and store on simulated days.
+"""Characterization of the controllers: digests of all that they send, answer and store in simulated runs.
 
-On the simulated cluster everything that a controller does is the same at each run, to the byte and to the microsecond.
-This tool plays days with mixed jobs and faults and keeps a digest of every message and stored record of each day. A
-change that is meant to leave the behaviour alone leaves the digests alone; a change of behaviour updates the file of
-digests on purpose, and its commit says why.
+A run on the simulated cluster is deterministic, to the byte and to the microsecond. This tool runs seeds with mixed
+jobs and faults and computes a digest of all messages and stored records of each run. A change that does not alter the
+behaviour leaves the digests unchanged. A change of behaviour updates the file of digests, and its commit says why.
 
-    python3 -m tests.wire_trace                     compare all days with tests/wire_digests.json
-    python3 -m tests.wire_trace --seed 7 --dump F   write the events of a day, a line each, to find a first difference
-    python3 -m tests.wire_trace --update            write the file of digests anew
+    python3 -m tests.wire_trace                     compares all seeds with tests/wire_digests.json
+    python3 -m tests.wire_trace --seed 7 --dump F   writes the events of a run to F, a line each, to find a difference
+    python3 -m tests.wire_trace --update            rewrites the file of digests
 """
 
 import argparse
@@ -38,19 +37,21 @@
 
 DIGESTS = Path(__file__).parent / "wire_digests.json"
 SEEDS = range(1, 25)
-DAY_S = 110.0
-FAULTS_FROM_S, FAULTS_UNTIL_S = 18.0, 80.0
+RUN_S = 110.0
+"""The simulated length of a run."""
+FIRST_FAULT_S, LAST_FAULT_S = 18.0, 80.0
+"""The period in which faults begin."""
 
 Fault = Callable[[World], None]
 
 
 def hold_starts(world: World) -> None:
-    """Start commands stay on their way for longer than a cancellation may take."""
+    """Delays start commands for 20 to 60 s, so that some arrive later than a cancellation may take."""
     world.holds.append(Hold(world.now + 8.0, 20.0, 60.0, verb="launch"))
 
 
 def hold_answers(world: World) -> None:
-    """Commands are executed in time, and their answers come late."""
+    """Delays the responses to half of the commands by 2 to 12 s; the commands are executed without delay."""
     world.holds.append(Hold(world.now + 8.0, 2.0, 12.0, share=0.5, answers=True))
 
 
@@ -95,7 +96,7 @@
 
 
 class Trace:
-    """The events of a day, as a running digest."""
+    """A running digest of the events of a run."""
 
     def __init__(self, lines: list[str] | None = None) -> None:
         self.count = 0
@@ -103,7 +104,7 @@
         self._lines = lines
 
     def add(self, kind: str, *parts: Any) -> None:
-        """Takes in an event; all of its parts count, in their order."""
+        """Adds an event to the digest, with all of its parts in their order."""
         line = repr((kind, *parts))
         self.count += 1
         self._hash.update(line.encode("utf-8", "surrogatepass") + b"\n")
@@ -115,7 +116,7 @@
 
 
 class StoredChanges(list[tuple[str, Any, int]]):
-    """The store's changes; each that is added is traced."""
+    """The state service's list of changes, which traces each change that is appended."""
 
     def __init__(self, world: "TracedWorld") -> None:
         super().__init__()
@@ -127,7 +128,7 @@
 
 
 class TracedConnection(Connection):
-    """A controller's client whose requests and answers are traced."""
+    """A controller's client that traces requests, responses and failures."""
 
     world: "TracedWorld"
 
@@ -154,8 +155,8 @@
         return reply
 
 
-class TracedQuestion:
-    """What a user asks a controller, with its answer traced."""
+class TracedUserRequest:
+    """A user's request to a controller, which traces the answer or the error."""
 
     def __init__(self, world: "TracedWorld", ask: Callable[[Any], Any], job: str) -> None:
         self._world, self._ask, self._job = world, ask, job
@@ -175,7 +176,7 @@
 
 
 class TracedWorld(World):
-    """A simulated cluster of which every message and stored record is traced."""
+    """A simulated cluster that traces all messages and stored records."""
 
     CONNECTION = TracedConnection
 
@@ -199,20 +200,22 @@
     def _look(self, name: str, ask: Callable[[Any], Any], job: str) -> None:
         super()._look(name, self._traced(ask, job), job)
 
-    def _traced(self, ask: Callable[[Any], Any], job: str) -> TracedQuestion:
-        return ask if isinstance(ask, TracedQuestion) else TracedQuestion(self, ask, job)
+    def _traced(self, ask: Callable[[Any], Any], job: str) -> TracedUserRequest:
+        return ask if isinstance(ask, TracedUserRequest) else TracedUserRequest(self, ask, job)
 
 
-class DayDigest(NamedTuple):
-    """What a day came to."""
+class RunDigest(NamedTuple):
+    """The digest of a run; its fields are the keys in the file of digests."""
 
     events: int
+    """The number of events."""
     digest: str
     broken: list[str]
+    """The rules that were broken."""
 
 
 def _submit_jobs(world: World) -> None:
-    """Arrays of several kinds, gangs, a job of many tasks, and standing services."""
+    """Submits arrays of several kinds, gangs, a job of 90 tasks, and a standing service."""
     single.load(world, jobs=14, every=2.5)
     gang_load(world, count=5, every=7.0)
     world.clock.callLater(6.0, world.submit, gang(world, 300, pieces=3, loaner=True))
@@ -222,78 +225,82 @@
     )
 
 
-def _replace_old_version(world: World, dice: random.Random) -> None:
-    """The processes of the version in production are replaced one after the other."""
-    for number, name in enumerate(dice.sample(world.names, 3)):
+def _roll_out_new_version(world: World, rng: random.Random) -> None:
+    """Replaces the processes of the version in production one after the other."""
+    for number, name in enumerate(rng.sample(world.names, 3)):
         world.clock.callLater(26.0 + 16.0 * number, world.kill, name, 1.5, NEW)
 
 
-def _options(seed: int, dice: random.Random) -> dict[str, Any]:
-    """What a day's deployment is like: every feature and version is met by several seeds."""
+def _options(seed: int, rng: random.Random) -> dict[str, Any]:
+    """Returns the options of a seed's world; several seeds cover each feature and each version."""
     options: dict[str, Any] = {
         "seed": seed,
-        "loss": dice.choice((0.0, 0.002, 0.01)),
-        "value_kb": dice.choice((4.0, 16.0)),
-        "capacity": dice.choice((3, 6)),
+        "loss": rng.choice((0.0, 0.002, 0.01)),
+        "value_kb": rng.choice((4.0, 16.0)),
+        "capacity": rng.choice((3, 6)),
     }
     if seed % 3 == 0:
         options["features"] = Features(rebuild=RebuildFeature(enabled=True))
     elif seed % 4 == 1:
         old = production()
         if old is None:
-            raise RuntimeError("the version in production is not in this checkout's history")
+            raise RuntimeError(f"seed {seed} needs the version in production, which is not in this checkout's history")
         options["version"] = old
     if seed % 4 == 2:
         options["coming"] = {"value_kb": 2.0, "txn_ops": 6, "write_rps": 45.0}
     return options
 
 
-def play(seed: int, lines: list[str] | None = None) -> DayDigest:
-    """Plays the day of a seed."""
-    drawn = random.Random(f"identities {seed}")
-    with mock.patch("secrets.token_hex", lambda size: drawn.randbytes(size).hex()):
-        return _play(seed, lines)
+def run_seed(seed: int, lines: list[str] | None = None) -> RunDigest:
+    """Runs a seed and returns its digest.
 
+    Args:
+        lines: if not None, each event is appended as a line.
+    """
+    identities = random.Random(f"identities {seed}")
+    with mock.patch("secrets.token_hex", lambda size: identities.randbytes(size).hex()):
+        return _run_seed(seed, lines)
 
-def _play(seed: int, lines: list[str] | None) -> DayDigest:
-    dice = random.Random(f"day {seed}")
-    options = _options(seed, dice)
+
+def _run_seed(seed: int, lines: list[str] | None) -> RunDigest:
+    rng = random.Random(f"day {seed}")
+    options = _options(seed, rng)
     trace = Trace(lines)
     world = TracedWorld(trace, **options)
     _submit_jobs(world)
-    for fault in dice.sample(FAULTS, 4):
-        world.clock.callLater(dice.uniform(FAULTS_FROM_S, FAULTS_UNTIL_S), fault, world)
+    for fault in rng.sample(FAULTS, 4):
+        world.clock.callLater(rng.uniform(FIRST_FAULT_S, LAST_FAULT_S), fault, world)
     for job in ("j-000001", "j-000006", "j-000101", "j-000400", "j-000500"):
-        world.clock.callLater(dice.uniform(15.0, 90.0), world.cancel, job)
+        world.clock.callLater(rng.uniform(15.0, 90.0), world.cancel, job)
     if "version" in options:
-        _replace_old_version(world, dice)
+        _roll_out_new_version(world, rng)
     if "features" in options and seed % 2:
         world.clock.callLater(45.0, world.state.wipe)
     if "coming" in options:
         world.clock.callLater(50.0, world.lower_limits)
-    world.run(DAY_S)
+    world.run(RUN_S)
     trace.add("end", sorted(world.state.items.items()), world.rules.broken)
-    return DayDigest(trace.count, trace.digest(), world.rules.broken)
+    return RunDigest(trace.count, trace.digest(), world.rules.broken)
 
 
-def read_digests() -> dict[int, DayDigest]:
-    """The committed digests, by seed."""
-    return {int(seed): DayDigest(**day) for seed, day in json.loads(DIGESTS.read_text()).items()}
+def read_digests() -> dict[int, RunDigest]:
+    """Returns the committed digests by seed."""
+    return {int(seed): RunDigest(**run) for seed, run in json.loads(DIGESTS.read_text()).items()}
 
 
-def _write_digests(days: dict[int, DayDigest]) -> None:
-    DIGESTS.write_text(json.dumps({str(seed): day._asdict() for seed, day in days.items()}, indent=1) + "\n")
+def _write_digests(runs: dict[int, RunDigest]) -> None:
+    DIGESTS.write_text(json.dumps({str(seed): run._asdict() for seed, run in runs.items()}, indent=1) + "\n")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="Digests of all that controllers send and store on simulated days.")
-    parser.add_argument("--seed", type=int, action="append", help="a day to play, several times if wished; else all")
-    parser.add_argument("--processes", type=int, default=6)
-    parser.add_argument("--dump", type=Path, help="with one seed: where its events are written")
-    parser.add_argument("--update", action="store_true", help="write the file of digests anew")
+    parser = argparse.ArgumentParser(description="Digests of all that controllers send and store in simulated runs.")
+    parser.add_argument("--seed", type=int, action="append", help="the seed to run, may be repeated; all by default")
+    parser.add_argument("--processes", type=int, default=6, help="parallel runs")
+    parser.add_argument("--dump", type=Path, help="with one --seed: the file for its events")
+    parser.add_argument("--update", action="store_true", help="rewrite the file of digests")
     options = parser.parse_args()
     if os.environ.get("PYTHONHASHSEED") != "0":
-        # Sets of text are ordered alike in every run only with a fixed seed, which has to be set before the start.
+        # The order of sets of strings depends on the hash seed, which can only be set before the interpreter starts.
         os.execve(
             sys.executable,
             [sys.executable, "-m", "tests.wire_trace", *sys.argv[1:]],
@@ -302,19 +309,19 @@
     seeds = options.seed or list(SEEDS)
     if options.dump is not None:
         lines: list[str] = []
-        print(play(seeds[0], lines))
+        print(run_seed(seeds[0], lines))
         options.dump.write_text("\n".join(lines) + "\n", errors="surrogatepass")
         return
     with ProcessPoolExecutor(options.processes) as pool:
-        found = dict(zip(seeds, pool.map(play, seeds), strict=True))
+        digests = dict(zip(seeds, pool.map(run_seed, seeds), strict=True))
     if options.update:
-        _write_digests(found)
-    known = read_digests()
-    different = [seed for seed, day in found.items() if known.get(seed) != day]
-    for seed, day in found.items():
-        verdict = " DIFFERENT" if seed in different else ""
-        print(f"seed {seed}: {day.events} events, {day.digest[:16]}{verdict} {day.broken[:2]}")
-    print(f"{len(found) - len(different)} of {len(found)} days as recorded")
+        _write_digests(digests)
+    recorded = read_digests()
+    different = [seed for seed, run in digests.items() if recorded.get(seed) != run]
+    for seed, run in digests.items():
+        difference = " DIFFERENT" if seed in different else ""
+        print(f"seed {seed}: {run.events} events, {run.digest[:16]}{difference} {run.broken[:2]}")
+    print(f"{len(digests) - len(different)} of {len(digests)} runs as recorded")
     sys.exit(1 if different else 0)
 
 
