--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -1,4 +1,4 @@
-"""The state service loses its records in mid-batch: what was accepted runs once and ends with one answer."""
+"""The state service loses its records during a batch: each accepted job completes once and has one final phase."""
 
 import json
 import subprocess
@@ -20,7 +20,7 @@
 
 
 def loaded_world(seed: int, features: Features = REBUILD_ENABLED, **more) -> World:
-    """A world with jobs of all kinds, in mid-batch when the loss comes."""
+    """Returns a world with arrays and gangs, of the classes `batch` and `once`, submitted from 4 s on every 1.5 s."""
     world = World(seed, features=features, **more)
     for number in range(JOBS):
         body = world.job(
@@ -37,7 +37,7 @@
 
 
 def finish(world: World, longest_s: float = 300.0) -> None:
-    """Plays until all jobs have ended, and checks the rules."""
+    """Runs the world until all jobs have ended, and checks that no rule was broken."""
     end = world.now + longest_s
     while world.now < end and not all(world.rules.is_final(job) for job in world.jobs):
         world.run(2)
@@ -48,10 +48,11 @@
 
 
 def phases(world: World) -> set[StorePhase]:
+    """Returns the phases of the store as the running controllers see them."""
     return {node.rebuild.store.phase for node in world.nodes.values() if node is not None}
 
 
-# -- losses --------------------------------------------------------------------------------------------------------
+# -- losses of the records -----------------------------------------------------------------------------------------
 
 Loss = Callable[[World], None]
 
@@ -121,9 +122,9 @@
 
 
 def wiped_just_after_cancellations(world: World) -> None:
-    """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
-    running = [job for job in world.jobs if not world.rules.is_final(job)][:5]
-    for job in running:
+    """Any controller may confirm a cancellation; the loss follows 80 ms after the requests."""
+    unfinished = [job for job in world.jobs if not world.rules.is_final(job)][:5]
+    for job in unfinished:
         world.cancel(job)
     world.clock.callLater(0.08, world.state.wipe)
 
@@ -163,10 +164,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", LOSSES)
-def test_a_loss_in_mid_batch(name: str, seed: int) -> None:
+def test_jobs_complete_once_after_a_loss(name: str, seed: int) -> None:
     world = loaded_world(seed)
     for number in (2, 7, 11):
-        # Confirmed shortly before the loss, at it, and after it.
+        # Requested 5.5 s before the loss, 0.5 s before it, and 3.5 s after it.
         world.clock.callLater(16.5 + number, world.cancel, f"j-{number:06d}")
     world.run(24.0)
     assert phases(world) == {StorePhase.SOUND}
@@ -176,17 +177,17 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_no_other_trouble_looks_like_a_loss(
+def test_other_faults_are_not_taken_for_a_loss(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
+    """Outages, refusals, slow or lost responses, cut links, pauses and leader changes, alone and combined."""
     monkeypatch.setattr(World, "FEATURES", REBUILD_ENABLED)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
 
 
-def test_without_the_feature_jobs_are_forgotten() -> None:
-    """The checker sees what a loss does to a service that does not notice it."""
+def test_without_the_feature_a_loss_forgets_jobs() -> None:
+    """Shows that the checker of the rules detects a loss that the service does not handle."""
     world = loaded_world(3, features=Features())
     world.run(24.0)
     world.state.wipe()
@@ -194,8 +195,8 @@
     assert any("forgotten" in broken for broken in world.rules.broken)
 
 
-def test_an_older_state_comes_back() -> None:
-    """Ends and cancellations that it does not know stay; so do jobs that were accepted since."""
+def test_an_older_state_is_restored() -> None:
+    """Completions, cancellations and acceptances that are newer than the restored state are kept."""
     world = loaded_world(4)
     world.run(14.0)
     older = world.state.copy()
@@ -207,7 +208,7 @@
 
 
 @pytest.mark.parametrize("loss", [wiped, wiped_and_leader_killed, wiped_with_a_zone_cut_off])
-def test_a_standing_service_goes_on_until_it_is_cancelled(loss: Loss) -> None:
+def test_a_standing_service_survives_a_loss_and_can_be_cancelled(loss: Loss) -> None:
     world = World(14, features=REBUILD_ENABLED)
     service = world.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
     world.submit(service)
@@ -229,23 +230,23 @@
 
 
 def run_on_loopback(*options: str) -> dict[str, Any]:
-    """What became of a batch that real processes served."""
+    """Returns the result of a batch on real controller processes."""
     command = [sys.executable, "-m", "tests.loopback_cluster", "--jobs", "14", *options]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
-    return json.loads(done.stdout)
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
+    return json.loads(completed.stdout)
 
 
-def test_real_processes_end_all_jobs_as_without_the_loss() -> None:
-    """The state service is wiped in mid-batch, also with the leader and machines lost; the same seed each time."""
+def test_real_processes_give_the_same_final_phases_with_and_without_a_loss() -> None:
+    """One seed without a loss, with the state service wiped at 4 s, and with the leader and 2 machines lost too."""
     undisturbed = run_on_loopback("--seed", "3")
-    wiped_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
-    all_at_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
-    for played in (undisturbed, wiped_once, all_at_once):
-        assert played["broken"] == []
-        assert played["answers"] == undisturbed["answers"]
+    with_wipe = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
+    with_wipe_and_kills = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
+    for result in (undisturbed, with_wipe, with_wipe_and_kills):
+        assert result["broken"] == []
+        assert result["answers"] == undisturbed["answers"]
     assert set(undisturbed["answers"].values()) == {"done", "aborted"}
     assert not undisturbed["rebuilt"]
-    assert wiped_once["rebuilt"]
-    assert all_at_once["rebuilt"]
-    # With the last leader's word nothing is run again.
-    assert wiped_once["repeated"] == undisturbed["repeated"] == []
+    assert with_wipe["rebuilt"]
+    assert with_wipe_and_kills["rebuilt"]
+    # With the replica of the last leader no task is repeated.
+    assert with_wipe["repeated"] == undisturbed["repeated"] == []
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a rebuild that keep and move records: replicas, change notices, job outcomes, snapshots, merging."""
+"""Units of a rebuild that store and transfer records: replicas, change notices, job outcomes, snapshots, merging."""
 
 import json
 from pathlib import Path
@@ -47,8 +47,8 @@
 # -- replica -------------------------------------------------------------------------------------------------------
 
 
-def test_a_replica_takes_the_newest_of_a_key_whatever_comes_first() -> None:
-    """What this controller wrote itself is known before the feed, which is behind, tells of what was before it."""
+def test_a_replica_keeps_the_newest_version_of_a_key_in_any_order_of_arrival() -> None:
+    """A controller applies its own writes at once; the watch delivers older changes of the same keys later."""
     replica = Replica(1)
     replica.apply("active/j-1", {"c": 2}, 12)
     replica.apply("active/j-1", {"c": 1}, 11)
@@ -61,7 +61,7 @@
     assert replica.outcomes.get("j-2") == JobOutcome("done", 3)
 
 
-def test_change_notices_of_another_store_change_nothing() -> None:
+def test_change_notices_of_another_generation_are_ignored() -> None:
     replica = replica_of({"active/j-1": ({"c": 1}, 5)}, 6, generation=2)
     changes = [["active/j-1", None, 9], ["final/j-1", {"phase": "cancelled", "n": 0}, 9]]
     parse_change_notice({"deployment": DEPLOYMENT, "generation": 1, "changes": changes}).apply_to(replica)
@@ -97,19 +97,21 @@
 
 
 @given(OUTCOMES, st.integers(400, 4096))
-def test_outcomes_are_what_was_added_after_any_encoding(expected: dict[str, tuple[str, int]], value_bytes: int) -> None:
-    found = JobOutcomes()
+def test_outcomes_survive_encoding(expected: dict[str, tuple[str, int]], value_bytes: int) -> None:
+    outcomes = JobOutcomes()
     for job, outcome in expected.items():
-        found.add(job, JobOutcome(*outcome))
-    values = found.to_records(value_bytes)
+        outcomes.add(job, JobOutcome(*outcome))
+    values = outcomes.to_records(value_bytes)
     read = JobOutcomes()
     for value in json.loads(json.dumps(values)):
         read.load(value)
-    assert dict(read.items()) == dict(found.items()) == {job: JobOutcome(*outcome) for job, outcome in expected.items()}
+    assert (
+        dict(read.items()) == dict(outcomes.items()) == {job: JobOutcome(*outcome) for job, outcome in expected.items()}
+    )
     assert all(records.json_bytes(value) <= value_bytes for value in values)
 
 
-def test_the_first_outcome_of_a_job_stays() -> None:
+def test_the_first_outcome_of_a_job_is_kept() -> None:
     outcomes = JobOutcomes()
     outcomes.add("j-7", JobOutcome("cancelled", 0))
     outcomes.add("j-7", JobOutcome("done", 3))
@@ -119,13 +121,13 @@
 
 
 @pytest.mark.parametrize("value", [None, {}, {"groups": [{"phase": "done"}]}, {"groups": 3}])
-def test_unreadable_outcomes_are_refused(value: Any) -> None:
+def test_invalid_outcome_records_are_refused(value: Any) -> None:
     with pytest.raises(InvalidOutcomesError):
         JobOutcomes().load(value)
 
 
-def test_many_outcomes_take_few_bytes() -> None:
-    """Less than a quarter of what ranges take, for job numbers in no order."""
+def test_outcomes_are_encoded_compactly() -> None:
+    """Less than a quarter of the size of ranges, for job numbers that are not consecutive."""
     numbers = [(7919 * n) % 1_000_003 for n in range(20_000)]
     outcomes = JobOutcomes()
     for number in numbers:
@@ -144,7 +146,7 @@
     return snapshot_of("node-1", replica, led=9, highest=9)
 
 
-def test_a_snapshot_comes_back_from_its_pieces() -> None:
+def test_a_snapshot_is_restored_from_its_pieces() -> None:
     snapshot = large_snapshot()
     pieces = to_pieces(snapshot)
     assert len(pieces) > 4
@@ -179,7 +181,7 @@
         from_pieces([read_piece(piece, DEPLOYMENT) for piece in pieces(to_pieces(large_snapshot()))])
 
 
-def test_stored_and_sent_records_keep_the_names_that_other_versions_read() -> None:
+def test_field_names_of_snapshots_identity_and_unresolved_tasks() -> None:
     piece = orjson.loads(to_pieces(large_snapshot())[-1])
     header = ("format", "holder", "generation", "revision", "complete", "number", "pieces")
     assert list(piece) == [*header, "records", "ends", "digest"]
@@ -192,7 +194,7 @@
     assert unresolved_tasks.to_record(unresolved) == {"evidence": {"0": "reported"}, "unknown": True}
 
 
-def test_the_next_snapshot_of_a_directory_is_taken_if_one_is_damaged(
+def test_the_newest_readable_snapshot_of_a_directory_is_loaded(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     directory = SnapshotDirectory(str(tmp_path), "node-1")
@@ -202,7 +204,7 @@
         snapshot.replica.advance(revision)
         directory.save(snapshot)
     files = sorted(tmp_path.iterdir())
-    assert len(files) == 2  # the oldest is gone
+    assert len(files) == 2  # the oldest is deleted
     files[-1].write_bytes(files[-1].read_bytes()[:-500])
     found = directory.load()
     assert found is not None
@@ -210,9 +212,7 @@
     assert "snapshot skipped" in caplog.text
 
 
-def test_a_directory_that_cannot_be_used_is_said_and_changes_nothing(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_a_missing_snapshot_directory_is_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     directory = SnapshotDirectory(str(tmp_path / "none"), "node-1")
     directory.save(large_snapshot())
     assert directory.load() is None
@@ -223,12 +223,12 @@
 # -- merging -------------------------------------------------------------------------------------------------------
 
 
-def test_two_replicas_that_differ_give_the_newest_of_each_record() -> None:
+def test_merging_keeps_the_newest_version_of_each_record() -> None:
     behind = replica_of({"active/j-1": ({"c": 1}, 5), "active/j-2": ({"c": 1}, 6), "active/j-4": ({}, 31)}, 20)
     ahead = replica_of({"active/j-1": ({"c": 2}, 25), "active/j-3": ({}, 28)}, 30)
     behind.outcomes.add("j-9", JobOutcome("cancelled", 0))
     merged = merge([snapshot_of("a", behind, highest=3), snapshot_of("b", ahead, led=4, highest=4)], DEPLOYMENT, 0, 9)
-    # j-2 was deleted before revision 30, and j-4 was accepted after it by the controller that is behind.
+    # j-2 was deleted before revision 30; j-4 was accepted after revision 30 by the controller whose replica is behind.
     assert merged.records == {"active/j-1": {"c": 2}, "active/j-3": {}, "active/j-4": {}}
     assert merged.outcomes.get("j-9") == JobOutcome("cancelled", 0)
     assert merged.has_last_leader
@@ -236,19 +236,21 @@
     assert merged.sources == ["b", "a"]
 
 
-def test_only_the_newest_generation_and_the_same_deployment_count() -> None:
+def test_merging_uses_only_the_newest_generation_of_the_same_deployment() -> None:
     older = replica_of({"active/j-1": ({"c": 1}, 500)}, 600, generation=1)
     newer = replica_of({"active/j-2": ({}, 5)}, 6, generation=2)
-    stranger = snapshot_of("c", replica_of({"active/j-3": ({}, 5)}, 900, generation=3))
-    stranger.holder = Holder("c", "fedcba9876543210")
-    merged = merge([snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), stranger], DEPLOYMENT, 12, 20)
+    other_deployment = snapshot_of("c", replica_of({"active/j-3": ({}, 5)}, 900, generation=3))
+    other_deployment.holder = Holder("c", "fedcba9876543210")
+    merged = merge(
+        [snapshot_of("a", older, led=9, highest=9), snapshot_of("b", newer), other_deployment], DEPLOYMENT, 12, 20
+    )
     assert merged.records == {"active/j-2": {}}
     assert not merged.has_last_leader
     assert merged.highest_token == 12
 
 
-def test_a_leader_whose_replica_is_of_an_earlier_store_does_not_know_what_it_placed() -> None:
-    """It led in the store that was rebuilt last, and was lost again before its replica was read."""
+def test_a_leader_with_a_replica_of_an_earlier_generation_is_not_taken_for_the_last_leader() -> None:
+    """The leader led in generation 2, which was lost before the leader had read a replica of it."""
     replica = replica_of({"active/j-1": ({}, 5)}, 6, generation=1)
     snapshot = Snapshot(Holder("a", DEPLOYMENT, 9, 2, 9), replica)
     assert not merge([snapshot], DEPLOYMENT, 9, 20).has_last_leader
@@ -268,11 +270,11 @@
         ("[rebuild", "TOML"),
     ],
 )
-def test_wrong_features_name_the_field(text: str, field: str) -> None:
+def test_errors_of_the_features_file_name_the_field(text: str, field: str) -> None:
     with pytest.raises(FeaturesError, match=field):
         parse(text)
 
 
-def test_the_features_file_that_is_deployed_can_be_used() -> None:
+def test_the_deployed_features_file_is_valid() -> None:
     assert parse((Path(__file__).parent.parent / "deploy/features.toml").read_text()).rebuild.enabled
     assert not parse("").rebuild.enabled
