--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of submissions, cancellations, losses and other troubles: the rules hold in each."""
+"""Random histories of submissions, cancellations, losses of records and other faults, under which all rules hold."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """A world whose troubles are drawn; at its end all of them are over, and every job has one final answer."""
+    """A world with random faults; after the last of them, every job reaches exactly one final phase."""
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
@@ -34,21 +34,21 @@
         self.world.cancel(jobs[which % len(jobs)])
 
     @rule(seconds=st.floats(0.1, 8.0))
-    def go_on(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.world.run(seconds)
         self.world.rules.check_cancelled()
         assert self.world.rules.broken == []
 
     @rule()
-    def remember(self) -> None:
-        """The service's operators take a copy."""
+    def copy_store(self) -> None:
+        """Takes a copy of the store, to which a later loss may return, if all controllers find the store sound."""
         if all(node is not None and node.integrity.is_sound() for node in self.world.nodes.values()):
             self.older = self.world.state.copy()
 
     @precondition(lambda self: self.losses < 3)
     @rule(kind=st.sampled_from(["wiped", "counting", "older"]))
-    def lose(self, kind: str) -> None:
-        # What was changed in the last moments may be known to one controller alone, which is still there.
+    def lose_records(self, kind: str) -> None:
+        # The newest changes may be known to a single controller, which is not lost with the store.
         self.losses += 1
         if kind == "older":
             self.world.state.restore(*self.older)
@@ -71,7 +71,7 @@
         self.world.state.outage(seconds)
 
     @rule(seconds=st.floats(5.0, 30.0))
-    def late_reports(self, seconds: float) -> None:
+    def duplicate_reports(self, seconds: float) -> None:
         self.world.copies = 0.1
         self.world.clock.callLater(seconds, setattr, self.world, "copies", 0.0)
 
--- a/tests/test_rebuild_identity.py
+++ b/tests/test_rebuild_identity.py
@@ -1,4 +1,4 @@
-"""What the store's identity, its revisions and fencing tokens show: phases of the store, and a new leader's token."""
+"""The phase of the store by its identity, revision and fencing tokens, and the tokens of a rebuild."""
 
 from typing import Any
 
@@ -16,8 +16,8 @@
 KNOWN = Identity(DEPLOYMENT, generation=3, token_base=100)
 
 
-class StatusOfAStore:
-    """A store's status, with what it was told to forget."""
+class StoreStatusFixture:
+    """A `StoreStatus` with a clock, and a count of the calls that discard what was read from the store."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -29,16 +29,16 @@
     def forget(self) -> None:
         self.forgotten += 1
 
-    def find(self, identity: Identity | None, version: int = 10, revision: int = 20) -> StorePhase:
-        """The phase after the store was asked for its identity."""
+    def evaluate(self, identity: Identity | None, version: int = 10, revision: int = 20) -> StorePhase:
+        """Returns the phase after a read of the identity."""
         found = None if identity is None else (identities.to_record(identity), version)
         self.status.evaluate_identity(found, revision)
         return self.status.phase
 
 
-def sound_store() -> StatusOfAStore:
-    store = StatusOfAStore()
-    assert store.find(KNOWN) is StorePhase.SOUND
+def sound_store() -> StoreStatusFixture:
+    store = StoreStatusFixture()
+    assert store.evaluate(KNOWN) is StorePhase.SOUND
     return store
 
 
@@ -53,16 +53,14 @@
         (Identity("fedcba9876543210", 3, 100), StorePhase.LOST, "another deployment"),
     ],
 )
-def test_the_identity_shows_whether_the_store_is_the_known_one(
-    found: Identity | None, phase: StorePhase, reason: str
-) -> None:
+def test_the_identity_determines_the_phase(found: Identity | None, phase: StorePhase, reason: str) -> None:
     store = sound_store()
-    assert store.find(found) is phase
+    assert store.evaluate(found) is phase
     assert reason in store.status.reason
     assert bool(reason) == (store.status.lost_at is not None)
 
 
-def test_an_unreadable_identity_is_a_loss() -> None:
+def test_an_invalid_identity_record_is_a_loss() -> None:
     store = sound_store()
     store.status.evaluate_identity(({"deployment": 3}, 11), 21)
     assert store.status.phase is StorePhase.LOST
@@ -76,25 +74,25 @@
     store.state.on_regress(50, 30)
     assert store.status.phase is StorePhase.LOST
     assert store.status.guards() == {}
-    assert store.find(KNOWN, revision=30) is StorePhase.LOST
-    assert store.find(Identity(DEPLOYMENT, 4, 200, rebuilding=True)) is StorePhase.REBUILDING
-    assert store.find(Identity(DEPLOYMENT, 4, 200)) is StorePhase.SOUND
+    assert store.evaluate(KNOWN, revision=30) is StorePhase.LOST
+    assert store.evaluate(Identity(DEPLOYMENT, 4, 200, rebuilding=True)) is StorePhase.REBUILDING
+    assert store.evaluate(Identity(DEPLOYMENT, 4, 200)) is StorePhase.SOUND
     assert store.status.lost_at is None
     assert store.forgotten == 1
 
 
-def test_the_first_loss_counts_when_the_store_is_lost_again() -> None:
+def test_lost_at_is_kept_from_the_first_of_two_losses() -> None:
     store = sound_store()
     store.clock.advance(5.0)
     store.status.mark_lost("first")
-    store.find(Identity(DEPLOYMENT, 4, 200, rebuilding=True))
+    store.evaluate(Identity(DEPLOYMENT, 4, 200, rebuilding=True))
     store.clock.advance(5.0)
     store.status.mark_lost("second")
     assert store.status.lost_at == 5.0
     assert store.status.reason == "second"
 
 
-def test_an_older_change_of_the_identity_changes_nothing() -> None:
+def test_an_older_change_of_the_identity_is_ignored() -> None:
     store = sound_store()
     older: Any = identities.to_record(Identity(DEPLOYMENT, 2, 100))
     store.status.apply_identity_change(older, 9)
@@ -104,16 +102,16 @@
     assert store.status.phase is StorePhase.LOST
 
 
-def test_transactions_are_guarded_on_the_identity_that_is_known() -> None:
-    store = StatusOfAStore()
+def test_transactions_are_guarded_by_the_version_of_the_identity() -> None:
+    store = StoreStatusFixture()
     assert store.status.guards() == {}
     store.status.mark_unprotected()
     assert store.status.guards() == {"identity": 0}
-    store.find(KNOWN, version=17)
+    store.evaluate(KNOWN, version=17)
     assert store.status.guards() == {"identity": 17}
 
 
-def test_answers_to_requests_from_before_a_loss_are_refused() -> None:
+def test_a_response_with_an_older_revision_is_refused_as_a_loss() -> None:
     store = sound_store()
     store.state.highest_revision = 50
     with pytest.raises(StoreLostError):
@@ -125,21 +123,21 @@
 # -- tokens ---------------------------------------------------------------------------------------------------------
 
 
-def test_a_rebuild_is_one_generation_on_and_its_tokens_are_above_all_known() -> None:
+def test_a_rebuild_increments_the_generation_and_issues_tokens_above_the_highest() -> None:
     for present in (None, KNOWN, Identity("fedcba9876543210", 9, 900)):
         marked = mark_rebuilding(KNOWN, present, highest_token=150, key_version=3)
         assert marked == Identity(DEPLOYMENT, 4, 150 + TOKEN_MARGIN, rebuilding=True)
 
 
-def test_the_next_leader_of_a_rebuild_keeps_the_generation_and_the_base() -> None:
+def test_the_next_leader_of_a_rebuild_keeps_the_generation_and_the_token_base() -> None:
     present = Identity(DEPLOYMENT, 4, 1000, rebuilding=True)
     assert mark_rebuilding(KNOWN, present, highest_token=1002, key_version=7) == present
-    # A worker knows a token that this leader would issue: the base has to go up.
+    # A worker has a token that this leader would issue, so that the base is raised.
     raised = mark_rebuilding(KNOWN, present, highest_token=1007, key_version=7)
     assert raised == Identity(DEPLOYMENT, 4, 1007 + TOKEN_MARGIN, rebuilding=True)
 
 
-def test_whoever_raised_a_token_led_under_it() -> None:
+def test_a_raised_token_is_the_last_token_of_the_term() -> None:
     tokens = TokenHistory()
     tokens.begin_term(7, 2)
     tokens.observe(5)
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -1,4 +1,4 @@
-"""Controllers that start: with and without the feature, on a store in use, a new one, and one that was lost."""
+"""Starts of controllers with and without the rebuild feature, on stores that are in use, new or wiped."""
 
 from typing import Any
 
@@ -14,8 +14,8 @@
 from tests.versions import NEW, production
 
 
-def test_a_controller_without_the_feature_holds_it_back() -> None:
-    """The store gets no identity, so that nobody relies on what one controller does not do; all goes on as ever."""
+def test_one_controller_without_the_feature_prevents_protection() -> None:
+    """The store gets no identity as long as one controller has no replica; jobs are served as without the feature."""
     world = loaded_world(7)
     world.features["node-2"] = None
     world.kill("node-2", back_after=0.1)
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
-def test_the_version_in_production_beside_it() -> None:
+def test_the_version_in_production_prevents_protection() -> None:
     world = World(8, version=production(), features=REBUILD_ENABLED)
     world.run(5.0)
     for name in ("node-0", "node-1"):
@@ -42,26 +42,26 @@
     assert records.IDENTITY not in world.state.items
 
 
-def test_without_the_feature_nothing_new_is_stored_or_sent() -> None:
+def test_without_the_feature_no_records_or_requests_of_a_rebuild() -> None:
     world = loaded_world(9, features=Features())
-    asked: list[str] = []
-    ask = world.state.ask
+    paths: list[str] = []
+    original = world.state.ask
 
-    def listening(caller: str, method: str, path: str, body: Any) -> Any:
-        asked.append(path)
-        return ask(caller, method, path, body)
+    def recording(caller: str, method: str, path: str, body: Any) -> Any:
+        paths.append(path)
+        return original(caller, method, path, body)
 
-    world.state.ask = listening  # type: ignore[method-assign]
+    world.state.ask = recording  # type: ignore[method-assign]
     finish(world)
-    known = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
-    assert all(key.startswith(known) for key in world.state.items)
-    assert not any(word in path for path in asked for word in ("identity", "undecided", "ended", "under=&"))
+    expected_keys = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
+    assert all(key.startswith(expected_keys) for key in world.state.items)
+    assert not any(word in path for path in paths for word in ("identity", "undecided", "ended", "under=&"))
     view = msgspec.to_builtins(world.nodes["node-0"].administration.view())
     assert view.keys() == {"served_ago_s", "machines", "member", "reads"}
 
 
-def test_a_first_start_on_a_store_with_records_and_on_an_empty_one() -> None:
-    """The one has been in use without the feature; neither is taken for a loss."""
+def test_enabling_the_feature_on_a_store_in_use_is_not_a_loss() -> None:
+    """All controllers are restarted with the feature on a store with records but without an identity."""
     world = loaded_world(10, features=Features())
     world.run(20.0)
     for name in world.names:
@@ -73,8 +73,8 @@
     finish(world)
 
 
-def test_a_controller_that_starts_on_a_wiped_store_asks_the_others() -> None:
-    """It knows nothing itself, and an empty store looks like a new one."""
+def test_a_controller_that_starts_on_a_wiped_store_queries_its_peers() -> None:
+    """A restarted controller has no replica and can't tell a wiped store from a new one."""
     world = loaded_world(11)
     world.run(24.0)
     name = next(n for n in world.names if n != world.leader())
@@ -85,11 +85,11 @@
     finish(world)
 
 
-def test_all_controllers_and_the_store_are_lost_but_a_directory_is_left(tmp_path) -> None:
-    """A small site's directory, and workers' tokens, tell what no process knows any more."""
+def test_a_snapshot_directory_survives_the_loss_of_all_controllers_and_the_store(tmp_path) -> None:
+    """The rebuild relies on the snapshots in the directory and on the fencing tokens of the workers."""
     directory = Features(rebuild=RebuildFeature(enabled=True, directory=str(tmp_path), directory_s=1.0))
     world = loaded_world(12, features=directory)
-    world.run(33.0)  # all were accepted some seconds ago: what is newer than the directory is lost with the processes
+    world.run(33.0)  # all jobs were accepted some seconds ago; records newer than the last snapshot are lost
     for name in world.names:
         world.kill(name, back_after=1.0)
     world.state.wipe()
@@ -97,8 +97,8 @@
     assert phases(world) == {StorePhase.SOUND}
 
 
-def test_tokens_of_workers_show_a_loss_that_no_process_remembers() -> None:
-    """All is lost but what workers run: it stays known, and the new tokens are above theirs."""
+def test_workers_tokens_reveal_a_loss_after_a_restart_of_all_controllers() -> None:
+    """Only workers have data of jobs. These jobs become unresolved, and new tokens are above the workers' tokens."""
     world = loaded_world(13)
     world.run(24.0)
     tokens = max(machine.token for machine in world.cloud.machines.values())
@@ -106,7 +106,7 @@
     for name in world.names:
         world.kill(name, back_after=0.5)
     for machine in world.cloud.machines.values():
-        machine.token = max(machine.token, 150)  # many changes were made since the leader was elected
+        machine.token = max(machine.token, 150)  # stands for many changes after the leader's election
     world.state.wipe()
     world.run(45.0)
     assert phases(world) == {StorePhase.SOUND}
--- a/tests/test_rebuild_unresolved.py
+++ b/tests/test_rebuild_unresolved.py
@@ -1,4 +1,4 @@
-"""What a rebuild can't tell by itself: tasks that wait for an operator, and jobs that only their workers know."""
+"""Unresolved tasks of a rebuild: tasks that wait for an operator's decision, and jobs known only to workers."""
 
 import pytest
 from twisted.internet import defer
@@ -15,41 +15,42 @@
 
 
 def unresolved_jobs(world: World) -> dict[str, dict]:
+    """Returns the unresolved jobs from the rebuild status of a running controller."""
     node = next(node for node in world.nodes.values() if node is not None)
     return node.rebuild.status()["undecided"]
 
 
 def decide(world: World, job: str, task: int | None, decision: str) -> dict | None:
-    """What an operator is told by the node that is asked."""
-    told: list = []
+    """Sends a decision to a running controller; returns the answer or raises the error."""
+    results: list = []
     node = next(node for node in world.nodes.values() if node is not None)
-    defer.ensureDeferred(node.administration.decide(job, task, decision)).addBoth(told.append)
+    defer.ensureDeferred(node.administration.decide(job, task, decision)).addBoth(results.append)
     world.run(1.0)
-    if isinstance(told[0], Failure):
-        told[0].raiseException()
-    return told[0]
+    if isinstance(results[0], Failure):
+        results[0].raiseException()
+    return results[0]
 
 
-def test_a_class_that_runs_once_waits_for_an_operator() -> None:
-    """The last leader and some machines are lost with the store; what may have run on them is not run again."""
+def test_tasks_of_a_run_once_class_wait_for_a_decision() -> None:
+    """The leader and some machines are lost with the store; tasks that may have run there are not started again."""
     world = loaded_world(5, features=ONCE)
     world.run(24.0)
     once = {job for job, body in world.jobs.items() if body["lane"] == "once"}
-    begun = {task for task in world.rules.where if split_task(task)[0] in once}
-    assert begun
-    for machine in {world.rules.where[task] for task in begun}:
+    started = {task for task in world.rules.where if split_task(task)[0] in once}
+    assert started
+    for machine in {world.rules.where[task] for task in started}:
         machine.die()
     wiped_and_leader_killed(world)
     world.run(90.0)
-    found = unresolved_jobs(world)
-    assert {f"{job}/{task}" for job, record in found.items() for task in record["evidence"]} >= begun
-    started = world.rules.starts_of(begun)
+    unresolved = unresolved_jobs(world)
+    assert {f"{job}/{task}" for job, record in unresolved.items() for task in record["evidence"]} >= started
+    starts = world.rules.starts_of(started)
     world.run(40.0)
-    assert world.rules.starts_of(begun) == started
-    assert not any(world.rules.is_final(split_task(task)[0]) for task in begun)
-    first, *others = sorted(found)
-    for task in found[first]["evidence"]:
-        world.rules.done.add(f"{first}/{task}")  # the operator has looked: it did complete
+    assert world.rules.starts_of(started) == starts
+    assert not any(world.rules.is_final(split_task(task)[0]) for task in started)
+    first, *others = sorted(unresolved)
+    for task in unresolved[first]["evidence"]:
+        world.rules.done.add(f"{first}/{task}")  # the operator found that the task had completed
     decide(world, first, None, "done")
     for job in others:
         decide(world, job, None, "run")
@@ -57,7 +58,7 @@
     assert unresolved_jobs(world) == {}
 
 
-def test_impossible_decisions_change_nothing() -> None:
+def test_invalid_decisions_are_refused() -> None:
     world = loaded_world(5, features=ONCE)
     world.run(24.0)
     key = f"{records.UNRESOLVED}j-000001"
@@ -70,8 +71,11 @@
     assert world.state.items[key] == before[key]
 
 
-def test_a_job_that_only_its_worker_knows_goes_on_and_stays_known() -> None:
-    """Every replica has lost it; its user who submits it again is served, and nobody is told that it never was."""
+def test_a_job_known_only_to_its_workers_continues_and_is_not_forgotten() -> None:
+    """The job's records are in no replica. Status requests never answer that the job does not exist.
+
+    A repeated submission restores the specification, and the job completes.
+    """
     world = loaded_world(6)
     world.run(24.0)
     job = split_task(next(task for task in sorted(world.rules.where) if world.rules.job_of(task)["guessS"] > 20))[0]
@@ -81,7 +85,7 @@
         replica = node.rebuild.replicas.current
         for key in [key for key in replica.records if job in key]:
             del replica.records[key]
-    wiped_and_leader_killed(world)  # it would know what it has placed
+    wiped_and_leader_killed(world)  # also kills the leader, whose process has the job's placements
     world.run(45.0)
     assert unresolved_jobs(world)[job]["unknown"]
     assert world.rules.last[job] != "missing"
