--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -212,6 +212,7 @@
     # -- controllers ---------------------------------------------------------------------
 
     def settings(self, name: str) -> str:
+        """Returns the settings file of a controller."""
         peers = "".join(
             f'[[peers]]\nmember = "{other}"\nsite = "a"\naddress = "{self.peer_address(name, other)}"\n'
             for other in self.names
@@ -231,6 +232,7 @@
         return with_settings(text, changes)
 
     def spawn(self, name: str) -> subprocess.Popen:
+        """Starts a controller process, which appends its log to a file."""
         settings, features = self.folder / f"{name}.toml", self.folder / "features.toml"
         settings.write_text(self.settings(name))
         features.write_text(f"[rebuild]\nenabled = {str(not self.options.without).lower()}\nfollow_s = 0.1\n")
@@ -276,6 +278,7 @@
             await self.sleep(POLL_S)
 
     def sleep(self, seconds: float) -> defer.Deferred:
+        """Returns a Deferred that fires after this time."""
         done: defer.Deferred = defer.Deferred()
         self.clock.callLater(seconds, done.callback, None)
         return done
@@ -359,6 +362,7 @@
             self.clock.callLater(0.1, self.check_progress)
 
     def finish(self) -> None:
+        """Kills the controllers, completes the outcome and stops the reactor."""
         for process in self.processes.values():
             process.kill()
             process.wait()
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -118,9 +118,13 @@
         if plan.machines:
             self.REPORT_S, self.LEASE_S, self.CANCEL_S = self.MANY_REPORT_S, self.MANY_LEASE_S, self.MANY_CANCEL_S
         self.deaf: dict[str, float] = {}
+        """Workers that receive neither commands nor responses, with the end of this fault."""
         self.mute: dict[str, float] = {}
+        """Workers whose heartbeats are lost, with the end of this fault."""
         self.killed: set[str] = set()
+        """Controllers that are down until their restart."""
         self.troubled_until = 0.0
+        """The end of the troubles begun so far and of their delays, in seconds after the first submission."""
         self.links = Links(reactor, lambda: self.now, random.Random(f"links {plan.seed}"))
         self.passthrough_client = Client(
             reactor, bytes, bytes, b"application/json", per_host=8, connect_s=1.0, idle_s=30.0
@@ -187,6 +191,7 @@
         reactor.callLater(1.0, self._check_progress)
 
     def _submit(self, number: int, **changes: Any) -> str:
+        """Submits an array or gang with parameters derived from its number; returns the job's id."""
         width = max(1, self.plan.machines // 10)
         body = self.job(
             number,
@@ -272,6 +277,7 @@
             self.result.failures.append(failure)
 
     def finish(self) -> None:
+        """Kills the controllers, completes the result and stops the reactor."""
         for process in self.processes.values():
             process.kill()
             process.wait()
@@ -290,6 +296,7 @@
         reactor.stop()
 
     def _check_logs(self) -> None:
+        """Adds logged defects to the failures and counts the lines of `LOG_PATTERNS`."""
         counted: Counter[str] = Counter()
         for name in self.names:
             text = (self.folder / f"{name}.log").read_text(errors="replace")
@@ -303,18 +310,20 @@
     # --------------------------------------------------------------------------------------------------------
 
     def _begin_trouble(self, trouble: Trouble) -> None:
+        """Calls the method named after the trouble's kind."""
         self.troubled_until = max(self.troubled_until, trouble.at_s + trouble.for_s + trouble.most_s)
         getattr(self, f"_{trouble.kind}")(trouble)
 
     def _kill_process(self, name: str | None, restart_after_s: float) -> None:
+        """Kills a controller process and restarts it later, unless it is down already."""
         if name is None or name in self.killed:
             return
         self.killed.add(name)
         self.processes[name].send_signal(signal.SIGKILL)
         self.processes[name].wait()
-        reactor.callLater(restart_after_s, self._spawn_again, name)
+        reactor.callLater(restart_after_s, self._restart_process, name)
 
-    def _spawn_again(self, name: str) -> None:
+    def _restart_process(self, name: str) -> None:
         self.processes[name] = self.spawn(name)
         self.killed.discard(name)
 
@@ -325,10 +334,12 @@
         self._kill_process(self.leader(), min(trouble.for_s, 5.0))
 
     def _leaders_in_series(self, trouble: Trouble) -> None:
+        """Kills `count` leaders, one every `for_s` seconds."""
         for number in range(trouble.count):
             reactor.callLater(number * trouble.for_s, lambda: self._kill_process(self.leader(), 0.2))
 
     def _pause_process(self, name: str | None, for_s: float) -> None:
+        """Stops a controller process by SIGSTOP and continues it later."""
         if name is None or name in self.killed:
             return
         process = self.processes[name]
@@ -346,26 +357,28 @@
     def _pause_leader(self, trouble: Trouble) -> None:
         self._pause_process(self.leader(), min(trouble.for_s, 8.0))
 
-    def _fault(self, trouble: Trouble, source: str, target: str, mode: str) -> None:
+    def _add_link_fault(self, trouble: Trouble, source: str, target: str, mode: str) -> None:
         until = self.now + trouble.for_s
         self.links.faults.append(
             Fault(until, source, target, mode, trouble.share, trouble.least_s, trouble.most_s, trouble.verb)
         )
 
     def _cut(self, trouble: Trouble) -> None:
-        self._fault(trouble, trouble.source, trouble.target, trouble.mode)
+        self._add_link_fault(trouble, trouble.source, trouble.target, trouble.mode)
 
     def _hold_commands(self, trouble: Trouble) -> None:
-        self._fault(trouble, "leader", "n-*", trouble.mode if trouble.mode.startswith("hold") else "hold")
+        self._add_link_fault(trouble, "leader", "n-*", trouble.mode if trouble.mode.startswith("hold") else "hold")
 
     def _hold_reports(self, trouble: Trouble) -> None:
-        self._fault(trouble, "n-*", "node-*", "hold")
+        self._add_link_fault(trouble, "n-*", "node-*", "hold")
 
     def _copies(self, trouble: Trouble) -> None:
-        self._fault(trouble, "n-*", "node-*", "copy")
-        self._fault(trouble, "leader", "n-*", "copy")
+        """Delivers second copies of heartbeats and commands."""
+        self._add_link_fault(trouble, "n-*", "node-*", "copy")
+        self._add_link_fault(trouble, "leader", "n-*", "copy")
 
     def _refuse_leader(self, trouble: Trouble) -> None:
+        """The state service refuses all requests of the leader."""
         name = self.leader()
         if name is not None:
             self.state.refuses[name] = self.now + trouble.for_s
@@ -377,16 +390,19 @@
         self.state.slow = self.now + trouble.for_s, trouble.most_s
 
     def _writes_lost(self, trouble: Trouble) -> None:
+        """Loses responses to transactions; at random, all of these are executed at once or all some seconds later."""
         self.state.late_writes = self.now + trouble.for_s, trouble.share, self.random.random() < 0.5
 
     def _cloud_out(self, trouble: Trouble) -> None:
         self.cloud.down_until = self.now + trouble.for_s
 
-    def _some_machines(self, trouble: Trouble) -> list[Machine]:
+    def _random_machines(self, trouble: Trouble) -> list[Machine]:
+        """Returns a random selection of the machines, each with the probability `share`."""
         return [m for m in self.cloud.machines.values() if m.up and self.random.random() < trouble.share]
 
     def _hang(self, trouble: Trouble) -> None:
-        for machine in self._some_machines(trouble):
+        """Suspends workers for less than a lease."""
+        for machine in self._random_machines(trouble):
             machine.hung = True
             reactor.callLater(min(trouble.for_s, 0.8 * self.LEASE_S), self._resume_machine, machine)
 
@@ -396,13 +412,16 @@
         machine.lapse()
 
     def _deaf(self, trouble: Trouble) -> None:
-        self.deaf |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        """Workers receive neither commands nor responses to their heartbeats."""
+        self.deaf |= {machine.name: self.now + trouble.for_s for machine in self._random_machines(trouble)}
 
     def _mute(self, trouble: Trouble) -> None:
-        self.mute |= {machine.name: self.now + trouble.for_s for machine in self._some_machines(trouble)}
+        """Heartbeats of the workers are lost; the workers still receive commands."""
+        self.mute |= {machine.name: self.now + trouble.for_s for machine in self._random_machines(trouble)}
 
     def _spot_wave(self, trouble: Trouble) -> None:
-        for machine in [machine for machine in self._some_machines(trouble) if machine.spot]:
+        """Takes away spot machines, 2 s after the warning."""
+        for machine in [machine for machine in self._random_machines(trouble) if machine.spot]:
             machine.notice = self.now + 2.0
             reactor.callLater(2.0, self._reclaim, machine)
 
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -1,4 +1,7 @@
-"""Inline chunks: small jobs store their tasks in the job record, which saves changes of the store."""
+"""Inline chunks: small jobs store their tasks in the job record, which saves changes of the store.
+
+A cancellation, which deletes the job record, must not lose placements.
+"""
 
 import json
 from collections import Counter
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -15,7 +15,10 @@
 
 
 def test_one_controller_without_the_feature_prevents_protection() -> None:
-    """The store gets no identity as long as one controller has no replica; jobs are served as without the feature."""
+    """As long as one controller has no replica, the store gets no identity, so that no other relies on the feature.
+
+    Jobs are served as without it.
+    """
     world = loaded_world(7)
     world.features["node-2"] = None
     world.kill("node-2", back_after=0.1)
@@ -61,7 +64,10 @@
 
 
 def test_enabling_the_feature_on_a_store_in_use_is_not_a_loss() -> None:
-    """All controllers are restarted with the feature on a store with records but without an identity."""
+    """The controllers are restarted with the feature on a store that has records but no identity.
+
+    Neither this nor the first start on an empty store counts as a loss.
+    """
     world = loaded_world(10, features=Features())
     world.run(20.0)
     for name in world.names:
