--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -1,4 +1,7 @@
-"""Small jobs keep their tasks in their own record: fewer changes of the store, and nothing lost by a cancellation."""
+"""Inline chunks: small jobs store their tasks in the job record, which saves changes of the store.
+
+A cancellation, which deletes the job record, must not lose placements.
+"""
 
 import json
 from collections import Counter
@@ -24,24 +27,24 @@
 
 
 def count_changes(cluster: SimulatedCluster) -> Counter[str]:
-    """Counts the store's executed changes from now on, by their key's first part and what they do."""
-    counted: Counter[str] = Counter()
+    """Returns a counter of the store's changes from now on, by operation and first part of the key."""
+    counts: Counter[str] = Counter()
     commit = cluster.state.commit
 
-    def counting(body: Any) -> Reply:
+    def commit_and_count(body: Any) -> Reply:
         reply = commit(body)
         if reply.status == 200:
             for write in body["writes"]:
-                what = "set" if "set" in write else "delete"
-                counted[f"{what} {write[what].partition('/')[0]}"] += 1
+                operation = "set" if "set" in write else "delete"
+                counts[f"{operation} {write[operation].partition('/')[0]}"] += 1
         return reply
 
-    cluster.state.commit = counting  # type: ignore[method-assign]
-    return counted
+    cluster.state.commit = commit_and_count  # type: ignore[method-assign]
+    return counts
 
 
 def cluster_in_newest_format(seed: int, **more: Any) -> SimulatedCluster:
-    """A world whose controllers all write the newest format."""
+    """Returns a world in which all controllers write the newest format."""
     cluster = SimulatedCluster(seed, loss=0.0, **more)
     cluster.run(15)
     assert {node.record_format.number for node in cluster.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
@@ -49,15 +52,16 @@
 
 
 def run_until_started(cluster: SimulatedCluster, tasks: int) -> None:
+    """Runs the world until this number of tasks run; fails after 120 s."""
     for _ in range(120):
         if len(cluster.checker.machine_by_task) >= tasks:
             return
         cluster.run(1)
-    raise AssertionError("the tasks did not start")
+    raise AssertionError(f"{len(world.rules.where)} of {tasks} tasks started within 120 s")
 
 
 def test_a_one_task_job_takes_five_changes() -> None:
-    """Accepted, placed, running, and the two of its end; six with a record for its chunk."""
+    """The changes: accepted, placed, running, and two at its end. With a chunk record of its own it takes six."""
     cluster = cluster_in_newest_format(101)
     counted = count_changes(cluster)
     for number in range(30):
@@ -71,15 +75,15 @@
     assert set(jobs) == {"set active", "set final", "delete active"}
 
 
-def test_a_cancelled_job_keeps_what_may_still_run() -> None:
-    """Its record goes with the cancellation. Were its placements gone with it, nobody would stop them or count them."""
+def test_cancelling_a_job_keeps_the_placements_of_its_running_tasks() -> None:
+    """A cancellation deletes the job record. Without its placements, no leader would stop or account for the tasks."""
     cluster = cluster_in_newest_format(102)
     cluster.submit(cluster.job(1, pieces=3, guessS=200.0))
     run_until_started(cluster, 3)
     assert records.INLINE_CHUNK in cluster.state.items["active/j-000001"][0]
     leader = cluster.leader()
     assert leader is not None
-    # The leader hears nothing of it, and ends before it could.
+    # The leader does not receive the cancellation before it is killed.
     cluster.state.refused_until[leader] = cluster.now + 60.0
     cluster.cancel("j-000001")
     while cluster.checker.last_phase.get("j-000001") != "aborted":
@@ -88,7 +92,7 @@
     assert len(kept["p"]) == 3
     assert kept["r"] == ["core", 4.0, 0.0, 4.0]
     cluster.kill(leader, 30.0)
-    # Well within a worker's lease: they are stopped by a successor that found them, and have not merely lapsed.
+    # Well within a worker's lease: the next leader found and stopped the tasks; their leases have not expired.
     cluster.run(7)
     assert cluster.leader() not in (None, leader)
     assert cluster.checker.machine_by_task == {}
@@ -97,9 +101,9 @@
     assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
-def test_a_job_cancelled_before_it_is_placed_leaves_no_chunk() -> None:
+def test_cancelling_an_unplaced_job_leaves_no_chunk() -> None:
     cluster = cluster_in_newest_format(103)
-    cluster.cloud.available_types.clear()  # there is nowhere to run
+    cluster.cloud.available_types.clear()  # no machine can be rented
     cluster.submit(cluster.job(1, pieces=2))
     cluster.run(2)
     counted = count_changes(cluster)
@@ -109,7 +113,7 @@
     assert {kind: n for kind, n in counted.items() if "rented" not in kind} == {"set final": 1, "delete active": 1}
 
 
-def test_a_new_leader_finds_placements_in_the_jobs_record() -> None:
+def test_a_new_leader_reads_placements_from_the_job_record() -> None:
     cluster = cluster_in_newest_format(104)
     for number in range(4):
         cluster.submit(cluster.job(number, pieces=3, vcpus=1.0, guessS=60.0))
@@ -124,8 +128,8 @@
     assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
-def test_a_chunk_that_the_record_has_no_room_for_gets_one_of_its_own() -> None:
-    """The limit of a value becomes lower without notice, while many tasks are placed."""
+def test_a_chunk_that_exceeds_the_job_record_gets_its_own_record() -> None:
+    """The value limit is reduced without notice while 40 tasks are placed."""
     cluster = cluster_in_newest_format(105, value_kb=16.0)
     cluster.submit(cluster.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=60.0))
     run_until_started(cluster, 40)
@@ -140,8 +144,8 @@
 
 @needs_history
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_last_version_of_format_1_and_this_one_in_turn(seed: int) -> None:
-    """The roll, with leaders of both versions; nothing is written inline before all have the new version."""
+def test_rolling_upgrade_from_the_last_version_of_format_1(seed: int) -> None:
+    """Leaders of both versions alternate; no chunk is stored inline before all controllers have the new version."""
     cluster = SimulatedCluster(seed=110 + seed, loss=0.004, version=from_history(LAST_FORMAT_1) or CURRENT)
     submit_mixed_jobs(cluster, jobs=24)
     for number in range(200, 240):
@@ -151,7 +155,7 @@
     for number in (205, 212, 219, 226, 233):
         cluster.clock.callLater(0.8 * number - 146, cluster.cancel, f"j-{number:06d}")
     cluster.clock.callLater(18.0, cluster.kill, "node-0", 1.0, CURRENT)
-    cluster.clock.callLater(26.0, cluster.kill, "node-1", 0.3)  # comes back old before its turn
+    cluster.clock.callLater(26.0, cluster.kill, "node-1", 0.3)  # restarts with the old version before it is upgraded
     cluster.clock.callLater(32.0, cluster.kill, "node-1", 1.0, CURRENT)
     for seconds in range(40):
         cluster.run(1)
@@ -168,7 +172,7 @@
     assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
-def test_an_inline_chunk_is_read_as_it_was_written() -> None:
+def test_an_inline_chunk_survives_encoding() -> None:
     job = Job(stored_spec(pieces=5), 7.0, 22)
     chunk = job.chunk_of(0)
     chunk.attempt, chunk.done = 3, {0, 4}
@@ -183,37 +187,37 @@
         (1, 2, "n-000001", "a", True),
         (2, 3, "n-000002", "b", False),
     ]
-    # A record of its own, as a cancellation leaves it, counts for more than what the job's record said before.
+    # A chunk record, as a cancellation writes it, takes precedence over the inline chunk.
     apply_chunk_records(again, [(records.chunk_key("j-1", 0), {"a": 4, "d": [[0, 5]], "p": {}}, 12)])
     read = again.chunks[0]
     assert (read.attempt, read.storage, read.version) == (4, ChunkStorage.OWN_RECORDS, 12)
 
 
-def test_a_leader_that_has_not_read_the_format_tells_the_length_of_chunks() -> None:
-    """All begin anew, and reads of the format fail for a while; then a job is cancelled, and the leader ends.
+def test_chunk_records_contain_the_chunk_size_before_the_leader_has_read_the_format() -> None:
+    """All controllers restart, and reads of the format fail for 12 s; a job is cancelled, and the leader is killed.
 
-    Its successor knows the job by its chunk's record alone. Without the length there it took the tasks for those of
-    other chunks, and failed to let go of them.
+    The next leader knows the job only from its chunk record. Without the chunk size in that record, it attributed the
+    tasks to other chunks and failed to release them.
     """
     cluster = cluster_in_newest_format(106)
     cluster.submit(cluster.job(1, pieces=40, vcpus=0.5, memGb=0.2, guessS=200.0))
     run_until_started(cluster, 40)
     assert cluster.state.items["active/j-000001"][0]["n"] > records.chunk_size(cluster.value_kb) > 20
-    ask, until = cluster.state.receive, cluster.now + 12.0
+    original, until = cluster.state.receive, cluster.now + 12.0
 
-    def asking(caller: str, method: str, path: str, body: Any) -> Any:
+    def fail_reads_of_the_format(caller: str, method: str, path: str, body: Any) -> Any:
         if path == f"/kv/{records.FORMAT}" and cluster.now < until:
-            return Reply(503, {"error": "trouble"})
-        return ask(caller, method, path, body)
+            return Reply(503, {"error": "unavailable"})
+        return original(caller, method, path, body)
 
-    cluster.state.receive = asking  # type: ignore[method-assign]
+    cluster.state.receive = fail_reads_of_the_format  # type: ignore[method-assign]
     for name in cluster.names:
         cluster.kill(name, 0.2)
     cluster.run(6)
     leader = cluster.leader()
     assert leader is not None
     assert cluster.nodes[leader].record_format.number == 0
-    cluster.submit(cluster.job(2, pieces=2))  # some change of the first job is written too: its counts
+    cluster.submit(cluster.job(2, pieces=2))  # so that the counts of the first job are written too
     for machine in list({m.name: m for task, m in cluster.checker.machine_by_task.items()}.values())[:1]:
         machine.die()
     while records.chunk_key("j-000001", 0) not in cluster.state.items and cluster.now < until:
@@ -229,17 +233,19 @@
     assert [key for key in cluster.state.items if "j-000001" in key] == ["final/j-000001"]
 
 
-@example(spec={"pieces": 20, "bundle": "0"}, names=["\U00010000" * 4], done=set(), attempts=0)  # once too large
+@example(
+    spec={"pieces": 20, "bundle": "0"}, names=["\U00010000" * 4], done=set(), attempts=0
+)  # was stored too large before
 @given(
     spec=st.fixed_dictionaries({"pieces": st.integers(1, 96), "bundle": st.text(min_size=1, max_size=40)}),
     names=st.lists(st.text(max_size=30), min_size=1, max_size=3),
     done=st.sets(st.integers(0, 95)),
     attempts=st.integers(0, 10**9),
 )
-def test_a_small_jobs_record_takes_no_more_than_is_reckoned(
+def test_the_estimated_size_of_an_inline_record_is_an_upper_bound(
     spec: dict[str, Any], names: list[str], done: set[int], attempts: int
 ) -> None:
-    """What is reckoned without encoding decides that a chunk is put into it: less than the truth could be too large."""
+    """The estimate decides whether a chunk is stored inline; if it was too low, the record could exceed the limit."""
     body = SimulatedCluster.job(None, 1, **spec)  # type: ignore[arg-type]
     job = Job(CURRENT.messages.parse_job(body), 1e9, 96)
     chunk = job.chunk_of(0)
@@ -257,9 +263,9 @@
 
 @example(
     names=["\U00010000" * 40], placed=20, value_bytes=4096
-)  # taken for small by their number, and stored too large
+)  # was estimated by the number of placements, and stored too large
 @given(names=st.lists(NAMES, min_size=1, max_size=3), placed=st.integers(0, 96), value_bytes=st.integers(2048, 16384))
-def test_a_chunks_records_are_within_the_limit_whatever_its_names(
+def test_chunk_records_are_within_the_value_limit_for_any_names(
     names: list[str], placed: int, value_bytes: int
 ) -> None:
     job = Job(stored_spec(pieces=96), 1e9, 96)
@@ -277,8 +283,8 @@
         st.text() | st.integers(0, 10**9), lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner)
     )
 )
-def test_a_transactions_size_is_not_reckoned_too_small(value: Any) -> None:
-    """In UTF-8 a text takes a third of what it takes with all but ASCII escaped."""
+def test_the_estimated_size_of_a_transaction_is_an_upper_bound(value: Any) -> None:
+    """The estimate covers JSON with non-ASCII characters escaped, which takes up to three times the size in UTF-8."""
     escaped = json.dumps(value, separators=(",", ":"))
     assert len(escaped) <= records.max_compact_bytes(value)
     assert records.json_bytes(value) <= 2 * records.max_compact_bytes(value)
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -1,4 +1,4 @@
-"""The state service loses its records in mid-batch: what was accepted runs once and ends with one answer."""
+"""The state service loses its records during a batch: each accepted job completes once and has one final phase."""
 
 import json
 import subprocess
@@ -20,7 +20,7 @@
 
 
 def loaded_cluster(seed: int, features: Features = REBUILD_ENABLED, **more) -> SimulatedCluster:
-    """A world with jobs of all kinds, in mid-batch when the loss comes."""
+    """Returns a world with arrays and gangs, of the classes `batch` and `once`, submitted from 4 s on every 1.5 s."""
     cluster = SimulatedCluster(seed, features=features, **more)
     for number in range(JOBS):
         body = cluster.job(
@@ -37,7 +37,7 @@
 
 
 def finish(cluster: SimulatedCluster, longest_s: float = 300.0) -> None:
-    """Plays until all jobs have ended, and checks the rules."""
+    """Runs the world until all jobs have ended, and checks that no rule was broken."""
     end = cluster.now + longest_s
     while cluster.now < end and not all(cluster.checker.is_final(job) for job in cluster.jobs):
         cluster.run(2)
@@ -48,10 +48,11 @@
 
 
 def phases(cluster: SimulatedCluster) -> set[StorePhase]:
+    """Returns the phases of the store as the running controllers see them."""
     return {node.rebuild.store.phase for node in cluster.nodes.values() if node is not None}
 
 
-# -- losses --------------------------------------------------------------------------------------------------------
+# -- losses of the records -----------------------------------------------------------------------------------------
 
 Loss = Callable[[SimulatedCluster], None]
 
@@ -123,9 +124,9 @@
 
 
 def wiped_just_after_cancellations(cluster: SimulatedCluster) -> None:
-    """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
-    running = [job for job in cluster.jobs if not cluster.checker.is_final(job)][:5]
-    for job in running:
+    """Any controller may confirm a cancellation; the loss follows 80 ms after the requests."""
+    unfinished = [job for job in cluster.jobs if not cluster.checker.is_final(job)][:5]
+    for job in unfinished:
         cluster.cancel(job)
     cluster.clock.callLater(0.08, cluster.state.wipe)
 
@@ -165,10 +166,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", LOSSES)
-def test_a_loss_in_mid_batch(name: str, seed: int) -> None:
+def test_jobs_complete_once_after_a_loss(name: str, seed: int) -> None:
     cluster = loaded_cluster(seed)
     for number in (2, 7, 11):
-        # Confirmed shortly before the loss, at it, and after it.
+        # Requested 5.5 s before the loss, 0.5 s before it, and 3.5 s after it.
         cluster.clock.callLater(16.5 + number, cluster.cancel, f"j-{number:06d}")
     cluster.run(24.0)
     assert phases(cluster) == {StorePhase.SOUND}
@@ -178,17 +179,17 @@
 
 
 @pytest.mark.parametrize("name", FAULT_SCHEDULES)
-def test_no_other_trouble_looks_like_a_loss(
+def test_other_faults_are_not_taken_for_a_loss(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
+    """Outages, refusals, slow or lost responses, cut links, pauses and leader changes, alone and combined."""
     monkeypatch.setattr(SimulatedCluster, "FEATURES", REBUILD_ENABLED)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
 
 
-def test_without_the_feature_jobs_are_forgotten() -> None:
-    """The checker sees what a loss does to a service that does not notice it."""
+def test_without_the_feature_a_loss_forgets_jobs() -> None:
+    """Shows that the checker of the rules detects a loss that the service does not handle."""
     cluster = loaded_cluster(3, features=Features())
     cluster.run(24.0)
     cluster.state.wipe()
@@ -196,8 +197,8 @@
     assert any("forgotten" in broken for broken in cluster.checker.violations)
 
 
-def test_an_older_state_comes_back() -> None:
-    """Ends and cancellations that it does not know stay; so do jobs that were accepted since."""
+def test_an_older_state_is_restored() -> None:
+    """Completions, cancellations and acceptances that are newer than the restored state are kept."""
     cluster = loaded_cluster(4)
     cluster.run(14.0)
     older = cluster.state.backup()
@@ -209,7 +210,7 @@
 
 
 @pytest.mark.parametrize("loss", [wiped, wiped_and_leader_killed, wiped_with_a_zone_cut_off])
-def test_a_standing_service_goes_on_until_it_is_cancelled(loss: Loss) -> None:
+def test_a_standing_service_survives_a_loss_and_can_be_cancelled(loss: Loss) -> None:
     cluster = SimulatedCluster(14, features=REBUILD_ENABLED)
     service = cluster.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
     cluster.submit(service)
@@ -231,23 +232,23 @@
 
 
 def run_on_loopback(*options: str) -> dict[str, Any]:
-    """What became of a batch that real processes served."""
+    """Returns the result of a batch on real controller processes."""
     command = [sys.executable, "-m", "tests.loopback_cluster", "--jobs", "14", *options]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
-    return json.loads(done.stdout)
+    completed = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
+    return json.loads(completed.stdout)
 
 
-def test_real_processes_end_all_jobs_as_without_the_loss() -> None:
-    """The state service is wiped in mid-batch, also with the leader and machines lost; the same seed each time."""
+def test_real_processes_give_the_same_final_phases_with_and_without_a_loss() -> None:
+    """One seed without a loss, with the state service wiped at 4 s, and with the leader and 2 machines lost too."""
     undisturbed = run_on_loopback("--seed", "3")
-    wiped_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
-    all_at_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
-    for played in (undisturbed, wiped_once, all_at_once):
-        assert played["broken"] == []
-        assert played["answers"] == undisturbed["answers"]
+    with_wipe = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
+    with_wipe_and_kills = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
+    for result in (undisturbed, with_wipe, with_wipe_and_kills):
+        assert result["broken"] == []
+        assert result["answers"] == undisturbed["answers"]
     assert set(undisturbed["answers"].values()) == {"done", "aborted"}
     assert not undisturbed["rebuilt"]
-    assert wiped_once["rebuilt"]
-    assert all_at_once["rebuilt"]
-    # With the last leader's word nothing is run again.
-    assert wiped_once["repeated"] == undisturbed["repeated"] == []
+    assert with_wipe["rebuilt"]
+    assert with_wipe_and_kills["rebuilt"]
+    # With the replica of the last leader no task is repeated.
+    assert with_wipe["repeated"] == undisturbed["repeated"] == []
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -1,4 +1,4 @@
-"""Controllers that start: with and without the feature, on a store in use, a new one, and one that was lost."""
+"""Starts of controllers with and without the rebuild feature, on stores that are in use, new or wiped."""
 
 from typing import Any
 
@@ -14,8 +14,11 @@
 from tests.versions import CURRENT, production
 
 
-def test_a_controller_without_the_feature_holds_it_back() -> None:
-    """The store gets no identity, so that nobody relies on what one controller does not do; all goes on as ever."""
+def test_one_controller_without_the_feature_prevents_protection() -> None:
+    """As long as one controller has no replica, the store gets no identity, so that no other relies on the feature.
+
+    Jobs are served as without it.
+    """
     cluster = loaded_cluster(7)
     cluster.features["node-2"] = None
     cluster.kill("node-2", restart_after_s=0.1)
@@ -30,7 +33,7 @@
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
-def test_the_version_in_production_beside_it() -> None:
+def test_the_version_in_production_prevents_protection() -> None:
     cluster = SimulatedCluster(8, version=production(), features=REBUILD_ENABLED)
     cluster.run(5.0)
     for name in ("node-0", "node-1"):
@@ -42,26 +45,29 @@
     assert records.IDENTITY not in cluster.state.items
 
 
-def test_without_the_feature_nothing_new_is_stored_or_sent() -> None:
+def test_without_the_feature_no_records_or_requests_of_a_rebuild() -> None:
     cluster = loaded_cluster(9, features=Features())
-    asked: list[str] = []
-    ask = cluster.state.receive
+    paths: list[str] = []
+    original = cluster.state.receive
 
-    def listening(caller: str, method: str, path: str, body: Any) -> Any:
-        asked.append(path)
-        return ask(caller, method, path, body)
+    def recording(caller: str, method: str, path: str, body: Any) -> Any:
+        paths.append(path)
+        return original(caller, method, path, body)
 
-    cluster.state.receive = listening  # type: ignore[method-assign]
+    cluster.state.receive = recording  # type: ignore[method-assign]
     finish(cluster)
-    known = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
-    assert all(key.startswith(known) for key in cluster.state.items)
-    assert not any(word in path for path in asked for word in ("identity", "undecided", "ended", "under=&"))
+    expected_keys = ("leader", "active/", "tasks/", "final/", "settings", "format", "images/", "rented/")
+    assert all(key.startswith(expected_keys) for key in cluster.state.items)
+    assert not any(word in path for path in paths for word in ("identity", "undecided", "ended", "under=&"))
     view = msgspec.to_builtins(cluster.nodes["node-0"].administration.view())
     assert view.keys() == {"served_ago_s", "machines", "member", "reads"}
 
 
-def test_a_first_start_on_a_store_with_records_and_on_an_empty_one() -> None:
-    """The one has been in use without the feature; neither is taken for a loss."""
+def test_enabling_the_feature_on_a_store_in_use_is_not_a_loss() -> None:
+    """The controllers are restarted with the feature on a store that has records but no identity.
+
+    Neither this nor the first start on an empty store counts as a loss.
+    """
     cluster = loaded_cluster(10, features=Features())
     cluster.run(20.0)
     for name in cluster.names:
@@ -73,8 +79,8 @@
     finish(cluster)
 
 
-def test_a_controller_that_starts_on_a_wiped_store_asks_the_others() -> None:
-    """It knows nothing itself, and an empty store looks like a new one."""
+def test_a_controller_that_starts_on_a_wiped_store_queries_its_peers() -> None:
+    """A restarted controller has no replica and can't tell a wiped store from a new one."""
     cluster = loaded_cluster(11)
     cluster.run(24.0)
     name = next(n for n in cluster.names if n != cluster.leader())
@@ -85,11 +91,11 @@
     finish(cluster)
 
 
-def test_all_controllers_and_the_store_are_lost_but_a_directory_is_left(tmp_path) -> None:
-    """A small site's directory, and workers' tokens, tell what no process knows any more."""
+def test_a_snapshot_directory_survives_the_loss_of_all_controllers_and_the_store(tmp_path) -> None:
+    """The rebuild relies on the snapshots in the directory and on the fencing tokens of the workers."""
     directory = Features(rebuild=RebuildFeature(enabled=True, directory=str(tmp_path), directory_s=1.0))
     cluster = loaded_cluster(12, features=directory)
-    cluster.run(33.0)  # all were accepted some seconds ago: what is newer than the directory is lost with the processes
+    cluster.run(33.0)  # all jobs were accepted some seconds ago; records newer than the last snapshot are lost
     for name in cluster.names:
         cluster.kill(name, restart_after_s=1.0)
     cluster.state.wipe()
@@ -97,8 +103,8 @@
     assert phases(cluster) == {StorePhase.SOUND}
 
 
-def test_tokens_of_workers_show_a_loss_that_no_process_remembers() -> None:
-    """All is lost but what workers run: it stays known, and the new tokens are above theirs."""
+def test_workers_tokens_reveal_a_loss_after_a_restart_of_all_controllers() -> None:
+    """Only workers have data of jobs. These jobs become unresolved, and new tokens are above the workers' tokens."""
     cluster = loaded_cluster(13)
     cluster.run(24.0)
     tokens = max(machine.token for machine in cluster.cloud.machines.values())
@@ -106,7 +112,7 @@
     for name in cluster.names:
         cluster.kill(name, restart_after_s=0.5)
     for machine in cluster.cloud.machines.values():
-        machine.token = max(machine.token, 150)  # many changes were made since the leader was elected
+        machine.token = max(machine.token, 150)  # stands for many changes after the leader's election
     cluster.state.wipe()
     cluster.run(45.0)
     assert phases(cluster) == {StorePhase.SOUND}
