--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -57,7 +57,7 @@
         if len(cluster.checker.machine_by_task) >= tasks:
             return
         cluster.run(1)
-    raise AssertionError(f"{len(world.rules.where)} of {tasks} tasks started within 120 s")
+    raise AssertionError(f"{len(cluster.checker.machine_by_task)} of {tasks} tasks started within 120 s")
 
 
 def test_a_one_task_job_takes_five_changes() -> None:
