--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -1,4 +1,4 @@
-"""Slow, plain models of the decisions: one task at a time, every machine looked at for each of them."""
+"""Reference implementation of the scheduler's decisions: one task at a time, with a scan of all machines for each."""
 
 import copy
 
@@ -19,10 +19,14 @@
 def find_victims(
     job: JobSpec, machine: MachineView, nominated: list[Nomination], snapshot: Snapshot
 ) -> list[RunningTask] | None:
-    """The design's words, with lists and sums only: remove in order, then return in the opposite order."""
+    """Returns the tasks to preempt on a machine so that a task of the job fits; None if it can't fit.
+
+    Victims are taken in their order until the task fits; then those that prove unnecessary are spared, in the opposite
+    order.
+    """
     teams, usage = snapshot.teams, snapshot.usage
-    owed = within_guarantee(job, teams.get(job.team), usage.get(job.team, QuotaUsage()))
-    single = [
+    under_guarantee = within_guarantee(job, teams.get(job.team), usage.get(job.team, QuotaUsage()))
+    preemptible = [
         t
         for t in machine.tasks
         if not t.stopping
@@ -30,17 +34,19 @@
         and (
             t.rank < job.rank
             or (
-                owed
+                under_guarantee
                 and t.rank <= job.rank
                 and t.team != job.team
                 and exceeds_guarantee(teams.get(t.team), usage.get(t.team, QuotaUsage()))
             )
         )
     ]
-    # A gang is one victim, with what it loses on all its machines.
-    may = [[t] for t in single if t.group_size == 1]
-    may += [[t for t in single if t.key[0] == name] for name in {t.key[0] for t in single if t.group_size > 1}]
-    may.sort(
+    # A gang is one victim, with all its tasks on this machine; its cost counts the whole gang.
+    candidates = [[t] for t in preemptible if t.group_size == 1]
+    candidates += [
+        [t for t in preemptible if t.key[0] == name] for name in {t.key[0] for t in preemptible if t.group_size > 1}
+    ]
+    candidates.sort(
         key=lambda v: (
             v[0].rank,
             not v[0].within_preemption_budget,
@@ -50,29 +56,33 @@
         )
     )
 
-    def fits(gone: list[list[RunningTask]], leave: bool = True) -> bool:
-        stay = [t for t in machine.tasks if not any(t in victim for victim in gone) and not (leave and t.stopping)]
-        wanted = [n.spec for n in nominated if n.rank >= job.rank] + [job]
+    def fits(victims: list[list[RunningTask]], skip_stopping: bool = True) -> bool:
+        remaining = [
+            t
+            for t in machine.tasks
+            if not any(t in victim for victim in victims) and not (skip_stopping and t.stopping)
+        ]
+        added = [n.spec for n in nominated if n.rank >= job.rank] + [job]
         return (
-            sum(t.cpus for t in stay) + sum(w.cpus for w in wanted) <= machine.type.cpus + 1e-6
-            and sum(t.memory_gb for t in stay) + sum(w.memory_gb for w in wanted) <= machine.type.memory_gb + 1e-6
+            sum(t.cpus for t in remaining) + sum(a.cpus for a in added) <= machine.type.cpus + 1e-6
+            and sum(t.memory_gb for t in remaining) + sum(a.memory_gb for a in added) <= machine.type.memory_gb + 1e-6
         )
 
-    if fits([], leave=False):
+    if fits([], skip_stopping=False):
         return []
-    for count in range(len(may) + 1):
-        gone = may[:count]
-        if fits(gone):
-            for victim in reversed(list(gone)):
-                without = [v for v in gone if v is not victim]
+    for count in range(len(candidates) + 1):
+        victims = candidates[:count]
+        if fits(victims):
+            for victim in reversed(list(victims)):
+                without = [v for v in victims if v is not victim]
                 if fits(without):
-                    gone = without
-            return [t for victim in gone for t in victim]
+                    victims = without
+            return [t for victim in victims for t in victim]
     return None
 
 
 def preempt(job: PendingJob, snapshot: Snapshot, nominations: list[Nomination]) -> Preemption | None:
-    """The best machine and its victims."""
+    """Returns the cheapest preemption for a task of the job; None if no machine allows one."""
     spec = job.spec
     if not within_limit(spec, snapshot.teams.get(spec.team), snapshot.usage.get(spec.team, QuotaUsage())):
         return None
@@ -89,7 +99,7 @@
 
 
 def is_eligible(job: PendingJob, machine: MachineView) -> bool:
-    """Whether the machine is one for the job's tasks, whatever room it has."""
+    """Whether the machine is ready and meets the job's constraints; its free room is not considered."""
     return (
         machine.up
         and machine.ready
@@ -102,7 +112,7 @@
 def best_machine(
     job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool
 ) -> MachineView | None:
-    """The best machine that fits now, beside the tasks nominated there."""
+    """Returns the cheapest machine with room for a task of the job beside its nominations; None if there is none."""
     spec = job.spec
     kinds = [kind.cpus for kind in snapshot.types.values()]
     sizes = MachineSizes(min(kinds), max(kinds), scarce)
@@ -119,7 +129,7 @@
 
 
 def reserve_room(job: PendingJob, snapshot: Snapshot) -> None:
-    """Keeps room on the machine that will have it first."""
+    """Reserves room for a task of the job on the machine where it is available first."""
     spec = job.spec
     found = []
     for machine in snapshot.machines.values():
@@ -155,7 +165,7 @@
 
 
 def place_task(job: PendingJob, key: TaskKey, machine: MachineView, snapshot: Snapshot) -> None:
-    """Puts a task there."""
+    """Places a task on a machine of the snapshot."""
     spec, reservation = job.spec, snapshot.reservations.get(machine.id)
     if reservation is not None and job.estimate_s > reservation.available_in_s:
         left = reservation.leftover
@@ -171,7 +181,7 @@
 def place_gang(
     job: PendingJob, snapshot: Snapshot, nominations: list[Nomination], scarce: bool
 ) -> list[tuple[TaskKey, str]] | None:
-    """Tries each zone on a copy of everything, task by task."""
+    """Returns placements for all tasks of a gang, found on a copy of the snapshot; None if no zone has room for it."""
     spec = job.spec
     used = snapshot.usage.setdefault(spec.team, QuotaUsage())
     rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
@@ -210,7 +220,7 @@
 
 
 def reserve_gang_room(job: PendingJob, snapshot: Snapshot) -> None:
-    """Keeps the room in the zone that will have all of it first."""
+    """Reserves room for all tasks of a gang in the zone where all of it is available first."""
     spec = job.spec
     found = []
     for zone in sorted({machine.zone for machine in snapshot.machines.values()}) if spec.one_zone else [""]:
@@ -224,17 +234,18 @@
                 and machine.id not in snapshot.reservations
                 and machine.id not in job.excluded_machines
             ):
-                had = 0
+                counted = 0
                 for at in sorted({0.0, *(t.remaining_s for t in machine.tasks)}):
-                    stay = [t for t in machine.tasks if t.remaining_s > at or at == 0.0]
-                    has = 0
+                    remaining = [t for t in machine.tasks if t.remaining_s > at or at == 0.0]
+                    capacity = 0
                     while (
-                        sum(t.cpus for t in stay) + (has + 1) * spec.cpus <= machine.type.cpus + 1e-6
-                        and sum(t.memory_gb for t in stay) + (has + 1) * spec.memory_gb <= machine.type.memory_gb + 1e-6
+                        sum(t.cpus for t in remaining) + (capacity + 1) * spec.cpus <= machine.type.cpus + 1e-6
+                        and sum(t.memory_gb for t in remaining) + (capacity + 1) * spec.memory_gb
+                        <= machine.type.memory_gb + 1e-6
                     ):
-                        has += 1
-                    rooms += [(at, machine.id)] * (has - had)
-                    had = max(had, has)
+                        capacity += 1
+                    rooms += [(at, machine.id)] * (capacity - counted)
+                    counted = max(counted, capacity)
         rooms.sort()
         if len(rooms) >= job.waiting_count:
             found.append((rooms[job.waiting_count - 1][0], zone, rooms[: job.waiting_count]))
@@ -242,21 +253,24 @@
         return
     until, _, chosen = min(found)
     for name in {name for _, name in chosen}:
-        machine, mine = snapshot.machines[name], [at for at, other in chosen if other == name]
-        going = [t for t in machine.tasks if t.remaining_s <= max(mine)]
+        machine, available_at = snapshot.machines[name], [at for at, other in chosen if other == name]
+        ending = [t for t in machine.tasks if t.remaining_s <= max(available_at)]
         snapshot.reservations[name] = Reservation(
             until,
             Resources(
-                machine.free_cpus + sum(t.cpus for t in going) - len(mine) * spec.cpus,
+                machine.free_cpus + sum(t.cpus for t in ending) - len(available_at) * spec.cpus,
                 0.0,
-                machine.free_memory_gb + sum(t.memory_gb for t in going) - len(mine) * spec.memory_gb,
+                machine.free_memory_gb + sum(t.memory_gb for t in ending) - len(available_at) * spec.memory_gb,
             ),
             spec.id if job.promoted else "",
         )
 
 
 def expected_gang_nominations(snapshot: Snapshot) -> list[Nomination]:
-    """Room for gangs to come, as nominations: in the zone with the most room, where most images are first."""
+    """Returns nominations that reserve room for expected gangs.
+
+    Each gang gets the zone with the most room, there first the machines with the most images.
+    """
     found: list[Nomination] = []
     for spec, count in snapshot.expected_gangs:
         rooms = []
@@ -285,11 +299,11 @@
 def decide(  # noqa: C901, PLR0912, PLR0915 - the model is one list of steps
     snapshot: Snapshot, max_placed: int, max_preemptions: int
 ) -> tuple[list[tuple[TaskKey, str]], list[tuple[TaskKey, str, list[TaskKey]]], dict[str, int]]:
-    """Placements, evictions and what is unmet."""
+    """Returns the placements, the preemptions with their victims, and the number of unplaced tasks of each job."""
     placed: list[tuple[TaskKey, str]] = []
     preemptions: list[tuple[TaskKey, str, list[TaskKey]]] = []
     unmet: dict[str, int] = {}
-    saving: list[str] = []
+    reserving_teams: list[str] = []
     promote_aged_jobs(snapshot)
     usage = snapshot.usage
     nominations = [*snapshot.nominations.values(), *expected_gang_nominations(snapshot)]
@@ -299,12 +313,12 @@
         spec = job.spec
         team, used = snapshot.teams.get(spec.team), usage.setdefault(spec.team, QuotaUsage())
         if spec.is_gang:
-            whole = place_gang(job, snapshot, nominations, scarce)
-            for key, name in whole or ():
+            gang_placements = place_gang(job, snapshot, nominations, scarce)
+            for key, name in gang_placements or ():
                 place_task(job, key, snapshot.machines[name], snapshot)
-            placed += whole or ()
+            placed += gang_placements or ()
             rest = QuotaUsage(used.cpus + spec.cpus * (job.waiting_count - 1), used.gpus)
-            if whole is None and within_limit(spec, team, rest):
+            if gang_placements is None and within_limit(spec, team, rest):
                 reserve_gang_room(job, snapshot)
                 unmet[spec.id] = job.waiting_count
             continue
@@ -313,8 +327,8 @@
             if len(placed) >= max_placed:
                 break
             if not within_limit(spec, team, used):
-                if job.promoted and spec.team not in saving:
-                    saving.append(spec.team)
+                if job.promoted and spec.team not in reserving_teams:
+                    reserving_teams.append(spec.team)
                     used.cpus += spec.cpus
                     reserve_room(job, snapshot)
                 break
@@ -345,15 +359,17 @@
             if not stuck:
                 reserve_room(job, snapshot)
             stuck = True
-            eviction = preempt(job, snapshot, nominations) if len(preemptions) < max_preemptions else None
-            if eviction is None:
+            preemption = preempt(job, snapshot, nominations) if len(preemptions) < max_preemptions else None
+            if preemption is None:
                 break
-            preemptions.append((key, eviction.machine_id, sorted(v.key for v in eviction.victims)))
-            gone = {t.key[0] for t in eviction.victims if t.group_size > 1}
+            preemptions.append((key, preemption.machine_id, sorted(v.key for v in preemption.victims)))
+            preempted_gangs = {t.key[0] for t in preemption.victims if t.group_size > 1}
             for machine in snapshot.machines.values():
-                machine.mark_stopping([t for t in machine.tasks if t in eviction.victims or t.key[0] in gone])
-            nominations = [n for n in nominations if n.machine_id != eviction.machine_id or n.rank >= spec.rank]
-            nominations.append(Nomination(key, eviction.machine_id, spec.rank, spec, 0.0))
+                machine.mark_stopping(
+                    [t for t in machine.tasks if t in preemption.victims or t.key[0] in preempted_gangs]
+                )
+            nominations = [n for n in nominations if n.machine_id != preemption.machine_id or n.rank >= spec.rank]
+            nominations.append(Nomination(key, preemption.machine_id, spec.rank, spec, 0.0))
             used.cpus += spec.cpus
             nominated += 1
         if stuck and job.waiting_count > nominated and within_limit(spec, team, used):
