--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of stileloft, and the simulated surroundings that they run it in."""
+"""Tests of stileloft, and the fakes of its environment."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: the list of known failures, and property tests that draw the same examples at each run."""
+"""Configuration of all tests: known failures, reproducible property tests, and the check of invariants."""
 
 from collections.abc import Iterator
 
@@ -8,15 +8,15 @@
 from stileloft.leadership.invariants import Invariant, InvariantMonitor
 from tests import known_red
 
-# By default each run draws the same examples, so that its verdict is the same each time; how long an example takes
-# depends on what else the machine does, and says nothing. `--hypothesis-profile=random` draws others each time.
+# By default each run draws the same examples, so that its result is reproducible. There is no deadline, as the duration
+# of an example depends on the load of the machine. `--hypothesis-profile=random` draws new examples in each run.
 hypothesis.settings.register_profile("same", derandomize=True, database=None, deadline=None)
 hypothesis.settings.register_profile("random", max_examples=5000, deadline=None)
 hypothesis.settings.load_profile("same")
 
 
 def pytest_collection_modifyitems(session: pytest.Session, items: list[pytest.Item]) -> None:
-    """Listed tests are expected to fail, and a run in which one passes fails."""
+    """Marks listed tests as strict expected failures: a run in which one passes fails."""
     try:
         listed = known_red.read()
     except known_red.InvalidListError as error:
@@ -31,16 +31,16 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints what is known to fail, whether it was among the tests of this run or not."""
+    """Prints all known failures, also of tests that were not run."""
     for known in known_red.read():
         terminalreporter.write_line(f"known to fail: {known}")
 
 
 @pytest.fixture(autouse=True)
 def no_violations(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
-    """A violated invariant fails every test in which it appears.
+    """Fails each test in which an invariant of a controller is violated.
 
-    A test of the invariants themselves empties the list.
+    A test that violates invariants on purpose clears the list.
     """
     found: list[str] = []
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,6 @@
-"""The list of tests that fail for a known fault: `KNOWN-RED.txt` at the root.
+"""The list of tests that fail because of a known fault: `KNOWN-RED.txt` in the root directory.
 
-A listed test has to fail: it is marked as an expected failure. One that passes fails the run, since its entry is
-outdated.
+A listed test is marked as a strict expected failure: if it passes, its entry is outdated and the run fails.
 """
 
 from dataclasses import dataclass, fields
@@ -14,27 +13,27 @@
 
 
 class InvalidListError(Exception):
-    """The list cannot be used; the text says why."""
+    """The list is invalid; the text names the reason."""
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """An entry of the list; its fields stand in the order of the entry."""
+    """An entry of the list; the order of the fields is that of the entry."""
 
     test: str
     """The node id; without parameters it covers all cases of the test."""
     command: str
-    """The command that shows the failure, with its seed."""
+    """The command that reproduces the failure, with its seed."""
     seen: str
-    """What the command showed."""
+    """The observed failure."""
     issue: str
 
     def __str__(self) -> str:
-        """The entry in the list's own form."""
+        """Returns the entry as a line of the list."""
         return f" {SEPARATOR} ".join((self.test, self.command, self.seen, self.issue))
 
     def covers(self, node_id: str) -> bool:
-        """Whether a collected test is the listed one, or a case of it."""
+        """Whether a collected test is the listed one, or one of its parametrized cases."""
         return node_id == self.test or node_id.startswith(f"{self.test}[")
 
 
@@ -42,7 +41,7 @@
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """The listed tests; raises `InvalidListError`."""
+    """Returns the entries; raises `InvalidListError`."""
     lines = [line.strip() for line in text.splitlines()]
     lines = [line for line in lines if line and not line.startswith("#")]
     if len(lines) > MAX_ENTRIES:
@@ -58,12 +57,12 @@
 
 
 def read() -> list[KnownFailure]:
-    """The listed tests; none if there is no list."""
+    """Returns the entries; an empty list if the file does not exist."""
     return parse(LIST.read_text()) if LIST.exists() else []
 
 
 def unmatched(listed: list[KnownFailure], node_ids: list[str]) -> list[KnownFailure]:
-    """Listed tests that are none of the collected ones, though their files were collected."""
+    """Returns entries without a collected test, although the tests of their file were collected."""
     files = {node_id.partition("::")[0] for node_id in node_ids}
     return [
         known
