--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,5 +1,6 @@
-"""Fakes of everything outside the controllers, on a simulated clock.
+"""Fakes of the controllers' environment, on a simulated clock.
 
-Written from the protocol alone. They can delay, lose, repeat, hold back and cut, all from one
-seeded source of randomness, so that every run of a test is the same.
+They follow the protocol only and share no code with the controllers' logic. They can delay, lose, duplicate and hold
+back messages, and partition the network. All random choices come from one seeded generator, so that each run of a
+test is the same.
 """
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -1,4 +1,4 @@
-"""What a controller has in place of the pooled HTTP client."""
+"""The simulated HTTP client of the controllers."""
 
 import math
 from collections.abc import Callable
@@ -16,11 +16,11 @@
     from tests.simulation.cluster import SimulatedCluster
 
 
-def ask_peer(peer: Any, version: Version, path: str, sent: Any) -> Reply:
-    """What a node of a version answers another one."""
+def peer_reply(peer: Any, version: Version, path: str, body: Any) -> Reply:
+    """Returns a controller's reply to a request of a peer, in the form of the controller's version."""
     if path == CHANGE_NOTICE_PATH:
         receive_change_notice = version.attribute(peer, "receive_change_notice")
-        return Reply(200 if receive_change_notice(sent) else 400, None)
+        return Reply(200 if receive_change_notice(body) else 400, None)
     if path.startswith(SNAPSHOT_PATH):
         piece = peer.snapshot_piece(int(path[len(SNAPSHOT_PATH) :]))
         return Reply(404, None) if piece is None else Reply(200, {"piece": piece.decode()})
@@ -28,7 +28,7 @@
 
 
 class SimulatedClient:
-    """What a node has in place of the pooled client; bodies go through the real encoding."""
+    """Replaces the pooled HTTP client of a controller; bodies are encoded and decoded as in production."""
 
     def __init__(
         self,
@@ -56,35 +56,35 @@
             target = cluster.names[int(address.split(":")[0].split(".")[-1])]
         version = cluster.versions[self.name]
         if cluster.processes[self.name] != self.process:
-            await defer.Deferred()  # the process is over: nothing goes on in it
-        sent = messages.decode(messages.encode(body)) if body is not None else None
+            await defer.Deferred()  # never fires: the process has ended
+        received_body = messages.decode(messages.encode(body)) if body is not None else None
 
-        def work() -> Any:
+        def handle_request() -> Any:
             if target == "state":
-                return cluster.state.receive(self.name, method, path, sent)
+                return cluster.state.receive(self.name, method, path, received_body)
             if target == "cloud":
-                return cluster.cloud.handle(self.name, method, path, sent)
+                return cluster.cloud.handle(self.name, method, path, received_body)
             if target in cluster.names:
                 peer, peer_version = cluster.nodes[target], cluster.versions[target]
                 if peer is None or cluster.now < cluster.peers_refuse_until:
                     raise ConnectionFailedError("no process, or a filter")
                 resources = peer_version.peer_resources(peer)
-                return cluster.deliver_to_node(target, lambda: ask_peer(resources, peer_version, path, sent))
+                return cluster.deliver_to_node(target, lambda: peer_reply(resources, peer_version, path, received_body))
             machine = cluster.all_machines[target]
             if machine.gone or not machine.up:
                 raise NoResponseError("silence")
-            return machine.command(sent)
+            return machine.command(received_body)
 
         if not is_wanted():
             raise version.connection_failed("withdrawn before it was sent")
         keep = self.keep()
         connections = cluster.connections[self.name]
         connections[address] = math.inf
-        held = cluster.message_delay_s(target, sent) if target in cluster.all_machines else (0.0, 0.0)
-        waiting = cluster.send(self.name, target, work, held)
-        timer = cluster.clock.callLater(timeout_s, cluster.run_in_process, self.name, waiting.cancel)
+        delays = cluster.message_delay_s(target, received_body) if target in cluster.all_machines else (0.0, 0.0)
+        pending_reply = cluster.send(self.name, target, handle_request, delays)
+        timer = cluster.clock.callLater(timeout_s, cluster.run_in_process, self.name, pending_reply.cancel)
         try:
-            reply = await waiting
+            reply = await pending_reply
         except ConnectionFailedError as error:
             raise version.connection_failed(str(error)) from None
         except NoResponseError as error:
@@ -97,5 +97,5 @@
             connections[address] = cluster.now + self.idle_s if keep else 0.0
         if cluster.processes[self.name] != self.process:
             await defer.Deferred()
-        body_back = messages.decode(messages.encode(reply.body)) if reply.body is not None else None
-        return Reply(reply.status, body_back)
+        reply_body = messages.decode(messages.encode(reply.body)) if reply.body is not None else None
+        return Reply(reply.status, reply_body)
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -1,4 +1,4 @@
-"""The controllers' processes: starts, ends, standing still, and the reports that come to them."""
+"""The controllers' processes: starts, crashes, freezes, connections, and the heartbeats sent to them."""
 
 import contextlib
 import math
@@ -17,25 +17,25 @@
 from tests.simulation.processes import Process
 from tests.versions import CURRENT, Version
 
-# How often connections that were given up are cleared away.
+# Interval at which expired connections are removed.
 PRUNE_S = 0.05
 
 
 class Controllers:
-    """The part of the world that runs nodes."""
+    """The part of the simulated cluster that runs the controllers."""
 
     CLIENT_CLASS = SimulatedClient
-    """What nodes have in place of the pooled HTTP client."""
+    """The replacement of the controllers' pooled HTTP client."""
 
     def init_connections(self) -> None:
-        """Before any node has started."""
+        """Initializes the connection state; called before any controller starts."""
         self.connections: dict[str, dict[str, float]] = {name: {} for name in self.names}
-        """Connections that each node has made, and until when they are kept."""
+        """Outgoing connections of each controller by address, with the time at which each is closed."""
         self.pruned_at = dict.fromkeys(self.names, 0.0)
         self.heartbeat_connections: dict[str, set[str]] = {name: set() for name in self.names}
-        """Machines that have a connection open to each node for their reports."""
+        """Machines with an open heartbeat connection to each controller."""
         self.max_sockets = math.inf
-        """A node with so many sockets takes no further connection for reports."""
+        """A controller with this number of sockets accepts no further heartbeat connections."""
 
     def settings(self, name: str) -> str:
         number = self.names.index(name)
@@ -50,14 +50,16 @@
         )
 
     def apply_upcoming_limits(self) -> None:
-        """The limits that were announced come into force."""
+        """Makes the state service enforce the announced limits of values and transactions."""
         self.state.value_bytes = int(self.upcoming_limits["value_kb"] * 1024)
         self.state.txn_ops = int(self.upcoming_limits["txn_ops"])
 
     def gang_of(self, task_name: str, attempt: int) -> Gang | None:
+        """Returns the gang of a task's attempt; None if the task belongs to none."""
         return self.gangs.get((split_task(task_name)[0], attempt))
 
     def start(self, name: str) -> None:
+        """Starts a new process of a controller, with the version and features set for it."""
         self.processes[name] += 1
         number = self.processes[name]
         process = Process(self, name, number)
@@ -72,10 +74,10 @@
         node.in_thread = lambda function, *arguments: defer.maybeDeferred(function, *arguments)  # type: ignore
         node.nonce = f"{name}-{number}"
         node.election._nonce = node.nonce
-        elected = node.election._on_elected
+        notify_controller = node.election._on_elected
 
         def on_elected(token: int) -> None:
-            elected(token)
+            notify_controller(token)
             self.new_leader(name)
 
         node.election._on_elected = on_elected
@@ -83,21 +85,21 @@
         node.begin()
 
     def sockets(self, name: str) -> int:
-        """Connections that a node has open: those of the workers that report to it, and its own."""
-        made = self.connections[name]
+        """Returns the number of a controller's open connections: its own, and the workers' heartbeat connections."""
+        outgoing = self.connections[name]
         if self.now - self.pruned_at[name] >= PRUNE_S:
             self.pruned_at[name] = self.now
-            for address in [address for address, until in made.items() if until < self.now]:
-                del made[address]
-        return len(made) + len(self.heartbeat_connections[name])
+            for address in [address for address, until in outgoing.items() if until < self.now]:
+                del outgoing[address]
+        return len(outgoing) + len(self.heartbeat_connections[name])
 
     def keeps_heartbeat_connection(self, name: str) -> bool:
-        """Whether a node leaves a worker's connection open after its answer; the versions before always do."""
+        """Whether a controller keeps a heartbeat connection open after its answer; old versions always do."""
         keep = getattr(self.nodes[name], "keep_request_connection", None)
         return keep is None or keep(HEARTBEAT_PATH)
 
     def kill(self, name: str, restart_after_s: float | None = 5.0, version: Version | None = None) -> None:
-        """Ends a process; it comes back as it was, or as another version."""
+        """Kills a process; it restarts after `restart_after_s` (None: never), as `version` or as the same version."""
         self.processes[name] += 1
         self.versions[name] = version or self.versions[name]
         self.frozen_until.pop(name, None)
@@ -109,11 +111,11 @@
             self.clock.callLater(restart_after_s, self.start, name)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """The process stands still while its clocks run on; then all that was due meanwhile comes at once."""
+        """Freezes a process while its clock advances; calls that are due during the freeze are run right after it."""
         self.frozen_until[name] = self.now + seconds
 
     def run_in_process(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
-        """Calls a function of a process, or has it called when the process goes on."""
+        """Calls a function in a process; if the process is frozen, the call is postponed to the end of the freeze."""
         number = self.processes[name]
         wait = self.frozen_until.get(name, 0.0) - self.now
         if wait <= 0:
@@ -127,29 +129,31 @@
         self.clock.callLater(wait + self.random.uniform(0.0, 0.005), later)
 
     def leader(self) -> str | None:
+        """Returns the name of the controller that holds the leader lease; None if there is none."""
         return next((name for name, node in self.nodes.items() if node is not None and self._leads(name, node)), None)
 
     def _leads(self, name: str, node: Any) -> bool:
         holds_lease: Callable[[], bool] = self.versions[name].attribute(node.election, "holds_lease")
         return holds_lease()
 
-    def deliver_to_node(self, name: str, work: Callable[[], Any]) -> Any:
-        """A request that came to a process: a frozen one takes it up when it goes on."""
+    def deliver_to_node(self, name: str, handle_request: Callable[[], Any]) -> Any:
+        """Returns the result of a request to a controller; a Deferred if the process is frozen and handles it later."""
         if self.frozen_until.get(name, 0.0) <= self.now:
-            return work()
+            return handle_request()
         answered: defer.Deferred = defer.Deferred()
 
         def later() -> None:
-            # Else the connection was reset: nobody waits any more.
+            # On these errors the connection was reset, and the sender gets no answer.
             with contextlib.suppress(ConnectionFailedError, NoResponseError):
-                answered.callback(work())
+                answered.callback(handle_request())
 
         self.run_in_process(name, later)
         return answered
 
     def deliver_heartbeat(self, name: str, body: Any) -> Reply:
+        """Returns a controller's reply to a heartbeat, and schedules duplicates of it."""
         if self.duplicate_share and self.random.random() < self.duplicate_share:
-            # A copy comes late, from seconds to well over a lease, to whatever process is there by then.
+            # The duplicate arrives seconds to several leases later, at the process that runs then.
             self.clock.callLater(self.random.uniform(1.0, 40.0), self.deliver_duplicate, name, body)
         if self.now < self.keep_heartbeats_until and self.random.random() < 0.1:
             self.kept_heartbeats.append(body)
@@ -160,15 +164,16 @@
         return Reply(answer.status, messages.decode(messages.encode(answer.body)))
 
     def new_leader(self, name: str) -> None:
-        """A leader's first moments: what was kept for it comes to all controllers."""
-        for tell in self.leader_listeners:
-            tell(name)
+        """Notifies the listeners of a new leader, and delivers the kept heartbeats to all controllers."""
+        for notify in self.leader_listeners:
+            notify(name)
         kept, self.kept_heartbeats = self.kept_heartbeats, []
         for body in kept:
             for other in self.names:
                 self.clock.callLater(self.random.uniform(0.0, 0.4), self.deliver_duplicate, other, body)
 
     def deliver_duplicate(self, name: str, body: Any) -> None:
+        """Passes a duplicate of a heartbeat to a controller, if it runs; the answer is lost."""
         node = self.nodes[name]
         if node is not None:
             self.versions[name].handle_heartbeat(node, body)
--- a/tests/simulation/processes.py
+++ b/tests/simulation/processes.py
@@ -1,4 +1,4 @@
-"""Simulated time, and the clocks and timers of a process."""
+"""The simulated clock, and the clock and timers of each process."""
 
 import bisect
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class Clock(task.Clock):
-    """The same, without sorting all timers at each step and for each new one: a large fleet has thousands."""
+    """A `task.Clock` that inserts timers in order instead of sorting all of them: a large fleet has thousands."""
 
     def _sort(self, _: Any = None) -> None:
         self.calls.sort(key=base.DelayedCall.getTime)
@@ -31,12 +31,13 @@
 
 
 class Process:
-    """A node with clocks and timers that stop when the process is killed."""
+    """The reactor of a controller's process; its timers no longer fire once the process is killed."""
 
     def __init__(self, cluster: "SimulatedCluster", name: str, number: int) -> None:
         self.cluster, self.name, self.number = cluster, name, number
 
     def alive(self) -> bool:
+        """Whether the controller still runs as this process."""
         return self.cluster.processes[self.name] == self.number
 
     def seconds(self) -> float:
@@ -50,5 +51,5 @@
             self.cluster.run_in_process(self.name, function, *arguments)
 
     def getReaders(self) -> list[None]:
-        """One for each open connection, as the real reactor has one for each socket."""
+        """Returns one entry for each open connection, as the real reactor does for each socket."""
         return [None] * self.cluster.sockets(self.name)
