--- a/tests/simulation/state_service.py
+++ b/tests/simulation/state_service.py
@@ -1,4 +1,4 @@
-"""The key-value store, with leases, watches, outages, and transactions that are late or lost."""
+"""A fake of the state service: a key-value store with leases, watches, limits and faults."""
 
 import json
 from typing import TYPE_CHECKING, Any
@@ -11,49 +11,54 @@
     from tests.simulation.cluster import SimulatedCluster
 
 
-# What an answer holds at the most, and how many changes are kept for watches.
+# The most items and bytes in an answer, and the most changes that are kept for watches.
 MAX_ITEMS = 1000
 MAX_BYTES = 512 * 1024
 MAX_CHANGES = 10_000
 
 
 class StateService:
-    """The key-value store, with leases, watches and outages."""
+    """A key-value store with leases, watches, rate and size limits, and injected faults."""
 
     def __init__(self, cluster: "SimulatedCluster") -> None:
         self.cluster = cluster
         self.items: dict[str, tuple[Any, int, int | None]] = {}
+        """The value, version and lease of each key."""
         self.revision = 0
         self.leases: dict[int, tuple[float, float]] = {}
+        """The duration in seconds and the expiry time of each lease."""
         self.next_lease = 0
         self.changes: list[tuple[str, Any, int]] = []
+        """Keys, values (None: deleted) and revisions of changes, in order."""
         self.compacted = 0
-        """Changes up to this revision are no longer known."""
+        """Changes up to this revision have been discarded."""
         self.down_until = 0.0
         self.refused_until: dict[str, float] = {}
+        """Callers whose requests are refused until the given time."""
         self.value_bytes = int(cluster.value_kb * 1024)
         self.txn_ops = 12
         self.oversized_requests = 0
         self.rps, self.write_rps = 200.0, 60.0
         self.allowed = {"requests": (self.rps, 0.0), "changes": (self.write_rps, 0.0)}
-        """What is left of each limit's burst, and when that was counted."""
+        """The tokens left in the bucket of each rate limit, and the time of their last update."""
         self.throttled_requests = 0
         self.late_writes = (0.0, 0.0, False)
-        """Until when, of which share of the transactions the answer is lost, and whether they are carried out at once;
-        else they are 2 s to 12 s later."""
+        """An end time, the share of transactions whose answer is lost until then, and whether these are executed at
+        once; otherwise they are executed 2 s to 12 s later."""
         self.slow_responses = (0.0, 0.0)
-        """Until when answers take up to how long; what they say is read at the start or at the end of that."""
+        """An end time, and the maximum delay of answers until then; a request is executed before or after its delay."""
         cluster.clock.callLater(0.05, self.expire)
 
     def within(self, limit: str, per_s: float, amount: float) -> bool:
+        """Takes `amount` tokens of a rate limit if there are enough; the bucket holds the tokens of a second."""
         left, at = self.allowed[limit]
         left = min(per_s, left + (self.cluster.now - at) * per_s)
-        taken = left >= amount
-        self.allowed[limit] = left - amount * taken, self.cluster.now
-        return taken
+        allowed = left >= amount
+        self.allowed[limit] = left - amount * allowed, self.cluster.now
+        return allowed
 
     def receive(self, caller: str, method: str, path: str, body: Any) -> Any:
-        """A request as it comes from the network, with the troubles of the service."""
+        """Handles a request from the network, subject to lost transactions and slow answers."""
         cluster = self.cluster
         until, share, at_once = self.late_writes
         if path == "/commit" and cluster.now < until and cluster.random.random() < share:
@@ -77,28 +82,30 @@
         return answered
 
     def down_for(self, caller: str) -> bool:
+        """Whether the service refuses a caller's requests, because of an outage or for this caller alone."""
         now = self.cluster.now
         return now < self.down_until or now < self.refused_until.get(caller, 0.0)
 
     def outage(self, seconds: float) -> None:
+        """Makes the service unavailable; at the end, all leases are extended by their duration."""
         self.down_until = self.cluster.now + seconds
 
-        def renewed() -> None:
+        def extend_leases() -> None:
             for lease, (life, _) in list(self.leases.items()):
                 self.leases[lease] = life, self.cluster.now + life
 
-        self.cluster.clock.callLater(seconds, renewed)
+        self.cluster.clock.callLater(seconds, extend_leases)
 
     def wipe(self, keeps_counting: bool = False) -> None:
-        """All records and leases are gone; revisions begin again, unless the service keeps counting."""
+        """Deletes all records and leases; revisions restart at 0 unless `keeps_counting`."""
         self.restore({}, self.revision if keeps_counting else 0)
 
     def backup(self) -> tuple[dict[str, tuple[Any, int, int | None]], int]:
-        """The present state, for `restore`."""
+        """Returns the records and the revision, for `restore`."""
         return dict(self.items), self.revision
 
     def restore(self, items: dict[str, tuple[Any, int, int | None]], revision: int) -> None:
-        """An older state comes back; leases, and all that hung on them, are gone."""
+        """Restores an older state; leases, and the keys attached to them, are lost."""
         self.items = {key: item for key, item in items.items() if item[2] is None}
         self.revision = revision
         self.leases.clear()
@@ -106,6 +113,7 @@
         self.compacted = 0
 
     def expire(self) -> None:
+        """Ends expired leases, periodically; none expires during an outage."""
         self.cluster.clock.callLater(0.05, self.expire)
         if self.cluster.now < self.down_until:
             return
@@ -114,6 +122,7 @@
                 self.end(lease)
 
     def end(self, lease: int) -> None:
+        """Ends a lease and deletes the keys attached to it."""
         self.leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item[2] == lease]:
             self.revision += 1
@@ -160,7 +169,7 @@
         return self.watch(caller, arguments)
 
     def page(self, prefix: str, since: str, limit: int) -> Reply:
-        """Items in the order of their keys, as many as an answer holds."""
+        """Returns items in the order of their keys, up to `limit` and to the size of an answer."""
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > since)
         pairs: list[dict[str, Any]] = []
         size = 0
@@ -173,6 +182,7 @@
         return Reply(200, {"pairs": pairs, "more": len(keys) > len(pairs), "epoch": self.revision})
 
     def commit(self, body: Any) -> Reply:
+        """Executes a transaction if all compared versions match."""
         if len(body["writes"]) > self.txn_ops or len(body["guards"]) > 4 * self.txn_ops:
             self.oversized_requests += 1
             return Reply(400, {"error": "too many operations"})
@@ -195,20 +205,21 @@
         return Reply(200, {"epoch": self.revision})
 
     def watch(self, caller: str, arguments: dict[str, str]) -> defer.Deferred:
+        """Answers with the changes under a prefix, once there are any or the time-out has passed."""
         since, prefix = int(arguments["since"]), arguments["under"]
         if len(self.changes) > MAX_CHANGES:
             self.compacted = self.changes[-MAX_CHANGES - 1][2]
             del self.changes[:-MAX_CHANGES]
         if since < self.compacted:
-            answer: defer.Deferred = defer.succeed(Reply(410, {"epoch": self.revision}))
-            return answer
+            compacted: defer.Deferred = defer.succeed(Reply(410, {"epoch": self.revision}))
+            return compacted
         until = self.cluster.now + int(arguments["blockMs"]) / 1000
         answered: defer.Deferred = defer.Deferred()
 
-        def look() -> None:
-            news = [c for c in self.changes if c[2] > since and c[0].startswith(prefix)]
-            if self.down_for(caller) or (not news and self.cluster.now < until):
-                self.cluster.clock.callLater(0.05, look)
+        def answer_if_changed() -> None:
+            changes = [c for c in self.changes if c[2] > since and c[0].startswith(prefix)]
+            if self.down_for(caller) or (not changes and self.cluster.now < until):
+                self.cluster.clock.callLater(0.05, answer_if_changed)
                 return
             answered.callback(
                 Reply(
@@ -217,11 +228,11 @@
                         "epoch": self.revision,
                         "news": [
                             {"delete": k, "stamp": r} if v is None else {"set": k, "v": v, "stamp": r}
-                            for k, v, r in news
+                            for k, v, r in changes
                         ],
                     },
                 )
             )
 
-        look()
+        answer_if_changed()
         return answered
