--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -2,7 +2,7 @@
 
 
 def with_settings(text: str, changes: dict[str, str]) -> str:
-    """Settings in which some lines, or parts of them, are others; each has to be there."""
+    """Returns the settings with replaced texts; each old text must occur in the settings."""
     for old, new in changes.items():
         assert old in text
         text = text.replace(old, new)
--- a/tests/simulation/fleet.py
+++ b/tests/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A deployment of thousands of machines, whose nodes have far fewer sockets than there are machines."""
+"""A simulated deployment of thousands of machines, with far fewer sockets at each controller than machines."""
 
 from stileloft.features import Features
 from stileloft.model import records
@@ -9,24 +9,24 @@
 
 
 class FleetCluster(SimulatedCluster):
-    """Machines are up from the start; reports come less often than elsewhere, as each costs time to play."""
+    """A cluster of many machines, with longer heartbeat and lease intervals to keep the simulation fast."""
 
     REPORT_S, LEASE_S, CANCEL_S = 6.0, 24.0, 60.0
     LEASE_CHECK_S = 2.0
     SOCKETS = 600
 
     def __init__(self, seed: int, machines: int, booted: bool = True, features: Features | None = None) -> None:
-        """`booted`: whether the machines are up; else they are only to be found in the cloud's list."""
+        """Rents the machines; with `booted` false they appear in the cloud's list and boot at the usual pace."""
         super().__init__(seed, capacity=machines, loss=0.0, features=features)
         self.max_sockets = self.SOCKETS
         self.cloud.max_machines = 2 * machines
-        # Operators who keep idle machines, or all of them would be returned before there is work.
+        # Idle machines are kept: otherwise the controllers would release them before the first job arrives.
         self.state.items[records.SETTINGS] = {"keep_idle_boots": 100.0}, 1, None
         self.state.revision = 1
         for number in range(machines):
             machine = self.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
             if booted and not machine.up:
-                # They would else all report at the same moments.
+                # Random boot times spread the heartbeats over the interval.
                 self.clock.callLater(self.random.uniform(0.0, self.REPORT_S), machine.boot_once)
 
     def settings(self, name: str) -> str:
@@ -39,7 +39,7 @@
         return with_settings(super().settings(name), changes)
 
     def submit_batch(self, after_s: float) -> None:
-        """Small tasks by the thousand, four of which fill a machine's memory."""
+        """Submits `JOBS` jobs of `TASKS` small tasks, 0.2 s apart; four tasks fill a machine's memory."""
         for number in range(JOBS):
             body = self.job(
                 number,
--- a/tests/simulation/gangs.py
+++ b/tests/simulation/gangs.py
@@ -1,4 +1,4 @@
-"""One attempt of a gang, as its tasks see each other."""
+"""Gangs: tasks that wait for each other, run together and stop together."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -10,31 +10,34 @@
 
 
 class Gang:
-    """One attempt of a gang, as its tasks see each other."""
+    """One attempt of a gang: the state that its tasks share."""
 
     def __init__(self, cluster: "SimulatedCluster", job: dict[str, Any]) -> None:
         self.cluster, self.job = cluster, job
         self.members: dict[str, tuple[Machine, dict[str, Any]]] = {}
         self.running_since: float | None = None
         self.stopping_since: dict[str, float] = {}
-        """Tasks that were told to stop with time to save, and when."""
+        """Tasks that were stopped with enough grace time for a checkpoint, and when."""
         self.progress = 0.0
+        """Seconds of completed work at the last stop."""
         self.finished = False
         self.waiting_since: list[float] = []
-        """When each of its tasks began to wait."""
+        """The times at which its tasks began to wait for the others."""
 
     def present(self, name: str) -> bool:
+        """Whether a task of this attempt has not exited, on a machine that responds."""
         machine, state = self.members[name]
         return (
             not machine.gone and not machine.hung and machine.tasks.get(name) is state and (state["phase"] != "exited")
         )
 
     def join(self, name: str, machine: "Machine", state: dict[str, Any]) -> None:
+        """Adds a task; once all tasks are present, the gang runs."""
         self.members[name] = machine, state
         self.waiting_since.append(self.cluster.now)
         self.cluster.clock.callLater(GANG_WAIT_S, self.time_out, name, state)
-        here = [other for other in self.members if self.present(other)]
-        if self.running_since is None and len(here) == self.job["pieces"]:
+        present = [other for other in self.members if self.present(other)]
+        if self.running_since is None and len(present) == self.job["pieces"]:
             self.running_since = self.cluster.now
             self.cluster.checker.started_at.setdefault(self.job["nameId"], self.cluster.now)
             for member, member_state in self.members.values():
@@ -43,6 +46,7 @@
             self.watch(None)
 
     def time_out(self, name: str, state: dict[str, Any]) -> None:
+        """Ends a task that still waits for its peers."""
         machine = self.members[name][0]
         if state["phase"] != "gathering" or machine.gone or machine.tasks.get(name) is not state:
             return
@@ -52,13 +56,13 @@
             machine.finish(name, "incomplete")
 
     def current_progress(self) -> float:
-        """Progress of the job by now; it stops with the first stop."""
+        """Returns the seconds of completed work of the job; they do not grow after the first stop of a task."""
         if self.running_since is None or self.stopping_since:
             return self.progress
         return self.cluster.saved_progress.get(self.job["nameId"], 0.0) + self.cluster.now - self.running_since
 
     def watch(self, lost_at: float | None) -> None:
-        """All of a running gang complete together; if one is lost the others notice."""
+        """Completes all tasks of a running gang together, and rolls the gang back after the loss of a task."""
         if self.finished:
             return
         now = self.cluster.now
@@ -77,6 +81,7 @@
         self.cluster.clock.callLater(0.25, self.watch, lost_at)
 
     def stop(self, name: str, machine: "Machine", grace_s: float) -> None:
+        """Stops a task: at once, or with a checkpoint if the grace time suffices for one."""
         if self.job["snapshotS"] <= 0 or grace_s < self.job["stashS"]:
             self.progress = self.current_progress()
             machine.finish(name, "halted")
@@ -86,6 +91,7 @@
         machine.tasks[name]["phase"] = "flushing"
 
     def checkpoint(self) -> None:
+        """Saves the progress once all tasks were stopped; rolls the gang back if some are not stopped in time."""
         now, first = self.cluster.now, min(self.stopping_since.values())
         if (
             len(self.stopping_since) == len(self.members)
@@ -99,7 +105,8 @@
         elif len(self.stopping_since) < len(self.members) and now - first > GANG_PEER_S:
             self.roll_back("mates_gone")
 
-    def roll_back(self, why: str) -> None:
+    def roll_back(self, cause: str) -> None:
+        """Ends all tasks; progress since the last periodic checkpoint is lost."""
         self.finished = True
         every_s = self.job["snapshotS"]
         progress = self.current_progress()
@@ -107,12 +114,12 @@
         self.cluster.saved_progress[self.job["nameId"]] = max(before, progress // every_s * every_s) if every_s else 0.0
         self.cluster.gang_rollbacks += 1
         for name in self.members:
-            self.exit(name, why)
+            self.exit(name, cause)
 
-    def exit(self, name: str, why: str) -> None:
-        """One on a machine that hangs exits when it goes on."""
+    def exit(self, name: str, cause: str) -> None:
+        """Ends a task; on a machine that hangs, as soon as it responds again."""
         machine, _state = self.members[name]
         if machine.hung and not machine.gone:
-            self.cluster.clock.callLater(0.3, self.exit, name, why)
+            self.cluster.clock.callLater(0.3, self.exit, name, cause)
         elif self.present(name):
-            machine.finish(name, why)
+            machine.finish(name, cause)
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -1,4 +1,4 @@
-"""Machines with their workers: reports, commands, leases, and tasks that run."""
+"""Fakes of machines with their workers: heartbeats, commands, leases, and running tasks."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -24,10 +24,12 @@
         self.epoch, self.sequence, self.token = 1, 0, 0
         self.lease_renewed_at = cluster.now
         self.preempted_at: float | None = None
+        """When the cloud takes a spot machine back; None if no preemption is announced."""
         self.tasks: dict[str, dict[str, Any]] = {}
+        """The state of each task: attempt, phase, cause of exit and others."""
         self.target = cluster.random.choice(cluster.names)
         self.connected_to: str | None = None
-        """The node to which it has a connection open for its reports."""
+        """The controller to which the heartbeat connection is open."""
         self.heartbeat_in_flight = False
         self.images: set[str] = set()
 
@@ -43,6 +45,7 @@
             self.boot()
 
     def heartbeat(self) -> dict[str, Any]:
+        """Returns the body of the next heartbeat."""
         self.sequence += 1
         return {
             "host": self.name,
@@ -68,10 +71,11 @@
             self.check_lease()
 
     def check_lease(self) -> None:
+        """Ends all tasks and starts a new epoch if the lease has expired."""
         if self.cluster.now - self.lease_renewed_at > self.cluster.LEASE_S:
             self.cluster.expired_leases += 1
             for name in list(self.tasks):
-                self.leave(name)
+                self.record_end(name)
             self.tasks.clear()
             self.epoch += 1
             self.lease_renewed_at = self.cluster.now
@@ -86,14 +90,14 @@
         if self.gone or self.hung or not self.up or self.heartbeat_in_flight:
             return
         self.heartbeat_in_flight = True
-        sent, session, target = self.cluster.now, self.epoch, self.target
+        sent_at, epoch, target = self.cluster.now, self.epoch, self.target
         if not self.connect(target):
             self.heartbeat_in_flight = False
             self.next_node()
             self.cluster.clock.callLater(1.0, self.send_heartbeat)
             return
-        waiting = self.deliver(target, messages.decode(messages.encode(self.heartbeat())))
-        timer = self.cluster.clock.callLater(4.0, waiting.cancel)
+        pending_reply = self.deliver(target, messages.decode(messages.encode(self.heartbeat())))
+        timer = self.cluster.clock.callLater(4.0, pending_reply.cancel)
 
         def answered(reply: Reply) -> None:
             self.heartbeat_in_flight = False
@@ -101,20 +105,20 @@
                 timer.cancel()
             if reply.status != 200 or not self.cluster.keeps_heartbeat_connection(target):
                 self.disconnect()
-            if self.gone or self.hung or session != self.epoch:
+            if self.gone or self.hung or epoch != self.epoch:
                 return
             if reply.status == 421:
                 steward = (reply.body or {}).get("steward")
                 names = self.cluster.names
-                other = names[(names.index(self.target) + 1) % len(names)]
-                self.target = steward if steward in names and steward != self.target else other
+                next_node = names[(names.index(self.target) + 1) % len(names)]
+                self.target = steward if steward in names and steward != self.target else next_node
                 self.cluster.clock.callLater(0.3, self.send_heartbeat)
             elif reply.status == 200:
                 if reply.body["baton"] >= self.token:
                     if reply.body["baton"] > self.token:
                         self.cluster.clock.callLater(0.5, self.send_heartbeat)
                     self.token = reply.body["baton"]
-                    self.lease_renewed_at = max(self.lease_renewed_at, sent)
+                    self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
                     self.execute(reply.body["orders"])
             else:
                 failed(None)
@@ -126,10 +130,10 @@
             self.disconnect()
             self.next_node()
 
-        waiting.addCallbacks(answered, failed)
+        pending_reply.addCallbacks(answered, failed)
 
     def deliver(self, target: str, body: Any) -> defer.Deferred:
-        """Sends a report to a node."""
+        """Sends a heartbeat to a controller; the Deferred fires with the reply."""
         return self.cluster.send(
             self.name,
             target,
@@ -137,7 +141,10 @@
         )
 
     def connect(self, target: str) -> bool:
-        """Whether there is a connection to report on; none is made while the node has no socket left."""
+        """Opens a connection to a controller if none is open; returns whether there is one.
+
+        A controller without a free socket accepts none.
+        """
         if self.connected_to == target:
             return True
         if self.cluster.sockets(target) >= self.cluster.max_sockets:
@@ -157,6 +164,7 @@
         self.target = names[(names.index(self.target) + 1) % len(names)]
 
     def command(self, body: Any) -> Reply:
+        """Handles a command message of a controller; raises `NoResponseError` while the machine hangs."""
         if self.hung:
             raise NoResponseError("hangs")
         self.check_lease()
@@ -170,33 +178,34 @@
         return Reply(200, self.heartbeat())
 
     def refuse(self, body: Any) -> None:
-        """Counts starts that came under a token, or for a session, that is over."""
+        """Counts starts that are refused because of their outdated token or epoch."""
         reason = "token" if body["baton"] < self.token else "epoch"
         self.cluster.checker.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
             name, attempt = command["piece"], command["try"]
-            known = self.tasks.get(name)
+            task = self.tasks.get(name)
             if command["verb"] == "launch":
-                self.start(name, attempt, known)
-            elif known is None or known["try"] != attempt:
+                self.start(name, attempt, task)
+            elif task is None or task["try"] != attempt:
                 continue
             elif command["verb"] == "forget":
-                if known["phase"] == "exited":
+                if task["phase"] == "exited":
                     del self.tasks[name]
-            elif known["phase"] != "exited":
+            elif task["phase"] != "exited":
                 gang = self.cluster.gang_of(name, attempt)
-                if gang is not None and known["phase"] in ("running", "flushing"):
+                if gang is not None and task["phase"] in ("running", "flushing"):
                     gang.stop(name, self, command["windDownS"])
                 else:
                     self.finish(name, "halted")
 
-    def start(self, name: str, attempt: int, known: dict[str, Any] | None) -> None:
-        if known is not None and (known["try"] == attempt or known["phase"] != "exited"):
-            return  # no effect, or another attempt is here still, which a real worker refuses
+    def start(self, name: str, attempt: int, present: dict[str, Any] | None) -> None:
+        """Starts an attempt of a task; `present` is the state of an attempt that the machine already has."""
+        if present is not None and (present["try"] == attempt or present["phase"] != "exited"):
+            return  # a duplicate, or another attempt has not exited: a real worker refuses this start
         job = self.cluster.jobs.get(split_task(name)[0])
-        state = {"try": attempt, "phase": "fetching", "cause": None, "session": self.epoch}
+        state = {"try": attempt, "phase": "fetching", "cause": None, "epoch": self.epoch}
         self.tasks[name] = state
         if job is None:
             state["phase"], state["cause"] = "exited", "no_such"
@@ -207,10 +216,11 @@
         if used > self.kind["vcpus"]:
             state["phase"], state["cause"] = "exited", "full"
             return
-        wait = 0.0 if job["bundle"] in self.images else self.cluster.random.uniform(0.6, 1.4)
-        self.cluster.clock.callLater(wait, self.begin, name, state)
+        fetch_s = 0.0 if job["bundle"] in self.images else self.cluster.random.uniform(0.6, 1.4)
+        self.cluster.clock.callLater(fetch_s, self.begin, name, state)
 
     def begin(self, name: str, state: dict[str, Any]) -> None:
+        """Runs a task whose image has been fetched."""
         if self.tasks.get(name) is not state or state["phase"] != "fetching" or self.gone:
             return
         if self.hung:
@@ -218,7 +228,7 @@
             return
         job = self.cluster.jobs[split_task(name)[0]]
         self.images.add(job["bundle"])
-        if name in self.cluster.checker.completed_tasks:  # its result is kept
+        if name in self.cluster.checker.completed_tasks:  # an earlier attempt has stored its result
             state.update(phase="exited", cause="done")
             self.send_heartbeat()
             return
@@ -239,34 +249,37 @@
         if self.hung:
             self.cluster.clock.callLater(0.5, self.complete, name, state)
             return
-        why = (
+        cause = (
             "error"
             if split_task(name)[0] in self.cluster.failing_jobs or self.name in self.cluster.faulty_machines
             else "done"
         )
-        self.finish(name, why)
+        self.finish(name, cause)
 
-    def finish(self, name: str, why: str) -> None:
-        self.leave(name)
-        self.tasks[name].update(phase="exited", cause=why)
-        if why == "done":
+    def finish(self, name: str, cause: str) -> None:
+        """Ends a task with a cause of exit, and sends a heartbeat."""
+        self.record_end(name)
+        self.tasks[name].update(phase="exited", cause=cause)
+        if cause == "done":
             self.cluster.checker.task_completed(name)
         self.cluster.clock.callLater(0.01, self.send_heartbeat)
 
-    def leave(self, name: str) -> None:
+    def record_end(self, name: str) -> None:
+        """Tells the checker that a task no longer runs here, if it did."""
         if self.tasks[name]["phase"] in ("running", "gathering", "flushing"):
             self.cluster.checker.task_ended(name, self)
 
     def restart(self) -> None:
-        """Back at once with nothing on it; its counters begin anew."""
+        """Restarts the worker without tasks; its epoch, sequence number and token are reset."""
         for name in list(self.tasks):
-            self.leave(name)
+            self.record_end(name)
         self.tasks.clear()
         self.epoch, self.sequence, self.token = 1, 0, 0
         self.lease_renewed_at = self.cluster.now
 
     def die(self) -> None:
+        """Ends the machine at once; its tasks are lost."""
         self.gone = True
         self.disconnect()
         for name in list(self.tasks):
-            self.leave(name)
+            self.record_end(name)
