--- a/tests/rules.py
+++ b/tests/rules.py
@@ -8,7 +8,7 @@
     from tests.simulation.cluster import SimulatedCluster
     from tests.simulation.workers import Machine
 
-LIMITS = {"core": 48.0, "edge": 40.0, "guest": 64.0}
+TEAM_LIMITS = {"core": 48.0, "edge": 40.0, "guest": 64.0}
 """Teams' hard limits of processors, as in the simulated deployment's settings."""
 ANSWER_TIMEOUT_S = 75.0
 """Longest time without an answer to requests about a job, after the last fault."""
@@ -110,8 +110,8 @@
             )
         self.machine_by_task[task] = machine
         used = sum(self.job_of(t)["vcpus"] for t in self.machine_by_task if self.job_of(t)["crew"] == job["crew"])
-        if used > LIMITS[job["crew"]] + 1e-6:
-            self.record_violation("quota", f"team {job['crew']} uses {used} of {LIMITS[job['crew']]} processors")
+        if used > TEAM_LIMITS[job["crew"]] + 1e-6:
+            self.record_violation("quota", f"team {job['crew']} uses {used} of {TEAM_LIMITS[job['crew']]} processors")
 
     def task_ended(self, task: str, machine: "Machine") -> None:
         if self.machine_by_task.get(task) is machine:
@@ -235,7 +235,7 @@
     def _has_room(
         self, job: dict[str, Any], used: dict[str, float], free: dict[str, float], placed: "dict[str, Machine]"
     ) -> bool:
-        if used.get(job["crew"], 0.0) + job["vcpus"] > LIMITS[job["crew"]]:
+        if used.get(job["crew"], 0.0) + job["vcpus"] > TEAM_LIMITS[job["crew"]]:
             return False
         zones = [machine.zone for task, machine in placed.items() if task.startswith(job["nameId"] + "/")]
         for name, left in free.items():
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -36,7 +36,7 @@
         self.history: list[tuple[float, list[dict[str, Any]]]] = []
         """Past machine lists, each with its time; one a second."""
         self.rps = 8.0
-        self._allowed = (2 * self.rps, 0.0)
+        self._tokens = (2 * self.rps, 0.0)
         """The tokens left in the rate limiter's bucket, and the time of their last update."""
         self.throttled_requests = 0
         self.down_until = 0.0
@@ -47,10 +47,10 @@
         self.boot_faults = (0.0, 0.0, 0.0)
         """Until `boot_faults_until`: the share of machines that never boot, the share that boots in six times the time,
         and the boot time in seconds, where 0 means `boot_s` with its usual variation."""
-        self.loop()
+        self.record_list_periodically()
 
-    def loop(self) -> None:
-        self.cluster.clock.callLater(1.0, self.loop)
+    def record_list_periodically(self) -> None:
+        self.cluster.clock.callLater(1.0, self.record_list_periodically)
         del self.history[: -math.ceil(MAX_LIST_LAGS * LIST_LAG_S)]
         self.history.append(
             (
@@ -73,7 +73,7 @@
     def handle(self, _caller: str, _method: str, path: str, body: Any) -> Reply:
         if self.cluster.now < self.down_until:
             return Reply(503, {"error": "trouble"})
-        if not self._within_rate():
+        if not self._take_token():
             self.throttled_requests += 1
             return Reply(429, {"error": "too many"})
         if path == "/machine_types":
@@ -86,9 +86,9 @@
             return Reply(200, {})
         if path == "/hosts":
             return self.rent(body)
-        return self.listed(dict(part.split("=", 1) for part in path.partition("?")[2].split("&")))
+        return self.list_machines(dict(part.split("=", 1) for part in path.partition("?")[2].split("&")))
 
-    def listed(self, arguments: dict[str, str]) -> Reply:
+    def list_machines(self, arguments: dict[str, str]) -> Reply:
         """Returns a page of the machine list as it was half to two times `LIST_LAG_S` ago."""
         lag = LIST_LAG_S * self.cluster.random.uniform(0.5, 2.0)
         visible = [listed for at, listed in self.history if at <= self.cluster.now - lag]
@@ -96,12 +96,12 @@
         following = [item for item in (visible[-1] if visible else []) if item["nameId"] > since]
         return Reply(200, {"hosts": following[:limit], "more": len(following) > limit})
 
-    def _within_rate(self) -> bool:
+    def _take_token(self) -> bool:
         """Takes a token for a request if there is one; the bucket holds the tokens of two seconds."""
-        left, at = self._allowed
-        left = min(2 * self.rps, left + (self.cluster.now - at) * self.rps)
-        allowed = left >= 1.0
-        self._allowed = left - allowed, self.cluster.now
+        tokens, updated_at = self._tokens
+        tokens = min(2 * self.rps, tokens + (self.cluster.now - updated_at) * self.rps)
+        allowed = tokens >= 1.0
+        self._tokens = tokens - allowed, self.cluster.now
         return allowed
 
     def rent(self, body: Any) -> Reply:
--- a/tests/simulation/state_service.py
+++ b/tests/simulation/state_service.py
@@ -39,7 +39,7 @@
         self.txn_ops = 12
         self.oversized_requests = 0
         self.rps, self.write_rps = 200.0, 60.0
-        self.allowed = {"requests": (self.rps, 0.0), "changes": (self.write_rps, 0.0)}
+        self.tokens = {"requests": (self.rps, 0.0), "changes": (self.write_rps, 0.0)}
         """The tokens left in the bucket of each rate limit, and the time of their last update."""
         self.throttled_requests = 0
         self.late_writes = (0.0, 0.0, False)
@@ -47,14 +47,14 @@
         once; otherwise they are executed 2 s to 12 s later."""
         self.slow_responses = (0.0, 0.0)
         """An end time, and the maximum delay of answers until then; a request is executed before or after its delay."""
-        cluster.clock.callLater(0.05, self.expire)
+        cluster.clock.callLater(0.05, self.expire_leases)
 
-    def within(self, limit: str, per_s: float, amount: float) -> bool:
+    def take_tokens(self, limit: str, per_s: float, amount: float) -> bool:
         """Takes `amount` tokens of a rate limit if there are enough; the bucket holds the tokens of a second."""
-        left, at = self.allowed[limit]
-        left = min(per_s, left + (self.cluster.now - at) * per_s)
-        allowed = left >= amount
-        self.allowed[limit] = left - amount * allowed, self.cluster.now
+        tokens, updated_at = self.tokens[limit]
+        tokens = min(per_s, tokens + (self.cluster.now - updated_at) * per_s)
+        allowed = tokens >= amount
+        self.tokens[limit] = tokens - amount * allowed, self.cluster.now
         return allowed
 
     def receive(self, caller: str, method: str, path: str, body: Any) -> Any:
@@ -81,7 +81,7 @@
             )
         return answered
 
-    def down_for(self, caller: str) -> bool:
+    def refuses_caller(self, caller: str) -> bool:
         """Whether the service refuses a caller's requests, because of an outage or for this caller alone."""
         now = self.cluster.now
         return now < self.down_until or now < self.refused_until.get(caller, 0.0)
@@ -112,16 +112,16 @@
         self.changes.clear()
         self.compacted = 0
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         """Ends expired leases, periodically; none expires during an outage."""
-        self.cluster.clock.callLater(0.05, self.expire)
+        self.cluster.clock.callLater(0.05, self.expire_leases)
         if self.cluster.now < self.down_until:
             return
         for lease, (_, until) in list(self.leases.items()):
             if self.cluster.now >= until:
-                self.end(lease)
+                self.end_lease(lease)
 
-    def end(self, lease: int) -> None:
+    def end_lease(self, lease: int) -> None:
         """Ends a lease and deletes the keys attached to it."""
         self.leases.pop(lease, None)
         for key in [k for k, item in self.items.items() if item[2] == lease]:
@@ -133,10 +133,10 @@
             self.changes.append((key, None, self.revision))
 
     def handle(self, caller: str, method: str, path: str, body: Any) -> Any:  # noqa: C901, PLR0911 - one case a request
-        if self.down_for(caller) and not path.startswith("/watch"):
+        if self.refuses_caller(caller) and not path.startswith("/watch"):
             return Reply(503, {"error": "trouble"})
         changes = len(body["writes"]) if path == "/commit" else 0
-        if not self.within("requests", self.rps, 1) or not self.within("changes", self.write_rps, changes):
+        if not self.take_tokens("requests", self.rps, 1) or not self.take_tokens("changes", self.write_rps, changes):
             self.throttled_requests += 1
             return Reply(429, {"error": "too many"})
         path, _, query = path.partition("?")
@@ -148,7 +148,7 @@
             return Reply(200, {"path": path[4:], "v": item[0], "stamp": item[1], "hold": item[2]})
         if path == "/kv":
             since, limit = arguments.get("since", ""), int(arguments.get("limit", 1000))
-            return self.page(arguments["under"], since, min(limit, MAX_ITEMS))
+            return self.list_page(arguments["under"], since, min(limit, MAX_ITEMS))
         if path == "/commit":
             return self.commit(body)
         if path == "/holds":
@@ -161,14 +161,14 @@
             if lease not in self.leases:
                 return Reply(404, None)
             if method == "DELETE":
-                self.end(lease)
+                self.end_lease(lease)
             else:
                 life = self.leases[lease][0]
                 self.leases[lease] = life, self.cluster.now + life
             return Reply(200, {})
         return self.watch(caller, arguments)
 
-    def page(self, prefix: str, since: str, limit: int) -> Reply:
+    def list_page(self, prefix: str, since: str, limit: int) -> Reply:
         """Returns items in the order of their keys, up to `limit` and to the size of an answer."""
         keys = sorted(k for k in self.items if k.startswith(prefix) and k > since)
         pairs: list[dict[str, Any]] = []
@@ -218,7 +218,7 @@
 
         def answer_if_changed() -> None:
             changes = [c for c in self.changes if c[2] > since and c[0].startswith(prefix)]
-            if self.down_for(caller) or (not changes and self.cluster.now < until):
+            if self.refuses_caller(caller) or (not changes and self.cluster.now < until):
                 self.cluster.clock.callLater(0.05, answer_if_changed)
                 return
             answered.callback(
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -37,7 +37,7 @@
         if not self.gone:
             self.up = True
             self.lease_renewed_at = self.cluster.now
-            self.loop()
+            self.send_heartbeats_periodically()
             self.check_lease_periodically()
 
     def boot_once(self) -> None:
@@ -80,10 +80,12 @@
             self.epoch += 1
             self.lease_renewed_at = self.cluster.now
 
-    def loop(self) -> None:
+    def send_heartbeats_periodically(self) -> None:
         if self.gone:
             return
-        self.cluster.clock.callLater(self.cluster.REPORT_S * self.cluster.random.uniform(0.75, 1.25), self.loop)
+        self.cluster.clock.callLater(
+            self.cluster.REPORT_S * self.cluster.random.uniform(0.75, 1.25), self.send_heartbeats_periodically
+        )
         self.send_heartbeat()
 
     def send_heartbeat(self) -> None:  # noqa: C901 - one case an answer
@@ -169,7 +171,7 @@
             raise NoResponseError("hangs")
         self.check_lease()
         if body["baton"] < self.token or body["stint"] != self.epoch:
-            self.refuse(body)
+            self.count_refused_starts(body)
             return Reply(409, self.heartbeat())
         if body["baton"] > self.token:
             self.cluster.clock.callLater(0.5, self.send_heartbeat)
@@ -177,7 +179,7 @@
         self.execute(body["orders"])
         return Reply(200, self.heartbeat())
 
-    def refuse(self, body: Any) -> None:
+    def count_refused_starts(self, body: Any) -> None:
         """Counts starts that are refused because of their outdated token or epoch."""
         reason = "token" if body["baton"] < self.token else "epoch"
         self.cluster.checker.refused_starts[reason] += sum(order["verb"] == "launch" for order in body["orders"])
