--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Whole days on the stand-ins: whatever fails, no rule is broken and the work is done."""
+"""Runs of the simulated cluster under faults: no rule is broken and all jobs end."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def submit_mixed_jobs(world: World, jobs: int = 24, every: float = 3.0) -> None:
-    """A mix of classes, teams and constraints, spread over the first minute or so."""
+    """Submits jobs of several classes, teams and constraints, one every `every` seconds."""
     for number in range(jobs):
         kind = number % 6
         changes: dict = {
@@ -36,7 +36,7 @@
 
 
 def run_until_jobs_end(world: World, seconds: float = 400.0) -> None:
-    """Runs until all users know how their jobs ended."""
+    """Runs until the users have received the end of each feasible job and the faults are over, or for `seconds`."""
     end = world.now + seconds
     wanted = [job for job in world.jobs if job not in world.rules.impossible]
     while world.now < end and not (
@@ -77,7 +77,7 @@
 
 
 def restart_during_elections(world: World) -> None:
-    """The leader dies and each node restarts within a fraction of a second, again and again."""
+    """Kills the controllers in turn, one every 0.7 s, beginning with the first; each restarts after 0.2 s."""
     for number in range(6):
         world.clock.callLater(number * 0.7, world.kill, world.names[number % 3], 0.2)
 
@@ -103,7 +103,10 @@
 
 
 def partition_leader_from_most_workers(world: World) -> None:
-    """As in an incident at Bluebonnet: some machines are still heard, so the leader does not doubt itself."""
+    """Partitions the leader from all machines but one.
+
+    As in an incident at Bluebonnet: the leader still receives some heartbeats and therefore does not step down.
+    """
     name = world.leader() or "node-0"
     for machine in list(world.cloud.machines)[1:]:
         world.cut(name, machine, 30.0, hold=True)
@@ -113,11 +116,11 @@
     for machine in [m for m in world.cloud.machines.values() if m.spot][::2]:
         machine.notice = world.now + 6.0
 
-        def taken(machine=machine) -> None:
+        def reclaim(machine=machine) -> None:
             world.cloud.machines.pop(machine.name, None)
             machine.die()
 
-        world.clock.callLater(6.0, taken)
+        world.clock.callLater(6.0, reclaim)
 
 
 def crash_machines(world: World) -> None:
@@ -129,11 +132,11 @@
     for machine in machines:
         machine.hung = True
 
-        def on(machine=machine) -> None:
+        def resume(machine=machine) -> None:
             machine.hung = False
             machine.lapse()
 
-        machine.world.clock.callLater(seconds, on)
+        machine.world.clock.callLater(seconds, resume)
 
 
 def hang_two_machines(seconds: float) -> Callable[[World], None]:
@@ -155,7 +158,7 @@
 
 
 def block_traffic_to_machines(seconds: float) -> Callable[[World], None]:
-    """Their reports arrive, but answers and commands don't reach them."""
+    """Returns a fault: two machines receive no answers and no commands, while their heartbeats arrive."""
 
     def start(world: World) -> None:
         for machine in [m for m in world.cloud.machines.values() if m.up][:2]:
@@ -169,14 +172,17 @@
 
 
 def isolate_leader_with_workers(world: World) -> None:
-    """No state service and no peers, but all workers; meanwhile users cancel with the others."""
+    """Partitions the leader from the state service and its peers, but not from the workers.
+
+    Users cancel jobs through the other controllers at the same time.
+    """
     name = world.leader() or "node-0"
     for other in ["state", *(n for n in world.names if n != name)]:
         world.cut(name, other, 60.0, hold=True)
 
 
 def partition_zone_of_leader(world: World) -> None:
-    """The leader and half of the machines on one side, all the rest on the other; nothing can be returned."""
+    """Partitions the leader and the machines of zone a from everything else; no machine can be released."""
     name = world.leader() or "node-0"
     inside = [name, *(m.name for m in world.cloud.machines.values() if m.zone == "a")]
     outside = [
@@ -192,7 +198,7 @@
 
 
 def freeze_leader(world: World) -> None:
-    """It stands still for longer than all leases; when it goes on, everything is due at once."""
+    """Freezes the leader for longer than all leases; when it resumes, all its timers are due at once."""
     world.freeze(world.leader() or "node-0", 25.0)
 
 
@@ -204,7 +210,7 @@
 
 
 def freeze_during_elections(world: World) -> None:
-    """The leader stands still and each node after it, a moment after it was elected or while it is."""
+    """Freezes the leader and each of its successors, shortly after or during its election."""
     for number in range(24):
         world.clock.callLater(number * 0.35, freeze_leader_or_candidate, world, number)
 
@@ -220,7 +226,7 @@
 
 
 def fail_most_machines(world: World) -> None:
-    """Some die, some hang, some are cut off, and half of the spot machines are taken back."""
+    """Crashes some machines, hangs or partitions others, and reclaims half of the spot machines."""
     up = [m for m in world.cloud.machines.values() if m.up]
     for machine in up[::4]:
         machine.die()
@@ -241,51 +247,65 @@
         machine.restart()
 
 
-FAULT_SEQUENCES: dict[str, list[Callable[[World], None]]] = {
-    "quiet": [],
-    "leader crashes": [crash_leader, crash_leader],
-    "all crash in an outage": [crash_all_controllers_in_outage],
-    "roll in a wave": [rolling_restart, reclaim_spot_machines],
-    "restarts in elections": [restart_during_elections, restart_during_elections],
-    "outage, then crash": [outage, crash_leader],
-    "leader refused by the state service": [refuse_leader, crash_machines],
-    "leader cut from the state service": [partition_leader_from_state_service, crash_leader],
-    "leader cut from the workers": [partition_leader_from_workers, reclaim_spot_machines],
-    "leader cut from most workers": [partition_leader_from_most_workers],
-    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
-    "machines hang just short of the lease": [hang_two_machines(10.0), crash_leader],
-    "machines cut off and cloud down": [cloud_outage, partition_machines],
-    "machines hear nothing, shorter than a lease": [block_traffic_to_machines(8.0), crash_leader],
-    "machines hear nothing, longer than a lease": [block_traffic_to_machines(40.0), crash_leader],
-    "copies come late": [duplicate_messages, crash_leader, reclaim_spot_machines, rolling_restart],
-    "copies come late, machines hang": [duplicate_messages, hang_two_machines(20.0), crash_all_controllers],
-    "leader alone with its workers": [isolate_leader_with_workers],
-    "leader alone, then others crash": [isolate_leader_with_workers, reclaim_spot_machines, crash_leader],
-    "zone with the leader cut off, cloud down": [partition_zone_of_leader],
-    "machines restart at once": [restart_machines, restart_machines, restart_during_elections],
-    "leader stands still": [freeze_leader, crash_leader],
-    "leader stands still, copies come late": [duplicate_messages, submit_burst, freeze_leader, reclaim_spot_machines],
-    "leader stands still while the store is down": [outage, freeze_leader],
-    "standbys stand still, then the leader dies": [freeze_standbys, crash_leader],
-    "nodes stand still in elections": [freeze_during_elections, submit_burst, freeze_during_elections],
-    "all crash under a burst, back at once": [submit_burst, restart_all_controllers, submit_burst, rolling_restart],
-    "most machines at once, cloud down": [submit_burst, fail_most_machines, cloud_outage],
-    "most machines at once, leader cut off": [fail_most_machines, partition_leader_from_state_service, crash_leader],
-    "peers refuse, leader cut from the workers": [refuse_peer_connections, partition_leader_from_workers, crash_leader],
-    "faulty machine, machines die": [make_machine_faulty, crash_machines, crash_leader],
+FAULT_SEQUENCES: dict[str, tuple[int, list[Callable[[World], None]]]] = {
+    "no faults": (5, []),
+    "leader crashes": (14, [crash_leader, crash_leader]),
+    "all controllers crash in an outage": (22, [crash_all_controllers_in_outage]),
+    "rolling restart, spot machines reclaimed": (14, [rolling_restart, reclaim_spot_machines]),
+    "restarts during elections": (21, [restart_during_elections, restart_during_elections]),
+    "outage, then the leader crashes": (18, [outage, crash_leader]),
+    "leader refused by the state service": (35, [refuse_leader, crash_machines]),
+    "leader partitioned from the state service": (33, [partition_leader_from_state_service, crash_leader]),
+    "leader partitioned from the workers": (27, [partition_leader_from_workers, reclaim_spot_machines]),
+    "leader partitioned from most workers": (28, [partition_leader_from_most_workers]),
+    "machines hang for longer than the lease": (28, [hang_two_machines(20.0), crash_leader]),
+    "machines hang for slightly less than the lease": (37, [hang_two_machines(10.0), crash_leader]),
+    "machines partitioned, cloud down": (31, [cloud_outage, partition_machines]),
+    "traffic to machines blocked for less than a lease": (43, [block_traffic_to_machines(8.0), crash_leader]),
+    "traffic to machines blocked for longer than a lease": (42, [block_traffic_to_machines(40.0), crash_leader]),
+    "delayed duplicates of messages": (16, [duplicate_messages, crash_leader, reclaim_spot_machines, rolling_restart]),
+    "delayed duplicates, machines hang": (31, [duplicate_messages, hang_two_machines(20.0), crash_all_controllers]),
+    "leader isolated with its workers": (29, [isolate_leader_with_workers]),
+    "leader isolated, spot machines reclaimed, leader crashes": (
+        31,
+        [isolate_leader_with_workers, reclaim_spot_machines, crash_leader],
+    ),
+    "zone of the leader partitioned, cloud down": (40, [partition_zone_of_leader]),
+    "machines restart, restarts during elections": (24, [restart_machines, restart_machines, restart_during_elections]),
+    "leader frozen": (19, [freeze_leader, crash_leader]),
+    "leader frozen, delayed duplicates": (37, [duplicate_messages, submit_burst, freeze_leader, reclaim_spot_machines]),
+    "leader frozen in an outage of the state service": (43, [outage, freeze_leader]),
+    "standbys frozen, then the leader crashes": (42, [freeze_standbys, crash_leader]),
+    "controllers frozen during elections": (30, [freeze_during_elections, submit_burst, freeze_during_elections]),
+    "all controllers restart under a burst of jobs": (
+        37,
+        [submit_burst, restart_all_controllers, submit_burst, rolling_restart],
+    ),
+    "most machines fail at once, cloud down": (33, [submit_burst, fail_most_machines, cloud_outage]),
+    "most machines fail at once, leader partitioned": (
+        37,
+        [fail_most_machines, partition_leader_from_state_service, crash_leader],
+    ),
+    "peers refuse connections, leader partitioned from the workers": (
+        41,
+        [refuse_peer_connections, partition_leader_from_workers, crash_leader],
+    ),
+    "faulty machine, machines crash": (28, [make_machine_faulty, crash_machines, crash_leader]),
 }
+"""The seed of each run, and its faults, which begin 9 s apart."""
 
 
 @pytest.mark.parametrize("name", FAULT_SEQUENCES)
 def test_rules_hold_under_a_sequence_of_faults(name: str) -> None:
-    world = World(seed=len(name), loss=0.004)
+    seed, faults = FAULT_SEQUENCES[name]
+    world = World(seed=seed, loss=0.004)
     submit_mixed_jobs(world)
-    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
-        world.clock.callLater(35.0 + 9.0 * number, trouble, world)
+    for number, fault in enumerate(faults):
+        world.clock.callLater(35.0 + 9.0 * number, fault, world)
     for number in (2, 8, 15):
         world.clock.callLater(20.0 + 3 * number, world.cancel, f"j-{number:06d}")
     for number in (4, 11, 20):
-        # These fall into the trouble; whoever tells it must be right.
+        # These fall into the time of the faults: every confirmation must be right, whichever controller gives it.
         world.clock.callLater(48.0 + number / 2, world.cancel, f"j-{number:06d}")
     world.rules.troubled_until = 110.0
     run_until_jobs_end(world)
@@ -315,8 +335,8 @@
         world.clock.callLater(1.0 + 6 * number, world.submit, world.job(number, pieces=8, vcpus=2.0, guessS=8.0))
     world.run(30)
     slow = next(iter(world.rules.where.values())).name
-    plain = world.run_s
-    world.run_s = lambda name: plain(name) * (5 if name in world.every_machine[slow].tasks else 1)  # type: ignore
+    run_s = world.run_s
+    world.run_s = lambda name: run_s(name) * (5 if name in world.every_machine[slow].tasks else 1)  # type: ignore
     world.lengths = FixedTaskLength()
     run_until_jobs_end(world)
     assert slow not in world.cloud.machines
@@ -325,7 +345,7 @@
 
 
 class FixedTaskLength(dict):
-    """All tasks take eight seconds on a good machine."""
+    """Task lengths of eight seconds on a machine of normal speed."""
 
     def setdefault(self, _name: str, _length: float) -> float:  # type: ignore[override]
         return 8.0
@@ -360,7 +380,7 @@
 
 
 def overloaded_world(jobs: int) -> World:
-    """Two machines, more pressing work for many times what they can do, and some jobs that may wait."""
+    """Returns a world of two machines with far more urgent work than they can run, and `jobs` jobs that may wait."""
     world = World(seed=18, loss=0.0)
     world.cloud.most = 2
     for number in range(130):
@@ -383,18 +403,21 @@
 
 
 def test_aged_jobs_start_under_sustained_overload() -> None:
-    """The widest too: their age brings them forward, and what they begin is not stopped again."""
+    """Also the widest jobs: ageing moves them forward in the queue, and their started tasks are not preempted."""
     world = overloaded_world(8)
     world.run(400)
     world.rules.check_served()
     waits = [world.rules.begun_at[f"j-{n:06d}"] - world.rules.submitted_at[f"j-{n:06d}"] for n in range(8)]
     assert 100 < max(waits) < 240
-    # There is far too much of the pressing work to serve half of it; nothing else may be broken.
+    # Less than half of the urgent work can be served; no other rule may be broken.
     assert [line for line in world.rules.broken if "quick" not in line and "team" not in line] == []
 
 
 def test_many_wide_jobs_start_in_time_after_machines_are_lost() -> None:
-    """More than two machines can begin in what is left of 240 s once jobs are old: their age counts earlier."""
+    """Ageing begins earlier for many wide jobs.
+
+    Two machines could not start them all between the ordinary age limit and 240 s.
+    """
     world = overloaded_world(36)
     world.cloud.most = 4
 
@@ -411,18 +434,18 @@
 
 
 def test_the_checker_detects_starved_and_forgotten_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without ageing the overload keeps old jobs out; a node that answers no question about one job forgets it."""
+    """Without ageing, urgent work starves old jobs; a job whose status is never answered counts as forgotten."""
     monkeypatch.setattr(PendingJobs, "_is_aged", lambda *_: False)
     world = overloaded_world(4)
 
-    plain = Admission.status
+    status = Admission.status
 
-    async def deaf(admission: Admission, job: str) -> dict | None:
+    async def refuse_one_job(admission: Admission, job: str) -> dict | None:
         if job == "j-000001":
             raise RetryLaterError("busy")
-        return await plain(admission, job)
+        return await status(admission, job)
 
-    monkeypatch.setattr(Admission, "status", deaf)
+    monkeypatch.setattr(Admission, "status", refuse_one_job)
     world.run(400)
     world.rules.check_known()
     world.rules.check_served()
@@ -432,15 +455,15 @@
 
 
 def test_a_machine_that_receives_no_answers_gets_no_tasks_until_it_is_reachable_again() -> None:
-    """Being heard is not being reachable."""
+    """A machine whose heartbeats arrive may still receive neither answers nor commands."""
     world = World(seed=19, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=90.0))
     world.run(40)
     term = world.nodes[world.leader()].leader
-    name = next(task.name for task in world.cloud.machines.values() if task.up)
+    name = next(machine.name for machine in world.cloud.machines.values() if machine.up)
     machine = term.cluster.machines[name]
     assert term.machine_views.is_ready(machine, world.now)
-    # All its reports go to the leader, as often as a worker without answers can send them.
+    # All its heartbeats go to the leader, as often as a worker without answers can send them.
     world.deaf[name] = world.now + 11.0
     for seconds in (5.0, 10.0):
         world.clock.callLater(seconds, lambda: world.deliver_report(world.leader(), world.every_machine[name].report()))
@@ -453,7 +476,7 @@
 
 
 def test_duplicate_heartbeats_do_not_count_as_signs_of_life() -> None:
-    """A copy renews nothing, and a peer that gets one does not say that it hears the machine."""
+    """A duplicate renews no lease, and a peer that receives one does not report the machine as reachable."""
     world = World(seed=20, loss=0.0)
     world.submit(world.job(1, pieces=2, guessS=60.0))
     world.run(40)
@@ -472,7 +495,7 @@
         machine.epoch,
         machine.sequence,
     )
-    # The worker would accept an answer with our token as one that renews its lease.
+    # A worker would take an answer with the leader's token as a renewal of its lease.
     assert world.deliver_report(leader, body).body == {"baton": 0, "orders": []}
     assert (
         machine.last_heartbeat_at,
@@ -483,8 +506,8 @@
     ) == before
     peer = next(n for n in world.names if n != leader)
     world.deliver_report(peer, body)
-    seen = tuple(world.nodes[peer].administration.view().machines[name])
-    assert seen <= (machine.epoch, machine.sequence)  # so it does not count as heard there
+    reported = tuple(world.nodes[peer].administration.view().machines[name])
+    assert reported <= (machine.epoch, machine.sequence)  # the peer reports no newer heartbeat than the leader has
 
 
 def test_a_stopped_attempt_is_remembered_while_duplicates_of_its_start_may_arrive() -> None:
@@ -501,7 +524,7 @@
     term.lifecycle.stop(placement, 0.0)
     world.run(30)
     assert world.rules.where["j-000001/0"].name != name
-    world.every_machine[name].command(start)  # a repeat of what was carried out
+    world.every_machine[name].command(start)  # a duplicate of a command that was executed
     world.run(5)
     assert world.rules.broken == []
     assert world.rules.where["j-000001/0"].name != name
@@ -516,7 +539,7 @@
 
 
 def test_the_checker_detects_a_task_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the wait for a silent machine's lease the checker must object."""
+    """Controllers that do not wait for the lease of a silent machine break a rule, and the checker reports it."""
     monkeypatch.setattr(WorkerLeases, "has_expired", lambda _, machine, now: now - machine.last_heartbeat_at > 3.0)
     world = World(seed=7)
     submit_mixed_jobs(world)
@@ -526,7 +549,10 @@
 
 
 def test_the_watch_resumes_after_a_failed_full_read_of_the_jobs() -> None:
-    """Its watch was too old, and reading all jobs anew was refused: it used to end for good."""
+    """The watch is resumed after its revision was compacted and the full read of the jobs that follows was refused.
+
+    Such a refusal used to end the watch, and the leader learned of no further cancellation.
+    """
     world = World(seed=23, loss=0.0)
     world.submit(world.job(1, guessS=100.0))
     world.run(30)
@@ -535,12 +561,12 @@
     world.state.compacted = world.state.revision + 1
     handle, until = world.state.handle, world.now + 1.0
 
-    def refusing(caller: str, method: str, path: str, body: Any) -> Any:
+    def refuse_reads(caller: str, method: str, path: str, body: Any) -> Any:
         if path.startswith("/kv?under=active/") and world.now < until:
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
-    world.state.handle = refusing  # type: ignore[method-assign]
+    world.state.handle = refuse_reads  # type: ignore[method-assign]
     world.clock.callLater(1.5, setattr, world.state, "compacted", 0)
     world.run(5)
     assert world.leader() == name
@@ -552,13 +578,13 @@
 
 
 class NonReentrantLock:
-    """A lock that objects where a real one would wait for itself for ever."""
+    """A lock that raises `AssertionError` where a real lock would deadlock on its own holder."""
 
     def __init__(self) -> None:
         self.held = False
 
     def __enter__(self) -> None:
-        assert not self.held, "the lock is taken by its own holder"
+        assert not self.held, "the lock is already held"
         self.held = True
 
     def __exit__(self, *_: object) -> None:
@@ -566,7 +592,7 @@
 
 
 def test_a_job_that_ends_before_its_first_write_is_removed() -> None:
-    """Nothing is to be written of it, so that its end follows at once, while the ledger still holds the lock."""
+    """A job that was never stored needs no write: it is removed while the commit queue still holds the lock."""
     world = World(seed=24, loss=0.0)
     world.run(12)
     term = world.nodes[world.leader()].leader
