--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -1,4 +1,4 @@
-"""Days on which two troubles or more meet: for each meeting that broke rules somewhere, a day that brings it about."""
+"""Runs under two or more overlapping faults: one for each combination that once broke a rule."""
 
 from collections.abc import Callable
 
@@ -16,13 +16,13 @@
 
 CANCEL_S = World.CANCEL_S
 
-# -- troubles ----------------------------------------------------------------------------------------------------
+# -- faults ------------------------------------------------------------------------------------------------------
 
 Fault = Callable[[World], None]
 
 
 def submit_long_jobs(world: World, jobs: int = 9) -> None:
-    """Work that is still running when the troubles are over."""
+    """Submits jobs that still run when the faults are over."""
     for number in range(jobs):
         world.clock.callLater(
             1.0 + 0.5 * number,
@@ -31,8 +31,8 @@
         )
 
 
-def every_nth_machine(world: World, part: int = 2) -> list:
-    return [m for m in world.cloud.machines.values() if m.up][::part]
+def every_nth_machine(world: World, step: int = 2) -> list:
+    return [m for m in world.cloud.machines.values() if m.up][::step]
 
 
 def no_fault(world: World) -> None:
@@ -64,6 +64,8 @@
 
 
 def delay_writes(seconds: float, share: float, at_once: bool = False) -> Fault:
+    """Returns a fault: a share of the commits gets no answer and is executed late, or `at_once`."""
+
     def start(world: World) -> None:
         world.state.late_writes = world.now + seconds, share, at_once
 
@@ -71,6 +73,8 @@
 
 
 def query_all_after_answers(seconds: float) -> Fault:
+    """Returns a fault: users query all controllers and submit again within milliseconds of each relevant answer."""
+
     def start(world: World) -> None:
         world.close_looks = world.now + seconds
 
@@ -78,6 +82,8 @@
 
 
 def replay_heartbeats_to_next_leader(seconds: float) -> Fault:
+    """Returns a fault: a tenth of the heartbeats is delivered again to all controllers when the next leader starts."""
+
     def start(world: World) -> None:
         world.keep_for_next = world.now + seconds
 
@@ -92,29 +98,31 @@
 
 
 def set_boot_failures(seconds: float, never: float, late: float, boot_s: float) -> Fault:
+    """Returns a fault: the share `never` of new machines does not boot, the share `late` boots late."""
+
     def start(world: World) -> None:
         world.cloud.boots_until, world.cloud.boots = world.now + seconds, (never, late, boot_s)
 
     return start
 
 
-def block_one_direction(which: str, seconds: float, part: int = 2) -> Fault:
-    """Machines that hear nothing (`deaf`), or reach no controller (`mute`)."""
+def block_one_direction(which: str, seconds: float, step: int = 2) -> Fault:
+    """Returns a fault: nothing reaches some machines (`deaf`), or they reach no controller (`mute`)."""
 
     def start(world: World) -> None:
-        for machine in every_nth_machine(world, part):
+        for machine in every_nth_machine(world, step):
             getattr(world, which)[machine.name] = world.now + seconds
 
     return start
 
 
-def hang_every_nth_machine(seconds: float, part: int = 2) -> Fault:
-    return lambda world: hang_machines(every_nth_machine(world, part), seconds)
+def hang_every_nth_machine(seconds: float, step: int = 2) -> Fault:
+    return lambda world: hang_machines(every_nth_machine(world, step), seconds)
 
 
-def partition_every_nth_machine(seconds: float, part: int = 3) -> Fault:
+def partition_every_nth_machine(seconds: float, step: int = 3) -> Fault:
     def start(world: World) -> None:
-        for machine in every_nth_machine(world, part):
+        for machine in every_nth_machine(world, step):
             for name in world.names:
                 world.cut(name, machine.name, seconds, hold=True)
 
@@ -122,7 +130,10 @@
 
 
 def cancel_running_jobs(count: int, hang_s: float = 0.0) -> Fault:
-    """Users call off jobs that run, within a fifth of a second; some of their machines hang."""
+    """Returns a fault: users cancel running jobs within 0.2 s.
+
+    With `hang_s`, up to eight machines of these jobs hang for that long.
+    """
 
     def start(world: World) -> None:
         running = list(dict.fromkeys(task.rpartition("/")[0] for task in world.rules.where))[:count]
@@ -136,37 +147,37 @@
 
 
 def cancel_at_completion(world: World) -> None:
-    """For a minute, jobs are called off at the moment at which their last task ends."""
+    """For 60 s, cancels most jobs within 30 ms of the end of their last task."""
     completed = world.rules.completed
 
-    def ends(task: str) -> None:
+    def complete_and_cancel(task: str) -> None:
         completed(task)
         job = task.rpartition("/")[0]
-        left = [i for i in range(world.jobs[job]["pieces"]) if f"{job}/{i}" not in world.rules.done]
-        if not left and world.random.random() < 0.7:
+        unfinished = [i for i in range(world.jobs[job]["pieces"]) if f"{job}/{i}" not in world.rules.done]
+        if not unfinished and world.random.random() < 0.7:
             world.clock.callLater(world.random.uniform(0.0, 0.03), world.cancel, job)
 
-    world.rules.completed = ends  # type: ignore[method-assign]
+    world.rules.completed = complete_and_cancel  # type: ignore[method-assign]
     world.clock.callLater(60.0, setattr, world.rules, "completed", completed)
 
 
 def restart_leaders(times: int, apart_s: float) -> Fault:
-    """The leadership goes to and fro: whoever leads ends, and is back at once."""
+    """Returns a fault: the current leader is killed `times` times, `apart_s` apart, and restarts after 0.2 s."""
 
     def start(world: World) -> None:
-        def end() -> None:
+        def restart_leader() -> None:
             name = world.leader()
             if name is not None:
                 world.kill(name, 0.2)
 
         for number in range(times):
-            world.clock.callLater(number * apart_s, end)
+            world.clock.callLater(number * apart_s, restart_leader)
 
     return start
 
 
 def isolate_leader_with_workers(seconds: float) -> Fault:
-    """No state service and no peers, but all its workers and users."""
+    """Returns a fault: the leader reaches its workers and users, but neither the state service nor its peers."""
 
     def start(world: World) -> None:
         name = world.leader() or "node-0"
@@ -202,19 +213,19 @@
 
 
 def restart_controllers_one_by_one(world: World) -> None:
-    """All end, and one returns at once, the others later."""
+    """Kills all controllers; the first restarts after 0.3 s, the others 6 s and 12 s later."""
     for number, name in enumerate(world.names):
         world.kill(name, 0.3 + 6.0 * number)
 
 
 def exhaust_team_quotas(world: World) -> None:
-    """Every team is at its limit, with more waiting."""
+    """Submits more work than the teams' quotas allow to run at once."""
     for number in range(16):
         world.submit(world.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
 
 
 def submit_one_task_jobs(world: World) -> None:
-    """One-task jobs, four a second for a minute; a quarter is cancelled soon."""
+    """Submits one-task jobs, four a second for 60 s, and cancels a quarter of them 1 s to 8 s later."""
     for number in range(240):
         job = world.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
         world.clock.callLater(number / 4, world.submit, job)
@@ -223,9 +234,9 @@
 
 
 def submit_zone_bound_jobs(world: World) -> None:
-    """Jobs bound to a zone, to one zone together, or to both by halves."""
-    for number, bound in enumerate([{"yard": "a"}, {"together": True}, {"spread": True}, {"yard": "b"}] * 3):
-        changes: dict = {"pieces": 5, "vcpus": 2.0, "guessS": 30.0, "crew": ("core", "edge")[number % 2]} | bound
+    """Submits jobs that are bound to a given zone, to any single zone, or to an even spread over both."""
+    for number, constraint in enumerate([{"yard": "a"}, {"together": True}, {"spread": True}, {"yard": "b"}] * 3):
+        changes: dict = {"pieces": 5, "vcpus": 2.0, "guessS": 30.0, "crew": ("core", "edge")[number % 2]} | constraint
         world.submit(world.job(700 + number, **changes))
 
 
@@ -239,8 +250,8 @@
 
 
 def submit_infeasible_and_repeated_jobs(world: World) -> None:
-    """Jobs that no machine or team can take, and repeats of what is known, over all nodes."""
-    odd = [
+    """Submits jobs that no machine or team can take, and known jobs again, at all controllers."""
+    infeasible = [
         {"vcpus": 64.0},
         {"memGb": 500.0},
         {"crew": "nobody"},
@@ -249,7 +260,7 @@
         {"accelerators": 1.0},
         {"crew": "edge", "shape": "standing", "pieces": 40, "vcpus": 4.0},
     ]
-    for number, changes in enumerate(odd):
+    for number, changes in enumerate(infeasible):
         body = world.job(800 + number, **changes)
         world.rules.impossible.add(body["nameId"])
         world.jobs[body["nameId"]] = body
@@ -262,17 +273,17 @@
 
 
 def flood_with_queries(world: World) -> None:
-    """Users ask fifty times as often, for a minute."""
+    """Sends 40 status queries a second for 60 s, fifty times the usual rate."""
     for number in range(2400):
         job = world.random.choice(list(world.jobs))
         world.clock.callLater(number / 40, world._look, world.names[number % 3], world._question(job), job)
 
 
-# -- the gap: a leader refused alone, cancellations confirmed by others, then an outage for all ----------------
+# -- only the leader is refused, others confirm cancellations, then the state service is down for all ------------
 
 
 def run_outage_after_cancellations(
-    seed: int, apart_s: float, trouble: Fault, outage_s: float = CANCEL_S + 12.0, twice: bool = False
+    seed: int, apart_s: float, fault: Fault, outage_s: float = CANCEL_S + 12.0, twice: bool = False
 ) -> World:
     world = World(seed=seed, loss=0.002)
     submit_long_jobs(world)
@@ -280,7 +291,7 @@
     assert len(world.rules.where) > 15
     for first in (0,) if not twice else (0, 4):
         refuse_leader(world)
-        trouble(world)
+        fault(world)
         for number in range(first, first + 4):
             world.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), world.cancel, f"j-{number:06d}")
         world.clock.callLater(apart_s, world.state.outage, outage_s)
@@ -289,7 +300,7 @@
 
 
 @pytest.mark.parametrize(
-    "trouble",
+    "fault",
     [
         no_fault,
         hang_every_nth_machine(9.0),
@@ -297,12 +308,15 @@
         block_one_direction("deaf", 9.0),
         block_one_direction("mute", 9.0),
     ],
-    ids=["none", "hang", "cut off", "deaf", "mute"],
+    ids=["no other fault", "machines hang", "machines partitioned", "to machines blocked", "from machines blocked"],
 )
 @pytest.mark.parametrize("apart_s", [0.24, 0.8, 1.3, 1.6, 2.4, 3.6])
-def test_cancellations_unseen_by_the_leader_end_tasks_in_time_despite_an_outage(apart_s: float, trouble: Fault) -> None:
-    """What users were told is cancelled is gone in time, though its leader never hears of it while it answers."""
-    world = run_outage_after_cancellations(int(apart_s * 10), apart_s, trouble)
+def test_cancellations_unseen_by_the_leader_end_tasks_in_time_despite_an_outage(apart_s: float, fault: Fault) -> None:
+    """Cancelled tasks end within the bound, though their leader learns nothing of the cancellation.
+
+    The leader renews worker leases for its grace, but cannot read the cancellations that other controllers confirmed.
+    """
+    world = run_outage_after_cancellations(int(apart_s * 10), apart_s, fault)
     assert world.rules.cancelled_at
     assert world.rules.broken == []
 
@@ -314,7 +328,7 @@
 
 
 def run_short_leaderships_before_outage(seed: int, wait_s: float) -> World:
-    """Standbys are elected and end at once, until the outage comes that long after an election."""
+    """Kills the first three leaders at their election; the outage begins `wait_s` after the fourth is elected."""
     world = World(seed=seed, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
@@ -339,26 +353,29 @@
 @pytest.mark.parametrize("wait_s", [0.012, 0.4])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_renewal_graces_of_successive_leaders_do_not_add_up(seed: int, wait_s: float) -> None:
-    """The last has read the store or not; workers go from one leader that can't ask to another."""
+    """Workers go from one leader that cannot read the store to the next, each with a renewal grace of its own.
+
+    The last leader has read the store before the outage, or has not.
+    """
     world = run_short_leaderships_before_outage(seed, wait_s)
     assert len(world.rules.cancelled_at) == 4
     assert world.rules.broken == []
 
 
 def test_a_leader_with_a_failed_watch_renews_leases_only_for_its_grace() -> None:
-    """Its lease is renewed all the time, but it hears of no cancellation."""
+    """The leader keeps its own lease, but receives no cancellations."""
     world = World(seed=4, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
     leader, ask = world.leader(), world.state.ask
 
-    def ask_but_watch(caller: str, method: str, path: str, body: object) -> object:
+    def refuse_watch(caller: str, method: str, path: str, body: object) -> object:
         if caller == leader and path.startswith("/watch?under=active/"):
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    world.state.ask = ask_but_watch  # type: ignore[method-assign]
-    world.run(6)  # a watch that was open before has ended
+    world.state.ask = refuse_watch  # type: ignore[method-assign]
+    world.run(6)  # until the watch that was already open has ended
     for number in range(4):
         world.cancel(f"j-{number:06d}")
     run_checking_cancellations(world, CANCEL_S + 30.0)
@@ -372,17 +389,17 @@
     assert any("ran_cancelled" in line for line in broken)
 
 
-# -- the other meetings: a day for each --------------------------------------------------------------------------
+# -- other combinations of faults --------------------------------------------------------------------------------
 
 FaultSchedule = tuple[list[tuple[float, Fault]], float]
-"""Troubles, each with its time, and when all are over."""
+"""Faults, each with its time in seconds, and the time at which all are over."""
 
 FAULT_SCHEDULES: dict[str, FaultSchedule] = {
-    "all controllers away for longer than a lease": (
+    "all controllers down for longer than a lease": (
         [(0.0, stop_all_controllers(15.0)), (2.0, exhaust_team_quotas)],
         60.0,
     ),
-    "more work than room over slow links": (
+    "more work than capacity over slow links": (
         [
             (0.0, exhaust_team_quotas),
             (1.0, slow_state_service(40.0)),
@@ -391,7 +408,7 @@
         ],
         60.0,
     ),
-    "a report is held back until a new leader has acted": (
+    "heartbeats replayed to new leaders": (
         [
             (0.0, replay_heartbeats_to_next_leader(20.0)),
             (1.0, partition_every_nth_machine(9.0)),
@@ -400,7 +417,7 @@
         ],
         50.0,
     ),
-    "the store is slow while users cancel and ask": (
+    "slow state service during cancellations and queries": (
         [
             (0.0, slow_state_service(50.0, 1.2)),
             (1.0, query_all_after_answers(60.0)),
@@ -409,7 +426,7 @@
         ],
         70.0,
     ),
-    "the store is slow, then refuses the leader, then all": (
+    "state service slow, then refuses the leader, then down": (
         [
             (0.0, slow_state_service(10.0, 1.2)),
             (4.0, refuse_leader_for(12.0)),
@@ -419,7 +436,7 @@
         ],
         70.0,
     ),
-    "teams at their limits, machines hang, the leader changes": (
+    "quotas exhausted, machines hang, failover": (
         [
             (0.0, exhaust_team_quotas),
             (12.0, hang_every_nth_machine(10.0)),
@@ -428,7 +445,7 @@
         ],
         60.0,
     ),
-    "teams at their limits, machines cut off, the leader changes": (
+    "quotas exhausted, machines partitioned, failover": (
         [
             (0.0, exhaust_team_quotas),
             (12.0, partition_every_nth_machine(20.0, 2)),
@@ -437,11 +454,11 @@
         ],
         70.0,
     ),
-    "a zone with workers and controllers is cut off": (
+    "zone with workers and controllers partitioned": (
         [(0.0, partition_zone(25.0)), (3.0, cancel_running_jobs(4)), (20.0, cancel_running_jobs(2))],
         70.0,
     ),
-    "leaders change ten times": (
+    "ten failovers": (
         [
             (0.0, restart_leaders(10, 4.0)),
             (1.0, cancel_running_jobs(2)),
@@ -450,7 +467,7 @@
         ],
         80.0,
     ),
-    "leaders change inside an outage": (
+    "failovers during an outage": (
         [
             (0.0, outage(20.0)),
             (1.0, restart_leaders(5, 4.0)),
@@ -459,7 +476,7 @@
         ],
         70.0,
     ),
-    "leaders change within tenths of a second": (
+    "failovers within a second of each other": (
         [
             (0.0, restart_leaders(12, 0.7)),
             (0.5, cancel_running_jobs(3)),
@@ -468,7 +485,7 @@
         ],
         60.0,
     ),
-    "an old report reaches all as a new leader begins": (
+    "old heartbeats reach all controllers as a new leader starts": (
         [
             (0.0, replay_heartbeats_to_next_leader(30.0)),
             (6.0, refuse_leader_for(20.0)),
@@ -478,11 +495,11 @@
         ],
         60.0,
     ),
-    "a leader alone with its workers, cancellations elsewhere": (
+    "leader isolated with its workers, cancellations elsewhere": (
         [(0.0, isolate_leader_with_workers(40.0)), (2.0, cancel_running_jobs(4)), (10.0, cancel_running_jobs(3))],
         80.0,
     ),
-    "only the answer is lost while others read": (
+    "answers of commits lost while others read": (
         [
             (0.0, delay_writes(40.0, 0.3, at_once=True)),
             (0.0, query_all_after_answers(40.0)),
@@ -490,7 +507,7 @@
         ],
         70.0,
     ),
-    "close looks at everything": (
+    "queries at all controllers after each answer": (
         [
             (0.0, query_all_after_answers(60.0)),
             (5.0, exhaust_team_quotas),
@@ -499,15 +516,15 @@
         ],
         70.0,
     ),
-    "jobs bound to zones lose machines": (
+    "zone-bound jobs lose machines": (
         [(0.0, submit_zone_bound_jobs), (20.0, crash_machines), (26.0, crash_machines)],
         50.0,
     ),
-    "jobs bound to zones, a zone cut off": (
+    "zone-bound jobs, a zone partitioned": (
         [(0.0, submit_zone_bound_jobs), (18.0, partition_zone(15.0, "b")), (22.0, crash_machines)],
         60.0,
     ),
-    "a command or its answer is held up": (
+    "commands or their answers delayed": (
         [
             (0.0, delay_commands(40.0)),
             (3.0, cancel_running_jobs(4)),
@@ -517,12 +534,12 @@
         ],
         70.0,
     ),
-    "a cancellation meets the end of the last task": (
+    "cancellations at the end of the last task": (
         [(0.0, cancel_at_completion), (0.0, query_all_after_answers(60.0)), (2.0, exhaust_team_quotas)],
         70.0,
     ),
-    "one-task jobs four a second": ([(0.0, submit_one_task_jobs), (30.0, crash_leader)], 80.0),
-    "at the limit, machines can't be asked, a cancellation, a new leader": (
+    "one-task jobs, four per second": ([(0.0, submit_one_task_jobs), (30.0, crash_leader)], 80.0),
+    "quotas exhausted, machines unreachable, cancellations, failover": (
         [
             (0.0, exhaust_team_quotas),
             (14.0, block_one_direction("deaf", 15.0)),
@@ -532,7 +549,7 @@
         ],
         70.0,
     ),
-    "boots within two seconds while writes lag, the leader ends": (
+    "boots within two seconds, writes delayed, leader crashes": (
         [
             (0.0, set_boot_failures(40.0, 0.0, 0.0, 1.2)),
             (0.5, delay_writes(30.0, 0.3)),
@@ -543,11 +560,11 @@
         ],
         70.0,
     ),
-    "boots that are late or never end": (
+    "boots that are late or never complete": (
         [(0.0, set_boot_failures(60.0, 0.25, 0.25, 0.0)), (1.0, exhaust_team_quotas), (10.0, crash_machines)],
         90.0,
     ),
-    "transactions carried out late": (
+    "transactions delayed": (
         [
             (0.0, delay_writes(40.0, 0.25)),
             (3.0, exhaust_team_quotas),
@@ -557,7 +574,7 @@
         ],
         80.0,
     ),
-    "transactions carried out late, zones": (
+    "transactions delayed, zone-bound jobs": (
         [
             (0.0, submit_zone_bound_jobs),
             (0.2, delay_writes(40.0, 0.3)),
@@ -567,7 +584,7 @@
         ],
         80.0,
     ),
-    "a leader ends while machines can't be reached": (
+    "leader crashes while machines are unreachable": (
         [
             (0.0, partition_every_nth_machine(14.0, 2)),
             (1.0, crash_leader),
@@ -576,7 +593,7 @@
         ],
         60.0,
     ),
-    "an old report after newer ones, from an earlier session": (
+    "old heartbeats of an earlier epoch after newer ones": (
         [
             (0.0, lambda world: setattr(world, "copies", 0.3)),
             (4.0, hang_every_nth_machine(14.0)),
@@ -585,7 +602,7 @@
         ],
         80.0,
     ),
-    "all end and one returns": (
+    "all controllers crash and one returns first": (
         [
             (0.0, restart_controllers_one_by_one),
             (8.0, restart_controllers_one_by_one),
@@ -594,11 +611,11 @@
         ],
         60.0,
     ),
-    "machines mute while commands reach them": (
+    "heartbeats of machines blocked while commands reach them": (
         [(0.0, block_one_direction("mute", 18.0)), (2.0, cancel_running_jobs(4)), (6.0, crash_leader)],
         60.0,
     ),
-    "jobs cancelled while the work changes hands": (
+    "cancellations during a failover": (
         [
             (0.0, crash_leader),
             *((0.2 + 0.35 * n, cancel_running_jobs(1)) for n in range(9)),
@@ -606,7 +623,7 @@
         ],
         50.0,
     ),
-    "odd requests in a hand-over": (
+    "infeasible and repeated jobs during failovers": (
         [
             (0.0, submit_infeasible_and_repeated_jobs),
             (1.0, restart_leaders(3, 2.0)),
@@ -615,11 +632,11 @@
         ],
         40.0,
     ),
-    "many questions, an outage between": (
+    "query flood with an outage": (
         [(0.0, flood_with_queries), (20.0, outage(8.0)), (30.0, cancel_running_jobs(3))],
         70.0,
     ),
-    "hangs within the lease meet a cancellation": (
+    "machines hang within the lease during cancellations": (
         [(0.0, cancel_running_jobs(6, hang_s=9.0)), (3.0, crash_leader), (20.0, cancel_running_jobs(6, hang_s=16.0))],
         60.0,
     ),
@@ -627,19 +644,19 @@
 
 
 def run_schedule(name: str, seed: int) -> World:
-    troubles, over_s = FAULT_SCHEDULES[name]
+    faults, faults_end_s = FAULT_SCHEDULES[name]
     world = World(seed=seed, loss=0.003)
     submit_mixed_jobs(world)
-    for seconds, trouble in troubles:
-        world.clock.callLater(34.0 + seconds, trouble, world)
-    world.rules.troubled_until = 34.0 + over_s
+    for seconds, fault in faults:
+        world.clock.callLater(34.0 + seconds, fault, world)
+    world.rules.troubled_until = 34.0 + faults_end_s
     run_until_jobs_end(world)
     return world
 
 
-# Two seeds each, and those that once broke a rule.
+# Two seeds for each schedule, and the seeds that once broke a rule.
 CASES = [(name, seed) for name in FAULT_SCHEDULES for seed in (1, 2)] + [
-    ("one-task jobs four a second", 4),
+    ("one-task jobs, four per second", 4),
 ]
 
 
@@ -651,34 +668,37 @@
     assert [job for job in wanted if not world.rules.is_final(job)] == []
 
 
-# -- close looks ---------------------------------------------------------------------------------------------------
+# -- concurrent queries --------------------------------------------------------------------------------------------
 
 
 def test_many_queries_share_reads_of_the_state_service() -> None:
-    """Two hundred questions a second are answered with a few reads; each read begins after its questions came."""
+    """200 queries a second share reads, so that most of the request limit is left to the leader.
+
+    Each read begins after the queries that it answers have arrived.
+    """
     world = World(seed=3, loss=0.0)
     submit_mixed_jobs(world, jobs=12, every=0.5)
     world.run(20)
-    ask, asked, answers = world.state.ask, [0], []
+    ask, requests, answers = world.state.ask, [0], []
     told = world.rules.told
 
-    def count(caller: str, method: str, path: str, body: object) -> object:
-        asked[0] += 1
+    def count_requests(caller: str, method: str, path: str, body: object) -> object:
+        requests[0] += 1
         return ask(caller, method, path, body)
 
-    def note(job: str, answer: dict | None, asked_at: float) -> None:
+    def record_answer(job: str, answer: dict | None, asked_at: float) -> None:
         answers.append(job)
         told(job, answer, asked_at)
 
-    world.state.ask = count  # type: ignore[method-assign]
-    world.rules.told = note  # type: ignore[method-assign]
+    world.state.ask = count_requests  # type: ignore[method-assign]
+    world.rules.told = record_answer  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
         world.clock.callLater(number / 200, world._look, world.names[number % 3], world._question(job), job)
     world.run(11)
     assert len(answers) >= 0.99 * 2000
     assert world.state.refused_rates == 0
-    assert asked[0] < 11 * 0.75 * world.state.rps
+    assert requests[0] < 11 * 0.75 * world.state.rps
     assert world.rules.broken == []
 
 
@@ -686,45 +706,51 @@
 def test_a_delayed_transaction_is_rejected_after_the_job_was_reloaded(
     monkeypatch: pytest.MonkeyPatch, inline: bool
 ) -> None:
-    """The placements of a transaction that got no answer come after a reload, when others have that room by then."""
+    """A transaction that got no answer is executed after its job was reloaded, and must be rejected.
+
+    Otherwise its placements would come on top of others that have taken their room since.
+    """
     if not inline:
         monkeypatch.setattr(records, "INLINE_FORMAT", records.NEWEST_FORMAT + 1)
     world = World(seed=5, loss=0.0)
     world.run(5)
-    handle, late = world.state.handle, []
+    handle, delayed = world.state.handle, []
 
-    def places(write: dict) -> bool:
+    def has_placements(write: dict) -> bool:
         key = write.get("set", "")
         if inline:
             return key.startswith("active/") and bool(write["v"].get(records.INLINE_CHUNK, {}).get("p"))
         return key.startswith("tasks/")
 
-    def delayed(caller: str, method: str, path: str, body: dict) -> object:
-        if path == "/commit" and not late and any(places(write) for write in body["writes"]):
-            late.append((caller, method, path, body))
+    def delay_first_placement(caller: str, method: str, path: str, body: dict) -> object:
+        if path == "/commit" and not delayed and any(has_placements(write) for write in body["writes"]):
+            delayed.append((caller, method, path, body))
             raise NoResponseError("nothing comes back")
         return handle(caller, method, path, body)
 
-    world.state.handle = delayed  # type: ignore[method-assign]
-    world.submit(world.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # all that its team may have
-    while not late and world.now < 60:
+    world.state.handle = delay_first_placement  # type: ignore[method-assign]
+    world.submit(world.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # exhausts the quota of its team
+    while not delayed and world.now < 60:
         world.run(0.1)
     job = world.nodes[world.leader()].leader.cluster.jobs["j-000001"]
-    for settled in (False, True):
-        while job.reload_pending != (not settled) and world.now < 70:
+    for reload_done in (False, True):
+        while job.reload_pending != (not reload_done) and world.now < 70:
             world.clock.advance(0.01)
-    # It has been read again; were it carried out now, its placements would come on top of what follows.
-    assert handle(*late[0]).status == 409
+    # The job has been reloaded; its guards must reject the delayed transaction.
+    assert handle(*delayed[0]).status == 409
     run_until_jobs_end(world, 120)
     assert world.rules.broken == []
     assert world.rules.last["j-000001"] == "done"
 
 
-# -- old reports and a new leader ------------------------------------------------------------------------------------
+# -- old heartbeats and a new leader ---------------------------------------------------------------------------------
 
 
 def test_an_old_heartbeat_does_not_shorten_the_wait_for_a_former_leader() -> None:
-    """It comes first, is answered, and shows nothing: its worker may hear the former leader for a grace still."""
+    """A new leader answers old heartbeats, but they do not prove that the worker has left the former leader.
+
+    The former leader may still renew the worker's lease for its grace.
+    """
     world = World(seed=8, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
@@ -748,7 +774,7 @@
 
 
 def test_an_epoch_without_an_answer_lasts_for_a_lease() -> None:
-    """What was started in it is not over when the lease of the session before is."""
+    """Tasks that were started in a new epoch outlive the lease of the epoch before."""
     world = World(seed=8, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
@@ -769,19 +795,19 @@
     submit_long_jobs(world)
     world.run(40)
     machine = next(iter(world.rules.where.values()))
-    scan = world.state.handle
+    handle = world.state.handle
 
-    def unread(caller: str, method: str, path: str, body: object) -> object:
+    def refuse_reads(caller: str, method: str, path: str, body: object) -> object:
         if path.startswith("/kv?under=active/"):
             return Reply(503, {"error": "trouble"})
-        return scan(caller, method, path, body)
+        return handle(caller, method, path, body)
 
-    world.state.handle = unread  # type: ignore[method-assign]
+    world.state.handle = refuse_reads  # type: ignore[method-assign]
     world.kill(world.leader(), None)
     world.run(4)
     leader = world.leader()
     assert world.deliver_report(leader, machine.report()).status == 503
-    world.state.handle = scan  # type: ignore[method-assign]
+    world.state.handle = handle  # type: ignore[method-assign]
     world.run(2)
     answer = world.deliver_report(leader, machine.report())
     assert answer.status == 200
@@ -789,7 +815,7 @@
 
 
 def test_a_worker_with_an_older_token_receives_stops_of_cancelled_jobs() -> None:
-    """With the answer that renews its lease, also while the job is being read again, which an outage holds up."""
+    """The answer that renews its lease carries the stops, also while an outage delays the reload of the job."""
     world = World(seed=8, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
@@ -807,9 +833,9 @@
     term.watch.on_change(job, None, world.state.revision)
     assert term.cluster.jobs[job].reload_pending
     assert not term.cluster.machines[machine.name].claimed
-    told = world.deliver_report(leader, machine.report()).body["orders"]
-    assert {order["piece"] for order in told if order["verb"] == "stop"} >= {
-        name for name, on in world.rules.where.items() if on is machine and name.startswith(job)
+    orders = world.deliver_report(leader, machine.report()).body["orders"]
+    assert {order["piece"] for order in orders if order["verb"] == "stop"} >= {
+        name for name, host in world.rules.where.items() if host is machine and name.startswith(job)
     }
 
 
@@ -823,7 +849,10 @@
 
 
 def test_the_checker_detects_a_stale_answer_of_another_controller() -> None:
-    """Asked after a node had told the end, or that the job is known; what was asked before may be answered older."""
+    """A query must not get an older answer than any controller had given before the query was sent.
+
+    A query that was sent earlier may still get the older answer.
+    """
     rules = world_with_one_job().rules
     rules.cancelling("j-000001")
     rules.told("j-000001", {"phase": "aborted"}, -1.0)
@@ -845,9 +874,9 @@
 
 
 def test_the_checker_detects_a_job_that_waits_despite_free_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = DecisionApplier._place
+    place = DecisionApplier._place
     monkeypatch.setattr(
-        DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and plain(applier, key, *more)
+        DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and place(applier, key, *more)
     )
     world = World(seed=1, loss=0.0)
     for number in (1, 2):
@@ -873,59 +902,59 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "the store is slow while users cancel and ask",
-        "leaders change ten times",
-        "close looks at everything",
-        "jobs cancelled while the work changes hands",
+        "slow state service during cancellations and queries",
+        "ten failovers",
+        "queries at all controllers after each answer",
+        "cancellations during a failover",
     ],
 )
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
-    """Where no command is held up on its way, beyond what was on it."""
+    """No task starts later than the network delay explains, in runs without delayed commands."""
     world = run_schedule(name, 3)
     assert len(world.rules.cancelled_at) >= 3
     assert world.rules.started_after == []
 
 
 def test_a_replacement_is_provisioned_before_an_overdue_machine_is_released() -> None:
-    """What never comes up counts as coming for 1.6 boots, not for the 3 after which it is returned."""
+    """A machine that never boots counts as booting for 1.6 boot times, not until its release after 3."""
     world = World(seed=9, loss=0.0)
     set_boot_failures(10.0, 1.0, 0.0, 0.0)(world)
     world.submit(world.job(1, pieces=2))
     world.run(10)
-    lost = set(world.cloud.machines)
-    assert lost
+    never_up = set(world.cloud.machines)
+    assert never_up
     while not world.rules.begun_at and world.now < 100:
         world.run(1.0)
     # A boot takes up to 22.5 s here; plans are made every two seconds.
     assert world.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
     world.run(60)
-    assert not lost & set(world.cloud.machines)
+    assert not never_up & set(world.cloud.machines)
     assert world.rules.broken == []
 
 
 def test_a_zone_with_failing_boots_is_avoided_and_retried_later() -> None:
-    """Machines of one zone never come up for a while: others are rented meanwhile, and then there again."""
+    """While machines of one zone do not boot, the other zone is used; later the first zone is used again."""
     world = World(seed=12, loss=0.0, capacity=12)
-    add, fails = world.cloud.add, [True]
+    add, zone_fails = world.cloud.add, [True]
 
-    def adding(kind: dict, zone: str, spot: bool) -> Machine:
+    def add_with_failures(kind: dict, zone: str, spot: bool) -> Machine:
         world.cloud.boots_until = world.now + 1.0
-        world.cloud.boots = (1.0 if fails[0] and zone == "a" else 0.0, 0.0, 8.0)
+        world.cloud.boots = (1.0 if zone_fails[0] and zone == "a" else 0.0, 0.0, 8.0)
         return add(kind, zone, spot)
 
-    def rented_zones(first: int, jobs: int, **changes: object) -> list[str]:
-        """Where machines are rented for a burst of jobs, of which each fills one."""
+    def zones_used_for_burst(first: int, jobs: int, **changes: object) -> list[str]:
+        """Returns the zones of the machines that are provisioned for jobs that fill one machine each."""
         before = set(world.every_machine)
         for number in range(first, first + jobs):
             world.submit(world.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
         world.run(6)
         return [machine.zone for name, machine in world.every_machine.items() if name not in before]
 
-    world.cloud.add = adding  # type: ignore[method-assign]
+    world.cloud.add = add_with_failures  # type: ignore[method-assign]
     world.run(4)
-    # More machines in the other zone, so that the one that fails would be preferred.
-    assert set(rented_zones(0, 5, yard="b", crew="edge")) == {"b"}
-    assert rented_zones(10, 6).count("a") >= 3
+    # More machines in zone b, so that the failing zone a would be preferred.
+    assert set(zones_used_for_burst(0, 5, yard="b", crew="edge")) == {"b"}
+    assert zones_used_for_burst(10, 6).count("a") >= 3
     term = world.nodes[world.leader()].leader
     while not term.boots.unreliable_offers() and world.now < 60:
         world.run(0.05)
@@ -935,10 +964,10 @@
     instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
     assert len(instead) >= 2
     assert set(instead) == {"b"}
-    fails[0] = False
-    world.run(200)  # all is done, and machines go back
+    zone_fails[0] = False
+    world.run(200)  # until all jobs are done and idle machines are released
     assert term.boots.unreliable_offers() == set()
-    assert "a" in rented_zones(40, 8)
+    assert "a" in zones_used_for_burst(40, 8)
     run_until_jobs_end(world)
     assert world.rules.broken == []
 
@@ -946,32 +975,32 @@
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_delayed_writes_of_provisioning_and_image_records_do_no_harm(kind: str, seed: int) -> None:
-    """They get no answer and are carried out seconds later, over newer ones; then leaders change that read them."""
+    """Such writes get no answer and are executed seconds later, over newer records; new leaders then read them."""
     world = World(seed=seed, loss=0.0, capacity=6)
-    ask, held = world.state.ask, []
+    ask, delayed = world.state.ask, []
 
-    def asking(caller: str, method: str, path: str, body: dict) -> object:
+    def delay_commits(caller: str, method: str, path: str, body: dict) -> object:
         keys = [write.get("set") or write["delete"] for write in body["writes"]] if path == "/commit" else []
         if any(key.startswith(kind) for key in keys) and world.now < 90.0:
-            held.append(keys)
+            delayed.append(keys)
             world.clock.callLater(world.random.uniform(4.0, 20.0), world.state.handle, caller, method, path, body)
             raise NoResponseError("nothing comes back")
         return ask(caller, method, path, body)
 
-    world.state.ask = asking  # type: ignore[method-assign]
+    world.state.ask = delay_commits  # type: ignore[method-assign]
     submit_mixed_jobs(world, jobs=18)
     for number in range(18):
-        # Enough images that a machine's record changes again and again.
+        # Enough images that a machine's record keeps changing.
         world.clock.callLater(3.0 * number, world.submit, world.job(100 + number, pieces=2, bundle=f"img-{number}"))
     for at in (30.0, 52.0, 74.0):
         world.clock.callLater(at, crash_leader, world)
     world.clock.callLater(60.0, reclaim_spot_machines, world)
     world.rules.troubled_until = 110.0
     run_until_jobs_end(world)
-    assert len(held) >= 3
+    assert len(delayed) >= 3
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
-    # What was rented is found again, by the cloud's list if not by its record; what nobody wants goes back.
+    # Each provisioned machine is found by its record or in the cloud's list; unneeded machines are released.
     world.run(100)
     leader = world.nodes[world.leader()]
     assert set(world.cloud.machines) == set(leader.leader.cluster.machines)
@@ -979,12 +1008,15 @@
 
 
 def test_a_new_leader_does_not_treat_running_machines_as_overdue() -> None:
-    """It has heard of none yet. Taken for late, they would be replaced, or returned if idle (inc-e1be)."""
+    """A new leader has received no heartbeats yet.
+
+    If it took running machines for overdue, it would replace them, or release the idle ones (inc-e1be).
+    """
     world = World(seed=13, loss=0.0, capacity=8)
     world.submit(world.job(1, pieces=8, vcpus=4.0, guessS=120.0))
     while len(world.rules.where) < 8:
         world.run(1)
-    world.run(25)  # so that all are older than a boot may take
+    world.run(25)  # until all machines are older than the longest boot
     for _ in range(3):
         before = set(world.cloud.machines)
         crash_leader(world)
