--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -1,7 +1,7 @@
-"""Direct commands that stay on their way for longer than any time-out, together with other faults.
+"""Direct commands that are delayed for longer than any time-out, together with other faults.
 
-`python3 -m tests.held_starts --seeds 20` plays each scenario with so many seeds and prints a table of them; a name, or
-a part of one, picks some. The tests play the same with few seeds.
+`python3 -m tests.held_starts --seeds 20` runs each scenario with 20 seeds and prints a table of the results; names of
+scenarios, or parts of names, select some. The tests run the same scenarios with few seeds.
 """
 
 import argparse
@@ -20,40 +20,40 @@
 FIRST_SMALL_JOB = 100
 """Number of the first small job."""
 CANCEL_AFTER_S = 4.0
-"""The small jobs are cancelled so long after their submission, in seconds."""
+"""Time from the submission of the small jobs to their cancellation, in seconds."""
 RUN_AFTER_SUBMISSION_S = 115.0
-"""The day ends so long after their submission, in seconds."""
+"""Time from the submission of the small jobs to the end of the run, in seconds."""
 OUTAGE_S = World.CANCEL_S + 15.0
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A held start of a job that is cancelled, and what else happens meanwhile."""
+    """A delayed command of a job that is cancelled, together with other faults."""
 
     faults: tuple[tuple[float, Fault], ...] = ()
-    """Seconds after the small jobs are submitted, and what happens then."""
+    """Faults, each with its time in seconds after the submission of the small jobs."""
     hold: Callable[[World], Hold] = lambda world: Hold(world.now + 6.0, 45.0, 80.0, verb="launch")
     small: dict[str, Any] = field(default_factory=dict)
-    """What the small jobs have instead of the usual."""
+    """Changes to the default fields of the small jobs."""
     loses_tasks: bool = False
-    """Whether the other faults may end the long tasks."""
+    """Whether the faults may end the long tasks."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of a scenario with one seed."""
+    """The result of a scenario with one seed."""
 
     broken: tuple[str, ...]
     cancelled: int
-    longest_part: float
-    """From a confirmation to its task's last moment at the most, as a part of `cancel_s`."""
+    longest_fraction: float
+    """Longest time from a confirmed cancellation to the end of a task of the job, as a fraction of `cancel_s`."""
     refused_by_token: int
     refused_by_epoch: int
     long_tasks_lost: int
 
 
 def busy_world(seed: int, **options: Any) -> World:
-    """Machines with long tasks, which must not be lost with what happens to others."""
+    """Returns a world whose machines run long tasks, which faults of other tasks must not end."""
     world = World(seed=seed, loss=0.0, **options)
     for number in range(LONG_JOBS):
         world.clock.callLater(
@@ -67,16 +67,16 @@
 
 
 def submit_small_jobs(world: World, changes: dict[str, Any] | None = None) -> list[str]:
-    """Jobs of two small tasks that find room beside the long ones."""
-    usual: dict[str, Any] = {"pieces": 2, "vcpus": 0.5, "memGb": 0.5, "guessS": 200.0} | (changes or {})
-    jobs = [world.job(FIRST_SMALL_JOB + number, **usual) for number in range(SMALL_JOBS)]
+    """Submits jobs of two small tasks that fit beside the long ones; returns their ids."""
+    fields: dict[str, Any] = {"pieces": 2, "vcpus": 0.5, "memGb": 0.5, "guessS": 200.0} | (changes or {})
+    jobs = [world.job(FIRST_SMALL_JOB + number, **fields) for number in range(SMALL_JOBS)]
     for job in jobs:
         world.submit(job)
     return [job["nameId"] for job in jobs]
 
 
 def hold_and_cancel(world: World, least_s: float = 45.0, most_s: float = 60.0) -> list[str]:
-    """Small jobs whose starts are held, and which are then cancelled."""
+    """Submits small jobs, delays their starts by `least_s` to `most_s`, and cancels the jobs; returns their ids."""
     world.holds.append(Hold(world.now + 6.0, least_s, most_s, verb="launch"))
     jobs = submit_small_jobs(world)
     world.run(CANCEL_AFTER_S)
@@ -86,7 +86,7 @@
 
 
 def run_checking_cancellations(world: World, seconds: float) -> None:
-    """Lets time pass, with an eye on what runs of cancelled jobs."""
+    """Runs for `seconds` and checks every 0.25 s that no cancelled job has outlived its bound."""
     end = world.now + seconds
     while world.now < end:
         world.run(0.25)
@@ -94,7 +94,7 @@
 
 
 def run_scenario(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
-    """A day with a scenario."""
+    """Runs a scenario with one seed."""
     world = busy_world(seed)
     world.holds.append(scenario.hold(world))
     for after_s, fault in scenario.faults:
@@ -120,7 +120,7 @@
 
 
 def crash_leader(world: World) -> None:
-    """The leader's process ends."""
+    """The leader's process crashes."""
     name = world.leader()
     if name is not None:
         world.kill(name)
@@ -134,7 +134,7 @@
 
 
 def state_service_outage(world: World) -> None:
-    """The state service is down for longer than a cancellation may take."""
+    """The state service is down for longer than the cancellation bound."""
     world.state.outage(OUTAGE_S)
 
 
@@ -144,22 +144,22 @@
 
 
 def delay_writes(world: World) -> None:
-    """Transactions get no answer, and are carried out later: records are read again."""
+    """For 10 s, 40% of the commits get no answer and are executed later, so that the leader reloads the records."""
     world.state.late_writes = world.now + 10.0, 0.4, False
 
 
 def duplicate_messages(world: World) -> None:
-    """Messages are delivered again, late."""
+    """Some messages are delivered a second time, late."""
     world.copies = 0.3
 
 
 def machines_up(world: World) -> list[Any]:
-    """Machines that are up."""
+    """Returns the machines that are up."""
     return [machine for machine in world.cloud.machines.values() if machine.up]
 
 
 def block_one_direction(which: str, seconds: float) -> Fault:
-    """Half of the machines hear nothing (`deaf`), or reach no controller (`mute`)."""
+    """Returns a fault: nothing reaches half of the machines (`deaf`), or they reach no controller (`mute`)."""
 
     def start(world: World) -> None:
         for machine in machines_up(world)[::2]:
@@ -169,23 +169,23 @@
 
 
 def hang_machines(seconds: float) -> Fault:
-    """Half of the machines stand still for so long."""
+    """Returns a fault: half of the machines hang for `seconds`."""
 
     def start(world: World) -> None:
         for machine in machines_up(world)[::2]:
             machine.hung = True
 
-            def go_on(machine=machine) -> None:
+            def resume(machine=machine) -> None:
                 machine.hung = False
                 machine.lapse()
 
-            world.clock.callLater(seconds, go_on)
+            world.clock.callLater(seconds, resume)
 
     return start
 
 
 def partition_machines(seconds: float) -> Fault:
-    """Half of the machines are cut off; what was sent meanwhile arrives at the end."""
+    """Returns a fault: half of the machines are partitioned; messages sent in that time arrive at its end."""
 
     def start(world: World) -> None:
         for machine in machines_up(world)[::2]:
@@ -196,88 +196,92 @@
 
 
 def release_machines(world: World) -> None:
-    """The leader releases a third of the machines, which the cloud does not confirm."""
+    """The leader releases a third of its machines; during `cloud_outage` the cloud does not confirm it."""
     name = world.leader()
     leader = None if name is None else world.nodes[name].leader
     if leader is not None:
         for machine in list(leader.cluster.machines.values())[::3]:
-            leader.releaser.release(machine, "an operator's wish")
+            leader.releaser.release(machine, "operator request")
 
 
 def freeze_leader(world: World) -> None:
-    """The leader's process stands still for 20 s."""
+    """The leader's process is frozen for 20 s."""
     world.freeze(world.leader() or world.names[0], 20.0)
 
 
 def restart_leaders(times: int, apart_s: float) -> Fault:
-    """Whoever leads ends, and is back at once."""
+    """Returns a fault: the current leader is killed `times` times, `apart_s` apart, and restarts after 0.2 s."""
 
-    def end() -> None:
-        name = ended.leader()
+    def restart_leader() -> None:
+        name = faulty_world.leader()
         if name is not None:
-            ended.kill(name, 0.2)
+            faulty_world.kill(name, 0.2)
 
-    ended: World
+    faulty_world: World
 
     def start(world: World) -> None:
-        nonlocal ended
-        ended = world
+        nonlocal faulty_world
+        faulty_world = world
         for number in range(times):
-            world.clock.callLater(number * apart_s, end)
+            world.clock.callLater(number * apart_s, restart_leader)
 
     return start
 
 
-def hold_messages(least_s: float, most_s: float, spell_s: float, **more: Any) -> Callable[[World], Hold]:
-    """Messages sent during a spell are held for between so many seconds; `more` picks which."""
-    return lambda world: Hold(world.now + spell_s, least_s, most_s, **more)
+def hold_messages(least_s: float, most_s: float, period_s: float, **options: Any) -> Callable[[World], Hold]:
+    """Delays the messages of the next `period_s` by `least_s` to `most_s`; `options` of `Hold` select which."""
+    return lambda world: Hold(world.now + period_s, least_s, most_s, **options)
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "heartbeats go on": Scenario(),
-    "any command, any time": Scenario(hold=hold_messages(0.0, 80.0, 8.0)),
-    "the answers are held": Scenario(hold=hold_messages(45.0, 80.0, 6.0, answers=True)),
-    "stops are held": Scenario(hold=hold_messages(20.0, 80.0, 30.0, verb="stop")),
-    "stops with an old grace are held": Scenario(
+    "starts delayed, heartbeats arrive": Scenario(),
+    "any command delayed": Scenario(hold=hold_messages(0.0, 80.0, 8.0)),
+    "answers delayed": Scenario(hold=hold_messages(45.0, 80.0, 6.0, answers=True)),
+    "stops delayed": Scenario(hold=hold_messages(20.0, 80.0, 30.0, verb="stop")),
+    "stops with an outdated grace delayed": Scenario(
         ((2.0, release_machines), (2.0, cloud_outage)),
         hold=hold_messages(20.0, 80.0, 30.0, verb="stop"),
         small={"snapshotS": 5.0, "stashS": 3.0},
         loses_tasks=True,
     ),
-    "forgets are held": Scenario(hold=hold_messages(20.0, 80.0, 60.0, verb="forget")),
-    "a gang with a start held": Scenario(
+    "forgets delayed": Scenario(hold=hold_messages(20.0, 80.0, 60.0, verb="forget")),
+    "some starts of a gang delayed": Scenario(
         hold=hold_messages(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
     ),
-    "the store is out after it": Scenario(((CANCEL_AFTER_S + 0.6, state_service_outage),)),
-    "the leader is refused, then the store is out": Scenario(
+    "state service down after the cancellation": Scenario(((CANCEL_AFTER_S + 0.6, state_service_outage),)),
+    "leader refused, then the state service down": Scenario(
         ((CANCEL_AFTER_S - 0.5, refuse_leader), (CANCEL_AFTER_S + 0.7, state_service_outage))
     ),
-    "the cloud is out": Scenario(((0.0, cloud_outage),)),
-    "machines are released, the cloud is out": Scenario(
+    "cloud down": Scenario(((0.0, cloud_outage),)),
+    "machines released, cloud down": Scenario(
         ((CANCEL_AFTER_S - 1.0, release_machines), (0.0, cloud_outage)), loses_tasks=True
     ),
-    "the leader ends before it": Scenario(((2.0, crash_leader),)),
-    "the leader ends after it": Scenario(((CANCEL_AFTER_S + 0.6, crash_leader),)),
-    "the leader ends, and claims are held": Scenario(((2.0, crash_leader),), hold=hold_messages(30.0, 80.0, 25.0)),
-    "leaders end in series": Scenario(((1.0, restart_leaders(6, 2.5)),)),
-    "leaders end in series, any command held": Scenario(
+    "leader crashes before the cancellation": Scenario(((2.0, crash_leader),)),
+    "leader crashes after the cancellation": Scenario(((CANCEL_AFTER_S + 0.6, crash_leader),)),
+    "leader crashes, claims delayed": Scenario(((2.0, crash_leader),), hold=hold_messages(30.0, 80.0, 25.0)),
+    "series of failovers": Scenario(((1.0, restart_leaders(6, 2.5)),)),
+    "series of failovers, any command delayed": Scenario(
         ((1.0, restart_leaders(8, 1.5)),), hold=hold_messages(0.0, 80.0, 20.0)
     ),
-    "the leader stands still": Scenario(((CANCEL_AFTER_S - 0.05, freeze_leader),), hold=hold_messages(5.0, 80.0, 8.0)),
-    "records are read again": Scenario(((0.0, delay_writes),)),
-    "copies come late": Scenario(((0.0, duplicate_messages),)),
-    "machines hear nothing, past a lease": Scenario(((1.0, block_one_direction("deaf", 20.0)),), loses_tasks=True),
-    "machines hear nothing, within a lease": Scenario(((3.0, block_one_direction("deaf", 9.0)),)),
-    "machines reach nobody, past a lease": Scenario(((1.0, block_one_direction("mute", 20.0)),), loses_tasks=True),
-    "machines reach nobody, cloud out": Scenario(
+    "leader frozen": Scenario(((CANCEL_AFTER_S - 0.05, freeze_leader),), hold=hold_messages(5.0, 80.0, 8.0)),
+    "writes delayed, records reloaded": Scenario(((0.0, delay_writes),)),
+    "delayed duplicates of messages": Scenario(((0.0, duplicate_messages),)),
+    "traffic to machines blocked for longer than a lease": Scenario(
+        ((1.0, block_one_direction("deaf", 20.0)),), loses_tasks=True
+    ),
+    "traffic to machines blocked for less than a lease": Scenario(((3.0, block_one_direction("deaf", 9.0)),)),
+    "traffic from machines blocked for longer than a lease": Scenario(
+        ((1.0, block_one_direction("mute", 20.0)),), loses_tasks=True
+    ),
+    "traffic from machines blocked, cloud down": Scenario(
         ((1.0, block_one_direction("mute", 9.0)), (0.0, cloud_outage)), loses_tasks=True
     ),
-    "machines hang within a lease": Scenario(((3.0, hang_machines(9.0)),), loses_tasks=True),
-    "machines hang past a lease": Scenario(((3.0, hang_machines(20.0)),), loses_tasks=True),
-    "machines cut off, then a new leader": Scenario(
+    "machines hang for less than a lease": Scenario(((3.0, hang_machines(9.0)),), loses_tasks=True),
+    "machines hang for longer than a lease": Scenario(((3.0, hang_machines(20.0)),), loses_tasks=True),
+    "machines partitioned, then a failover": Scenario(
         ((1.0, partition_machines(10.0)), (5.0, crash_leader), (0.0, cloud_outage)), loses_tasks=True
     ),
-    "store out, new leader, cloud out": Scenario(
+    "state service down, failover, cloud down": Scenario(
         ((CANCEL_AFTER_S + 0.6, state_service_outage), (CANCEL_AFTER_S + 5.0, crash_leader), (0.0, cloud_outage)),
         loses_tasks=True,
     ),
@@ -289,13 +293,13 @@
     "seeds",
     "failed",
     "cancelled",
-    "longest, of `cancel_s`",
+    "longest, as a fraction of `cancel_s`",
     "refused by token, epoch",
     "long tasks lost",
 )
 
 
-# -- the long run ----------------------------------------------------------------------------------------------------
+# -- command line ----------------------------------------------------------------------------------------------------
 
 
 def _run_one(name: str, seed: int) -> tuple[str, int, Outcome, list[str]]:
@@ -305,41 +309,43 @@
 
 
 def run_all(names: Iterable[str], seeds: int, processes: int) -> int:
-    """Plays scenarios with several seeds each; prints a row for each, and returns how many days failed."""
+    """Runs scenarios with several seeds each, prints a table of the results, and returns the number of failed runs."""
     failed = 0
     with ProcessPoolExecutor(processes) as pool:
-        days = [pool.submit(_run_one, name, seed) for name in names for seed in range(1, seeds + 1)]
-        results = [day.result() for day in days]
+        pending = [pool.submit(_run_one, name, seed) for name in names for seed in range(1, seeds + 1)]
+        results = [future.result() for future in pending]
     print(f"| {' | '.join(COLUMNS)} |\n|{' --- |' * len(COLUMNS)}")
     for name in names:
         rows = [result for result in results if result[0] == name]
-        bad = [(seed, outcome.broken, found) for _, seed, outcome, found in rows if outcome.broken or found]
-        failed += len(bad)
+        failures = [
+            (seed, outcome.broken, violations) for _, seed, outcome, violations in rows if outcome.broken or violations
+        ]
+        failed += len(failures)
         outcomes = [outcome for _, _, outcome, _ in rows]
         print(
-            f"| {name} | {len(rows)} | {len(bad)} | {sum(o.cancelled for o in outcomes)}"
-            f" | {max(o.longest_part for o in outcomes):.2f}"
+            f"| {name} | {len(rows)} | {len(failures)} | {sum(o.cancelled for o in outcomes)}"
+            f" | {max(o.longest_fraction for o in outcomes):.2f}"
             f" | {sum(o.refused_by_token for o in outcomes)}, {sum(o.refused_by_epoch for o in outcomes)}"
             f" | {sum(o.long_tasks_lost for o in outcomes)} |"
         )
-        for seed, broken, found in bad:
-            print(f"seed {seed}: {broken[:3]} {found[:3]}", file=sys.stderr)
+        for seed, broken, violations in failures:
+            print(f"seed {seed}: {broken[:3]} {violations[:3]}", file=sys.stderr)
     return failed
 
 
 def main() -> None:
-    """The command line."""
-    parser = argparse.ArgumentParser(description="Held commands together with other faults.")
+    """Runs the scenarios that the command line selects; exits with 1 if a run failed."""
+    parser = argparse.ArgumentParser(description="Runs with delayed commands together with other faults.")
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--processes", type=int, default=3)
-    parser.add_argument("scenario", nargs="*", help="names of scenarios, or parts of them; all by default")
+    parser.add_argument("scenario", nargs="*", help="names of scenarios, or parts of names; all by default")
     options = parser.parse_args()
     for name in ("seeds", "processes"):
         if getattr(options, name) < 1:
             parser.error(f"{name}: must be 1 or more")
     names = [name for name in SCENARIOS if not options.scenario or any(part in name for part in options.scenario)]
     if not names:
-        parser.error(f"scenario: none is called like {options.scenario}")
+        parser.error(f"scenario: no name contains any of {options.scenario}")
     sys.exit(1 if run_all(names, options.seeds, options.processes) else 0)
 
 
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -1,4 +1,4 @@
-"""Direct commands that stay on their way for longer than any time-out, and cancellations meanwhile."""
+"""Direct commands that are delayed for longer than any time-out, while their jobs are cancelled."""
 
 from collections.abc import Callable
 from typing import Any
@@ -15,14 +15,14 @@
 )
 
 SCENARIOS_WITH_HELD_STARTS = [
-    name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["heartbeats go on"].hold
+    name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["starts delayed, heartbeats arrive"].hold
 ]
-"""Scenarios in which the starts themselves are held, for longer than their jobs' cancellation may take."""
+"""Scenarios that delay the starts for longer than the cancellation bound of their jobs."""
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_delayed_start_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
-    """The incident: heartbeats go on, each answer carries a stop, and the start comes after them all."""
+    """As in the incident: heartbeats arrive, each answer carries a stop, and the start comes after all of them."""
     world = busy_world(seed)
     jobs = hold_and_cancel(world, 45.0, 80.0)
     run_checking_cancellations(world, 100.0)
@@ -36,15 +36,17 @@
     world, outcome = run_scenario(SCENARIOS[name], seed)
     assert outcome.broken == ()
     assert outcome.cancelled == SMALL_JOBS
-    assert outcome.longest_part <= 1.0
+    assert outcome.longest_fraction <= 1.0
     assert world.rules.started_after == []
     if name in SCENARIOS_WITH_HELD_STARTS:
-        assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no held start came at all"
+        assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no delayed start reached a worker"
 
 
-@pytest.mark.parametrize("name", ["heartbeats go on", "the cloud is out", "the leader ends after it"])
+@pytest.mark.parametrize(
+    "name", ["starts delayed, heartbeats arrive", "cloud down", "leader crashes after the cancellation"]
+)
 def test_fencing_a_start_does_not_disturb_other_tasks_of_the_machine(name: str) -> None:
-    """A start is fenced, and what runs beside it goes on: no session ends, and no task begins again."""
+    """Other tasks of the machine go on while a start is fenced: no epoch ends, and no task restarts."""
     world, outcome = run_scenario(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0
     assert outcome.long_tasks_lost == 0
@@ -56,18 +58,18 @@
     held: list[Callable[[], Any]] = []
     send = world.send
 
-    def sending(source: str, target: str, work: Callable[[], Any], held_s: tuple[float, float] = (0.0, 0.0)) -> Any:
+    def record_held(source: str, target: str, work: Callable[[], Any], held_s: tuple[float, float] = (0.0, 0.0)) -> Any:
         if held_s[0] > 0.0:
             held.append(work)
         return send(source, target, work, held_s)
 
-    world.send = sending  # type: ignore[method-assign]
+    world.send = record_held  # type: ignore[method-assign]
     hold_and_cancel(world, 7200.0, 7200.0)
     run_checking_cancellations(world, 60.0)
-    assert held, "nothing was held"
+    assert held, "no message was delayed"
     starts, refused = world.rules.starts, world.rules.refused_starts["token"]
-    for arrive in held:
-        arrive()  # no matter when: the worker knows a higher token for good
+    for deliver in held:
+        deliver()  # the worker has stored a higher token, so the delay does not matter
     run_checking_cancellations(world, 10.0)
     assert world.rules.starts == starts
     assert world.rules.refused_starts["token"] > refused
