--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of held, lost and repeated commands, cancellations and changes of leader: the rules hold in each."""
+"""Random histories of delayed, lost and duplicate commands, cancellations and failovers: the rules hold in each."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 class FencingHistories(RuleBasedStateMachine):
-    """A world in which messages stay on their way for up to three times `cancel_s`; at its end every job has ended."""
+    """A world in which messages are delayed by up to three times `cancel_s`; at its end every job has ended."""
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
@@ -29,11 +29,11 @@
         self.world.submit(body)
         self.world.clock.callLater(cancel_s, self.world.cancel, body["nameId"])
 
-    @rule(verb=HELD_VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
-    def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
+    @rule(verb=HELD_VERBS, period_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
+    def hold(self, verb: str | None, period_s: float, held_s: float, answers: bool) -> None:
         now = self.world.now
         self.world.holds = [hold for hold in self.world.holds if hold.until > now]
-        self.world.holds.append(Hold(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
+        self.world.holds.append(Hold(now + period_s, held_s / 2, held_s, verb=verb, answers=answers))
 
     @rule(which=st.integers(0, 2), back_s=st.floats(0.2, 5.0))
     def kill(self, which: int, back_s: float) -> None:
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tokens, what a leader may do, and the invariants that are asserted while it does."""
+"""Fencing tokens, the authority of a leader, and the invariants that are checked at run time."""
 
 import logging
 from typing import Any
@@ -39,37 +39,36 @@
     offset=st.integers(0, 10**6),
 )
 def test_tokens_are_unique_to_a_leader_and_increase(terms: list[list[str]], offset: int) -> None:
-    """Over any series of leaders, compared with a reference of what was given out.
+    """Over any series of leaders, compared with a reference of the issued tokens.
 
-    A leader is of this version, or of one that never raises a token.
-    The store's revision goes up with each change, by whomever; each leader's first token follows from its key's
-    version.
+    A leader has this version, or one that never issues a spare token. Each change of the store increments its revision,
+    whoever makes it; a leader's first token is the version of its key.
     """
-    revision, given_out = 0, 0
+    revision, highest_issued = 0, 0
     owners: dict[int, int] = {}
     for number, events in enumerate(terms):
         revision += 1
         tokens = FencingTokens(offset + revision, revision)
-        machine = tokens.first
-        assert machine > given_out, "a successor's first token is above all that any predecessor gave out"
-        owners[machine] = number
+        machine_token = tokens.first
+        assert machine_token > highest_issued, "a successor's first token is above all tokens of its predecessors"
+        owners[machine_token] = number
         for event in events:
             if event == "raise":
-                issued = tokens.issue_spare_above(machine)
-                assert (issued is None) == (machine >= max(tokens._spares, default=0))
+                issued = tokens.issue_spare_above(machine_token)
+                assert (issued is None) == (machine_token >= max(tokens._spares, default=0))
                 if issued is not None:
-                    assert issued > machine
+                    assert issued > machine_token
                     assert owners.setdefault(issued, number) == number
                     assert tokens.is_own(issued)
                     assert not tokens.is_from_successor(issued)
-                    machine = issued
+                    machine_token = issued
             else:
                 revision += 1
                 if event == "commit":
                     tokens.record_commit(revision)
-                    assert tokens.has_spare_above(machine)
-        given_out = max(given_out, tokens.highest_issued)
-        assert given_out <= offset + revision
+                    assert tokens.has_spare_above(machine_token)
+        highest_issued = max(highest_issued, tokens.highest_issued)
+        assert highest_issued <= offset + revision
         assert tokens.is_from_successor(offset + revision + 1)
 
 
@@ -77,7 +76,7 @@
     tokens = FencingTokens(5, 5)
     for revision in range(6, 6 + 2 * MAX_SPARE_TOKENS):
         tokens.record_commit(revision)
-    tokens.record_commit(7)  # its answer came late
+    tokens.record_commit(7)  # a commit whose answer came late
     first = 6 + MAX_SPARE_TOKENS
     assert tokens.issue_spare_above(5) == first
     assert tokens.issue_spare_above(first) == first + 1
@@ -89,7 +88,7 @@
     starts = InflightStarts()
     starts.record_sent("j-1/0", 1, 10.0, 5, 1)
     starts.record_sent("j-1/1", 1, 11.0, 7, 1)
-    starts.record_sent("j-1/0", 1, 12.0, 6, 1)  # sent again: when it was first sent stays
+    starts.record_sent("j-1/0", 1, 12.0, 6, 1)  # a repeated start keeps the time at which it was first sent
     first = starts.get("j-1/0", 1)
     assert first is not None
     assert (first.first_sent_at, first.token) == (10.0, 6)
@@ -102,7 +101,7 @@
     assert starts.by_attempt == {}
 
 
-# -- what may be sent -----------------------------------------------------------------------------------------------
+# -- authority of a leader -------------------------------------------------------------------------------------------
 
 
 def leading_controller(world: World) -> Controller:
@@ -120,7 +119,7 @@
 
 
 def test_an_attempt_is_forgotten_only_when_its_start_is_fenced() -> None:
-    """A held start that comes after the forget would run the attempt again, perhaps beside a newer one elsewhere."""
+    """A delayed start that came after the forget would run the attempt again, perhaps beside a newer attempt."""
     world = World(seed=31, loss=0.0)
     world.submit(world.job(1, pieces=1, guessS=400.0))
     world.run(40)
@@ -129,7 +128,7 @@
     machine, worker = leader.cluster.machines[name], world.every_machine[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
-    late = msgspec.to_builtins(
+    delayed_start = msgspec.to_builtins(
         CommandMessage(token, [StartCommand(placement.task, placement.attempt)], epoch=worker.epoch)
     )
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
@@ -140,16 +139,16 @@
     machine.drain_reason = None
     world.run(4 * world.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
-    assert worker.token > token, "it was forgotten under a higher token than its start had"
+    assert worker.token > token, "the attempt was forgotten under a higher token than that of its start"
     starts = world.rules.starts
-    assert worker.command(late).status == 409
+    assert worker.command(delayed_start).status == 409
     world.run(5)
     assert world.rules.starts == starts
     assert world.rules.broken == []
 
 
 def test_an_answer_without_room_for_all_stops_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
-    """More stops than an answer has room for: they go directly, and only then does an answer renew the lease again."""
+    """Stops beyond the limit of an answer are sent directly; answers renew the lease again after that."""
     world = World(seed=32, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
     world.run(60)
@@ -160,14 +159,14 @@
     answers: list[dict[str, Any]] = []
     deliver = world.deliver_report
 
-    def delivering(name: str, body: Any) -> Any:
+    def record_answers(name: str, body: Any) -> Any:
         reply = deliver(name, body)
         if body["host"] == fullest.name and reply.status == 200:
             answers.append(reply.body)
         return reply
 
-    world.deliver_report = delivering  # type: ignore[method-assign]
-    world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands don't come through at first
+    world.deliver_report = record_answers  # type: ignore[method-assign]
+    world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands are delayed at first
     world.cancel("j-000001")
     with caplog.at_level(logging.INFO):
         run_checking_cancellations(world, world.CANCEL_S + 20.0)
@@ -179,7 +178,10 @@
 
 
 def test_stops_beyond_the_limit_of_an_answer_are_sent_directly_in_time() -> None:
-    """An answer that can't carry them moves no clock of the direct ones: nobody else's tasks pay with their lease."""
+    """An answer without room for the stops does not postpone the direct ones.
+
+    Otherwise the machine would lose its lease, and with it the tasks of other jobs.
+    """
     world = World(seed=39, loss=0.0, value_kb=16.0)
     world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
     world.submit(world.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
@@ -193,15 +195,15 @@
 
 
 def test_a_start_is_checked_again_after_its_connection_is_made() -> None:
-    """To connect takes a while: a start whose job was cancelled meanwhile must not go out."""
+    """A start whose job was cancelled while the connection was being made must not be sent."""
     reactor = MemoryReactorClock()
     client = Client(reactor, messages.encode, messages.decode, b"application/cbor", 1, 1.0, 60.0)
-    wanted = [True]
+    is_wanted = [True]
     failures: list[Any] = []
 
-    def ask() -> None:
-        asked = client.request("POST", "127.0.0.1:9", "/do", {"baton": 1}, 4.0, lambda: wanted[0])
-        defer.ensureDeferred(asked).addErrback(failures.append)
+    def send_start() -> None:
+        request = client.request("POST", "127.0.0.1:9", "/do", {"baton": 1}, 4.0, lambda: is_wanted[0])
+        defer.ensureDeferred(request).addErrback(failures.append)
 
     def connect() -> StringTransport:
         protocol = reactor.tcpClients[-1][2].buildProtocol(None)
@@ -211,17 +213,17 @@
         return transport
 
     body = messages.encode({"baton": 1})
-    ask()
+    send_start()
     assert body in connect().value()
     assert failures == []
-    ask()
-    wanted[0] = False
+    send_start()
+    is_wanted[0] = False
     assert body not in connect().value()
-    assert failures[0].check(ConnectionFailedError), "it is certain that it was not executed"
+    assert failures[0].check(ConnectionFailedError), "the error says that the start was not executed"
 
 
 def test_which_commands_may_be_transmitted_once_connected() -> None:
-    """Nothing after the leadership; stops while it lasts; starts only with everything that starts need."""
+    """A leader may send stops, and starts if all their conditions hold; a former leader may send nothing."""
     world = busy_world(36)
     leader = current_leader(world)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
@@ -252,31 +254,33 @@
     assert machine.token > before
     leader.tokens.record_commit(10**6 + 1)
     leader.fencing.fence_for_forgets(machine, world.now + 0.1)
-    assert machine.token == 10**6, "once a lease at the most, as it takes a report"
+    assert machine.token == 10**6, "at most once per lease, since each one takes a heartbeat"
 
 
 def test_provisioning_and_releases_are_checked_again_after_connecting() -> None:
-    """A leader that was replaced meanwhile would provision twice, or release what its successor uses."""
+    """A leader that was replaced while connecting would provision twice, or release its successor's machines."""
     world = busy_world(38)
     leader = current_leader(world)
-    asked: list[str] = []
+    requested_paths: list[str] = []
     controller = leading_controller(world)
-    wire = controller.clients.cloud._client
-    plain = wire.request
+    client = controller.clients.cloud._client
+    request = client.request
 
-    async def connecting(method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Any) -> Any:
-        asked.append(path)
+    async def end_lease_while_connecting(
+        method: str, address: str, path: str, body: Any, timeout_s: float, is_wanted: Any
+    ) -> Any:
+        requested_paths.append(path)
         controller.election._held_until = 0.0  # its lease ends while the connection is made
-        return await plain(method, address, path, body, timeout_s, is_wanted)
+        return await request(method, address, path, body, timeout_s, is_wanted)
 
     machines = set(world.cloud.machines)
-    wire.request = connecting
+    client.request = end_lease_while_connecting
     leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
     world.run(0.1)
     controller.election._record_renewal(world.now)
     leader.provisioner.provision(("small", "a", True), 1)
     world.run(0.1)
-    assert asked == ["/hosts/release", "/hosts"]
+    assert requested_paths == ["/hosts/release", "/hosts"]
     assert set(world.cloud.machines) == machines
 
 
@@ -287,13 +291,13 @@
     seen: list[str | None] = []
     node = leading_controller(world)
     admission = node.admission
-    keep = admission.outcomes.record
+    record = admission.outcomes.record
 
-    def keeping(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
-        seen.append(job.end_phase)  # the answer is made, and not sent yet
-        return keep(job_id, value)
+    def record_phase(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
+        seen.append(job.end_phase)  # the answer exists, but has not been sent
+        return record(job_id, value)
 
-    admission.outcomes.record = keeping  # type: ignore[method-assign]
+    admission.outcomes.record = record_phase  # type: ignore[method-assign]
     world.rules.cancelling("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     world.run(1.0)
@@ -308,7 +312,7 @@
     commits = leader.commit_queue.commits
     world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
     world.run(0.2)
-    leader.tokens._spares.clear()  # as if its machine's token had been raised to the newest
+    leader.tokens._spares.clear()  # as if the machine had already been given the newest token
     world.run(20)
     assert leader.commit_queue.commits > commits
     assert "j-000200/0" in world.rules.done
@@ -329,26 +333,25 @@
     world.holds.append(Hold(world.now + 3.0, 45.0, 45.0, verb="launch"))
     submit_small_jobs(world)
     world.run(7)
-    shown = current_leader(world).status()["commands"]
-    assert shown["starts_in_doubt"] >= shown["in_doubt_now"] > 0
-    assert shown["starts_sent"] > shown["starts_answered"]
-    row = shown["in_doubt"][0]
+    commands = current_leader(world).status()["commands"]
+    assert commands["starts_in_doubt"] >= commands["in_doubt_now"] > 0
+    assert commands["starts_sent"] > commands["starts_answered"]
+    row = commands["in_doubt"][0]
     assert row["first_sent_at"] < row["in_doubt_since"] <= world.now
     assert row["token"] > 0
     assert row["epoch"] == 1
-    told = orjson.loads(
-        orjson.dumps(leading_controller(world).administration.status())
-    )  # as the administration API tells it
-    assert told["invariants"] == {"violations": {}, "newest": []}
-    assert told["leadership"]["commands"] == shown
-    assert told["leadership"]["knowledge"]["watch_revision"] > 0
+    # The status as the administration API answers it.
+    status = orjson.loads(orjson.dumps(leading_controller(world).administration.status()))
+    assert status["invariants"] == {"violations": {}, "newest": []}
+    assert status["leadership"]["commands"] == commands
+    assert status["leadership"]["knowledge"]["watch_revision"] > 0
 
 
-# -- versions, and a lost store ---------------------------------------------------------------------------------------
+# -- versions, and loss of the store ---------------------------------------------------------------------------------
 
 
 def cancel_jobs_with_held_starts(world: World) -> None:
-    """Starts are held, their jobs cancelled, and tokens raised for that."""
+    """Cancels jobs whose starts are delayed, so that the leader issues spare tokens to fence the starts."""
     hold_and_cancel(world)
     world.run(4)
     assert current_leader(world).tokens.issued_count > 0
@@ -357,7 +360,7 @@
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_version_in_production_leads_after_spare_tokens_were_issued(seed: int) -> None:
-    """It knows nothing of raised tokens: its own, the version of its key, is above all of them."""
+    """That version has no spare tokens: its own token, the version of its key, is above all issued spare tokens."""
     world = busy_world(40 + seed)
     cancel_jobs_with_held_starts(world)
     raised = current_leader(world).tokens.highest_issued
@@ -372,7 +375,7 @@
 
 
 def test_a_store_lost_after_spare_tokens_were_issued_is_rebuilt() -> None:
-    """Whoever led under the highest token that is known counts as the last leader: a raised one is its own."""
+    """The leader of the highest known token counts as the last one, also if that token was a spare token."""
     world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
     cancel_jobs_with_held_starts(world)
     running, tokens = set(world.rules.where), leading_controller(world).rebuild.tokens
@@ -381,7 +384,7 @@
     run_checking_cancellations(world, 100.0)
     assert current_leader(world).tokens.first > tokens.last_term_token - 1
     assert world.rules.broken == []
-    assert running <= set(world.rules.where), "what ran goes on"
+    assert running <= set(world.rules.where), "running tasks are kept"
 
 
 # -- invariants -------------------------------------------------------------------------------------------------------
@@ -390,7 +393,10 @@
 def test_a_failed_fence_is_reported_and_renews_no_lease(
     monkeypatch: pytest.MonkeyPatch, no_violations: list[str]
 ) -> None:
-    """Without it the answer would break the bound: it is refused, and the end of the lease fences the start."""
+    """Without the fence, an answer that renews the lease would break the cancellation bound.
+
+    Such an answer is refused, and the end of the worker's lease fences the start.
+    """
     monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
     world = busy_world(45)
     hold_and_cancel(world)
@@ -423,15 +429,15 @@
     caplog: pytest.LogCaptureFixture, no_violations: list[str]
 ) -> None:
     monitor = InvariantMonitor()
-    assert monitor.check(True, Invariant.TOKENS_RISE, "%d", "a text that would not fit")
+    assert monitor.check(True, Invariant.TOKENS_RISE, "%d", "an argument that does not fit the format")
     with caplog.at_level(logging.ERROR):
         for number in range(MAX_LOGGED_PER_INVARIANT + 50):
             assert not monitor.check(False, Invariant.TOKENS_RISE, "case %d", number)
     assert len(caplog.records) == MAX_LOGGED_PER_INVARIANT
     assert "case 0" in caplog.text
-    shown = monitor.status()
-    assert shown["violations"] == {"TOKENS_RISE": MAX_LOGGED_PER_INVARIANT + 50}
-    assert len(shown["newest"]) == MAX_EVIDENCE
+    status = monitor.status()
+    assert status["violations"] == {"TOKENS_RISE": MAX_LOGGED_PER_INVARIANT + 50}
+    assert len(status["newest"]) == MAX_EVIDENCE
     assert len(no_violations) == MAX_LOGGED_PER_INVARIANT + 50
     no_violations.clear()
 
@@ -440,8 +446,10 @@
     world = busy_world(47)
     leader = current_leader(world)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
-    task = next(iter(machine.placements.values()))
-    leader.fencing.record_fenced(machine, Placement(task.job, task.index, task.attempt, machine.id, "a", True))
+    placement = next(iter(machine.placements.values()))
+    leader.fencing.record_fenced(
+        machine, Placement(placement.job, placement.index, placement.attempt, machine.id, "a", True)
+    )
     world.run(5)
     assert no_violations
     assert no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Changes of leaders: restarts, newer tokens, deaf leaders, and late heartbeats."""
+"""Changes of leaders: restarts, higher tokens, leaders without heartbeats, and delayed heartbeats."""
 
 import msgspec
 
@@ -44,9 +44,10 @@
 
 
 def test_a_leader_that_receives_no_heartbeats_steps_down_before_most_leases_expire() -> None:
-    """With a lease of six reports there is hardly time: a worker cut off just before its next report may be too late.
+    """A worker that is partitioned just before its next heartbeat may find the new leader too late.
 
-    That is one day in sixteen, with these sources and those before; so four are played, and one machine may be lost.
+    A lease lasts for six heartbeats, which hardly suffices. That happens in one run of sixteen, with this version and
+    the one before; so four are run, and one machine (two tasks) may be lost.
     """
     assert sum(tasks_lost_with_isolated_leader(seed) for seed in (13, 14, 15, 16)) <= 2
 
@@ -64,7 +65,7 @@
     world.run(14)
     assert world.leader() not in (None, before)
     lost = len(running - set(world.rules.where))
-    world.run(240)  # what was lost begins again, and takes up to 150 s
+    world.run(240)  # lost tasks restart, and take up to 150 s
     assert world.rules.broken == []
     assert world.rules.last["j-000001"] == "done"
     return lost
