--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs on the stand-ins: all tasks run at once or none does, whatever fails and whoever leads."""
+"""Gangs on the simulated cluster: under faults and failovers, all tasks of a gang run at once or none does."""
 
 from collections.abc import Callable
 
@@ -51,26 +51,26 @@
 def submit_gangs(world: World, first: int = 100, count: int = 8, every: float = 4.0) -> None:
     for number in range(count):
         pieces = (2, 4, 6, 3)[number % 4]
-        # Some may be anywhere, some on spot machines, some never save, some are more pressing.
+        # In turn: one zone; any zones; urgent, spot machines allowed; no checkpoints.
         changes = ({}, {"together": False}, {"loaner": True, "urgency": "urgent"}, {"snapshotS": 0.0, "stashS": 0.0})
         body = gang_job(world, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
         world.clock.callLater(2.0 + number * every, world.submit, body)
 
 
-def act_on_first_gang(world: World, seen: Callable[[Gang], bool], then: Callable[[Gang], None]) -> list[float]:
-    """Does something at the first moment at which an attempt of a gang looks so; says when that was."""
-    at: list[float] = []
+def act_on_first_gang(world: World, matches: Callable[[Gang], bool], action: Callable[[Gang], None]) -> list[float]:
+    """Calls `action` with the first gang attempt that matches; returns a list that then gets the time."""
+    acted_at: list[float] = []
 
-    def look() -> None:
-        found = next((g for g in list(world.gangs.values()) if seen(g)), None)
+    def poll() -> None:
+        found = next((g for g in list(world.gangs.values()) if matches(g)), None)
         if found is None:
-            world.clock.callLater(0.02, look)
+            world.clock.callLater(0.02, poll)
         else:
-            at.append(world.now)
-            then(found)
+            acted_at.append(world.now)
+            action(found)
 
-    look()
-    return at
+    poll()
+    return acted_at
 
 
 def is_gathering(g: Gang) -> bool:
@@ -99,72 +99,78 @@
     machine = next(iter(g.members.values()))[0]
     machine.notice = g.world.now + 7.0
 
-    def gone() -> None:
+    def reclaim() -> None:
         g.world.cloud.machines.pop(machine.name, None)
         machine.die()
 
-    g.world.clock.callLater(7.0, gone)
+    g.world.clock.callLater(7.0, reclaim)
 
 
 def crash_the_leader(g: Gang) -> None:
     crash_leader(g.world)
 
 
-PHASES = {"gathering": is_gathering, "running": is_running, "stopping": is_stopping, "done on one": has_a_done_task}
+PHASES = {
+    "gathering": (9, is_gathering),
+    "running": (7, is_running),
+    "stopping": (8, is_stopping),
+    "one task done": (11, has_a_done_task),
+}
+FAULTS = {"failover": (9, crash_the_leader), "machine crashes": (12, crash_one_machine)}
+"""The seed of a test is the sum of the numbers of its phase and its fault."""
 
 
-@pytest.mark.parametrize("moment", PHASES)
-@pytest.mark.parametrize("trouble", ["take-over", "machine dies"])
-def test_a_fault_in_each_phase_of_a_gang(moment: str, trouble: str) -> None:
-    world = World(seed=len(moment) + len(trouble), loss=0.004)
+@pytest.mark.parametrize("phase", PHASES)
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_fault_in_each_phase_of_a_gang(phase: str, fault: str) -> None:
+    (phase_number, in_phase), (fault_number, inject) = PHASES[phase], FAULTS[fault]
+    world = World(seed=phase_number + fault_number, loss=0.004)
     submit_gangs(world)
-    if moment == "stopping":
+    if phase == "stopping":
         act_on_first_gang(world, is_running, reclaim_one_machine)
-    met = act_on_first_gang(
-        world, PHASES[moment], {"take-over": crash_the_leader, "machine dies": crash_one_machine}[trouble]
-    )
+    injected_at = act_on_first_gang(world, in_phase, inject)
     run_until_jobs_end(world, 300)
-    assert met
+    assert injected_at
     assert world.rules.broken == []
     assert set(world.rules.last.values()) == {"done"}
 
 
-@pytest.mark.parametrize("stored", ["in part", "whole, started in part"])
-def test_failover_while_a_gang_is_placed(stored: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Committed in part: nothing was started, and it is taken back. Started in part: the rest follows."""
+@pytest.mark.parametrize("progress", ["partly committed", "committed, partly started"])
+def test_failover_while_a_gang_is_placed(progress: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A partly committed gang has started nothing and is withdrawn; of a partly started one, the rest is started."""
     world = World(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
-    handle, launched = world.state.handle, Machine.start
+    handle, start = world.state.handle, Machine.start
     commits: list[float] = []
-    launches: list[float] = []
+    starts: list[float] = []
 
-    def counted(caller: str, method: str, path: str, body: dict) -> object:
+    def kill_leader_at_commit(caller: str, method: str, path: str, body: dict) -> object:
         if path == "/commit" and any("tasks/j-000001/" in write.get("set", "") for write in body["writes"]):
             commits.append(world.now)
-            if len(commits) == 1 and stored == "in part":
+            if len(commits) == 1 and progress == "partly committed":
                 world.clock.callLater(0.0, world.kill, caller, 1.0)
         return handle(caller, method, path, body)
 
-    def counted_start(machine: Machine, name: str, attempt: int, known: dict | None) -> None:
-        launches.append(world.now)
-        if len(launches) == 1 and stored != "in part":
+    def kill_leader_at_start(machine: Machine, name: str, attempt: int, known: dict | None) -> None:
+        starts.append(world.now)
+        if len(starts) == 1 and progress != "partly committed":
             world.kill(world.leader(), 1.0)
-        launched(machine, name, attempt, known)
+        start(machine, name, attempt, known)
 
-    world.state.handle = counted  # type: ignore[method-assign]
-    monkeypatch.setattr(Machine, "start", counted_start)
+    world.state.handle = kill_leader_at_commit  # type: ignore[method-assign]
+    monkeypatch.setattr(Machine, "start", kill_leader_at_start)
     world.submit(gang_job(world, 1, pieces=24))
     while not commits:
         world.run(0.5)
-    assert {len(launches), len(world.gangs)} == {0} or stored != "in part"
+    assert {len(starts), len(world.gangs)} == {0} or progress != "partly committed"
     run_until_jobs_end(world, 200)
     assert world.rules.broken == []
     assert world.rules.last["j-000001"] == "done"
-    # Taken back: a second attempt. Started in part: the first goes on.
-    assert sorted(attempt for _, attempt in world.gangs) == ([2] if stored == "in part" else [1])
+    # A withdrawn gang runs in a second attempt; a partly started one goes on in its first.
+    assert sorted(attempt for _, attempt in world.gangs) == ([2] if progress == "partly committed" else [1])
 
 
 def test_a_new_leader_stops_nothing_before_it_has_read_the_store() -> None:
-    """Reports that came in between were taken as of tasks that are not to be there, which were stopped."""
+    """Heartbeats that came before the store was read used to make the leader stop their tasks as unknown."""
     world = World(seed=32, loss=0.0)
     world.submit(world.job(1, pieces=6, guessS=600.0))
     world.submit(gang_job(world, 2, guessS=600.0))
@@ -173,15 +179,15 @@
     before = dict(world.rules.where)
     handle = world.state.handle
 
-    def slow(caller: str, method: str, path: str, body: object) -> object:
+    def delay_reads(caller: str, method: str, path: str, body: object) -> object:
         answer = handle(caller, method, path, body)
         if not path.startswith("/kv?under=tasks/"):
             return answer
-        late: defer.Deferred = defer.Deferred()
-        world.clock.callLater(1.2, late.callback, answer)
-        return late
+        delayed: defer.Deferred = defer.Deferred()
+        world.clock.callLater(1.2, delayed.callback, answer)
+        return delayed
 
-    world.state.handle = slow  # type: ignore[method-assign]
+    world.state.handle = delay_reads  # type: ignore[method-assign]
     leader = world.leader()
     world.kill(leader, 0.2)
     for machine in world.cloud.machines.values():
@@ -193,30 +199,35 @@
     assert {task: world.rules.where.get(task) for task in before} == before
 
 
-FAULT_SEQUENCES: dict[str, list[Callable[[World], None]]] = {
-    "quiet": [],
-    "machines die": [crash_machines, crash_machines],
-    "machines hang past the lease": [hang_two_machines(20.0), crash_leader],
-    "machines hang shortly": [hang_two_machines(2.0), hang_two_machines(5.0)],
-    "machines hear nothing": [block_traffic_to_machines(8.0), block_traffic_to_machines(40.0)],
-    "machines cut off, late copies": [duplicate_messages, partition_machines, crash_leader],
-    "outage, then all crash": [outage, restart_all_controllers],
-    "leader cut from the state service, spot wave": [
-        partition_leader_from_state_service,
-        reclaim_spot_machines,
-        submit_burst,
-    ],
-    "zone with the leader cut off": [partition_zone_of_leader],
+FAULT_SEQUENCES: dict[str, tuple[int, list[Callable[[World], None]]]] = {
+    "no faults": (55, []),
+    "machines crash": (62, [crash_machines, crash_machines]),
+    "machines hang for longer than the lease": (78, [hang_two_machines(20.0), crash_leader]),
+    "machines hang for a short time": (71, [hang_two_machines(2.0), hang_two_machines(5.0)]),
+    "traffic to machines blocked": (71, [block_traffic_to_machines(8.0), block_traffic_to_machines(40.0)]),
+    "machines partitioned, delayed duplicates": (79, [duplicate_messages, partition_machines, crash_leader]),
+    "outage, then all controllers restart": (72, [outage, restart_all_controllers]),
+    "leader partitioned from the state service, spot machines reclaimed": (
+        94,
+        [
+            partition_leader_from_state_service,
+            reclaim_spot_machines,
+            submit_burst,
+        ],
+    ),
+    "zone of the leader partitioned": (78, [partition_zone_of_leader]),
 }
+"""The seed of each run, and its faults, which begin 9 s apart."""
 
 
 @pytest.mark.parametrize("name", FAULT_SEQUENCES)
 def test_rules_hold_for_gangs_under_a_sequence_of_faults(name: str) -> None:
-    world = World(seed=50 + len(name), loss=0.004)
+    seed, faults = FAULT_SEQUENCES[name]
+    world = World(seed=seed, loss=0.004)
     submit_mixed_jobs(world, jobs=12)
     submit_gangs(world, count=10)
-    for number, trouble in enumerate(FAULT_SEQUENCES[name]):
-        world.clock.callLater(33.0 + 9.0 * number, trouble, world)
+    for number, fault in enumerate(faults):
+        world.clock.callLater(33.0 + 9.0 * number, fault, world)
     world.clock.callLater(34.0, world.cancel, "j-000101")
     world.clock.callLater(45.0, world.cancel, "j-000104")
     world.rules.troubled_until = 110.0
@@ -226,7 +237,7 @@
 
 
 def test_a_preempted_gang_checkpoints_together_and_resumes() -> None:
-    """All are told at once: more pressing work takes its place, and nothing of its progress is lost."""
+    """Urgent work preempts the gang: all its tasks are stopped at once, and no progress is lost."""
     world = World(seed=41, loss=0.0)
     world.cloud.most = 1
     world.cloud.kinds = {"large"}
@@ -245,7 +256,7 @@
 
 
 def test_a_gang_starts_only_when_all_its_tasks_have_room() -> None:
-    """Room for seven of eight is room for none; small tasks that fill each hole do not keep it out for ever."""
+    """With room for seven of eight tasks none starts; small tasks that fill the gaps do not starve the gang."""
     world = World(seed=42, loss=0.0)
     world.cloud.most = 1
     world.cloud.kinds = {"large"}
@@ -262,9 +273,9 @@
     while world.now < 300 and not world.rules.is_final("j-000001"):
         world.run(2.0)
     assert world.rules.begun_at["j-000001"] - world.rules.submitted_at["j-000001"] < 240
-    (only,) = world.gangs.values()
+    (attempt,) = world.gangs.values()
     assert world.rules.broken == []
-    assert max(only.gathered) - min(only.gathered) < 3.0
+    assert max(attempt.gathered) - min(attempt.gathered) < 3.0
 
 
 def job_with_placements(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
@@ -310,7 +321,7 @@
     assert reason() is None
     assert "limit" in str(reason(pieces=5))
     assert reason(pieces=5, shape="array") is None
-    assert reason(pieces=5, crew="free") is None  # what is merely not there now is no reason
+    assert reason(pieces=5, crew="free") is None  # a job that only lacks capacity at present is not refused
     assert "machine type" in str(reason(pieces=2, vcpus=8.5, crew="free"))
     assert "zone" in str(reason(spread=True, together=True))
     assert reason(spread=True) is None
