--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions against slow plain models, on random cases that are the same in every run."""
+"""Scheduling decisions compared with slow reference models, on random cases that are the same in every run."""
 
 import copy
 import itertools
@@ -45,16 +45,16 @@
 
 
 def make_machine(name: str, kind: MachineType, tasks: list[RunningTask], **more: object) -> MachineView:
-    made = MachineView(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
-    made.recompute_free()
-    return made
+    machine = MachineView(name, kind, "a", True, True, True, tasks, **more)  # type: ignore[arg-type]
+    machine.recompute_free()
+    return machine
 
 
 @st.composite
 def fleets(draw: st.DrawFn) -> list[MachineView]:
     machines = []
     serial = itertools.count(100)
-    # Two gangs may have tasks on any of the machines.
+    # Each of two gangs may have tasks on any of the machines.
     gangs = [
         spec(
             900 + i,
@@ -127,7 +127,7 @@
 
 
 def preempt(job: JobSpec, machines: list[MachineView], usage: dict[str, QuotaUsage]) -> Preemption | None:
-    """The best machine and its victims for one task, or None if no preemption helps."""
+    """Returns the best machine and its victims for one task, or None if no preemption helps."""
     by_id = {machine.id: machine for machine in machines}
     context = PreemptionContext(by_id, {}, TeamQuotas(TEAMS, usage), ReclaimableRoomIndex(by_id))
     return PreemptionSearch(job, {}, frozenset(), context).best()
@@ -151,7 +151,7 @@
         return
     assert found is not None
     assert sorted(v.key for v in found.victims) == expected[found.machine_id]
-    # No other machine's victims would have cost less.
+    # The victims on any other machine would cost at least as much.
     by_key = {t.key: t for n in machines for t in n.tasks}
     costs = [preemption_cost([by_key[k] for k in keys]) for keys in expected.values() if keys is not None]
     assert preemption_cost(found.victims) == min(costs)
@@ -235,7 +235,7 @@
 @DERANDOMIZED
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
 def test_decisions_match_the_reference_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
-    """Whole rounds, with room held, nominations of earlier rounds, images and tasks that leave."""
+    """Whole cycles, with reserved room, nominations of earlier cycles, images and stopping tasks."""
     for machine in snapshot.machines.values():
         machine.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
         machine.mark_stopping([task for task in machine.tasks if random.random() < 0.2])
@@ -257,12 +257,12 @@
     assert decision.placed == expected[0]
     assert [(key, e.machine_id, sorted(v.key for v in e.victims)) for key, e in decision.preemptions] == expected[1]
     assert {job.spec.id: left for job, left in decision.unmet} == expected[2]
-    # The machines as they were handed in serve other rounds too.
+    # The machine views serve later cycles too, so a decision must leave them unchanged.
     assert all(machine.free_cpus == cpus and machine.tasks == tasks for machine, cpus, tasks in before.values())
 
 
 def random_snapshot(draw: random.Random) -> Snapshot:
-    """Some machines in two zones, partly full, and gangs among what waits."""
+    """Returns partly full machines in two zones, and pending jobs with gangs among them."""
 
     def any_spec(number: int, cpus: int, **more: object) -> JobSpec:
         return spec(
@@ -369,7 +369,7 @@
                 assert placed.get(job.spec.id, 0) in (0, job.spec.tasks), seed
                 gangs_placed += job.spec.id in placed
         gangs_stopped += any(v.group_size > 1 for _, e in decision.preemptions for v in e.victims)
-        # A waiting gang stops nobody.
+        # A pending gang preempts no task.
         assert not {key[0] for key, _ in decision.preemptions} & {
             j.spec.id for j in snapshot.pending_jobs if j.spec.is_gang
         }
@@ -380,7 +380,7 @@
 @DERANDOMIZED
 @given(fleets(), st.lists(st.tuples(st.integers(1, 8), st.sampled_from(["standard", "urgent"])), max_size=5))
 def test_a_task_waits_only_when_it_fits_nowhere(machines: list[MachineView], wanted: list[tuple[int, str]]) -> None:
-    """Against first fit by brute force: what is left unplaced has no room left."""
+    """Compared with first fit by brute force: no machine has room for an unplaced task."""
     waiting = [
         PendingJob(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
         for i, (cpus, priority) in enumerate(wanted)
@@ -461,10 +461,10 @@
     assert sum(large.provision.values()) == 1
     small = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [])
     assert list(small.provision) == [("small", "a", True)]
-    elsewhere = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
-    assert list(elsewhere.provision) == [("small", "b", True)]
-    dear = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0, spot=False), 2), 2)], [])
-    assert list(dear.provision) == [("small", "a", False)]
+    other_zone = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [], {InstanceOffer("small", "a", True)})
+    assert list(other_zone.provision) == [("small", "b", True)]
+    on_demand = scaling_plan([UnmetDemand(pending_job(spec(1, 4.0, spot=False), 2), 2)], [])
+    assert list(on_demand.provision) == [("small", "a", False)]
     assert (
         scaling_plan(
             [UnmetDemand(pending_job(spec(1, 4.0, spot=False), 2), 2)],
@@ -482,51 +482,53 @@
 
 
 def test_room_reserved_for_gangs_does_not_count_as_room_for_other_jobs() -> None:
-    """Else a job that the kept room is closed to would wait for it, and nothing would be rented."""
-    kept = make_machine("n-0", SMALL, [])
+    """Otherwise a job that may not use the reserved room would wait, and no machine would be provisioned for it."""
+    machine = make_machine("n-0", SMALL, [])
     expected = [ExpectedTasks(spec(9, 4.0, kind="gang", one_zone=True), 2)]
-    for keep, placed in (([], 2), (expected, 0)):
+    for expected_gangs, placed in (([], 2), (expected, 0)):
         job = pending_job(spec(1, 4.0), 2)
-        snapshot = Snapshot(0.0, {"n-0": kept}, [job], TEAMS, team_usage([kept]), {}, {"small": SMALL}, keep)
+        snapshot = Snapshot(
+            0.0, {"n-0": machine}, [job], TEAMS, team_usage([machine]), {}, {"small": SMALL}, expected_gangs
+        )
         decision = decide(snapshot, 10, 8)
         assert len(decision.placed) + 2 * len(decision.preemptions) == placed
-        rented = Autoscaler(snapshot, ScalingDemand(decision.unmet), OperatorSettings()).plan().provision
-        assert sum(rented.values()) == (1 if keep else 0)
-    old = pending_job(spec(1, 4.0), 2)
-    old.aged = True
-    snapshot = Snapshot(0.0, {"n-0": kept}, [old], TEAMS, team_usage([kept]), {}, {"small": SMALL}, expected)
-    assert len(decide(snapshot, 10, 8).placed) == 1  # it begins with one task
-    overdue = pending_job(spec(1, 4.0), 2)
-    overdue.starving = True
-    snapshot = Snapshot(0.0, {"n-0": kept}, [overdue], TEAMS, team_usage([kept]), {}, {"small": SMALL}, expected)
-    assert len(decide(snapshot, 10, 8).placed) == 2  # it has waited beside that room for too long
+        provisioned = Autoscaler(snapshot, ScalingDemand(decision.unmet), OperatorSettings()).plan().provision
+        assert sum(provisioned.values()) == (1 if expected_gangs else 0)
+    aged = pending_job(spec(1, 4.0), 2)
+    aged.aged = True
+    snapshot = Snapshot(0.0, {"n-0": machine}, [aged], TEAMS, team_usage([machine]), {}, {"small": SMALL}, expected)
+    assert len(decide(snapshot, 10, 8).placed) == 1  # an aged job may start one task there
+    starving = pending_job(spec(1, 4.0), 2)
+    starving.starving = True
+    snapshot = Snapshot(0.0, {"n-0": machine}, [starving], TEAMS, team_usage([machine]), {}, {"small": SMALL}, expected)
+    assert len(decide(snapshot, 10, 8).placed) == 2  # a starving job, which has waited too long, may use all of it
 
 
 def test_booting_machines_count_as_capacity_and_idle_machines_are_released() -> None:
-    coming = make_machine("n-1", SMALL, [])
-    coming.up = False
-    assert scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [coming]).provision == {}
+    booting = make_machine("n-1", SMALL, [])
+    booting.up = False
+    assert scaling_plan([UnmetDemand(pending_job(spec(1, 4.0), 2), 2)], [booting]).provision == {}
     idle = make_machine("n-2", SMALL, [], idle_s=100.0)
     assert scaling_plan([], [idle]).release == ["n-2"]
     assert scaling_plan([], [idle], settings=OperatorSettings(keep_idle_boots=100.0)).release == []
 
 
 def test_reserved_room_is_open_to_starving_jobs() -> None:
-    """But for room that is held for an old job: that is for it alone, or for what fits beside it."""
+    """Room that is reserved for an aged job admits only that job, and tasks that fit beside it."""
     small = spec(1, 4.0)
     for owner, admits in (("", True), ("j-000002", False)):
-        hold = Reservation(20.0, Resources(2.0, 0.0, 8.0), owner)
-        assert hold.admits(small, 40.0, starving=True) is admits
-        assert not hold.admits(small, 40.0)
-        assert hold.admits(spec(1, 2.0), 40.0, starving=True)
+        reservation = Reservation(20.0, Resources(2.0, 0.0, 8.0), owner)
+        assert reservation.admits(small, 40.0, starving=True) is admits
+        assert not reservation.admits(small, 40.0)
+        assert reservation.admits(spec(1, 2.0), 40.0, starving=True)
 
 
 def test_an_aged_job_may_use_more_than_the_share_reserved_for_aged_jobs() -> None:
-    """A quarter of the machines goes to it first; what else is free it gets in the ordinary order."""
+    """It gets a quarter of the machines first, and other free machines in the ordinary order of the queue."""
     machines = [make_machine(f"n-{number}", SMALL, []) for number in range(4)]
-    old = pending_job(spec(1, 1.0), 28)
-    old.aged = True
-    snapshot = Snapshot(0.0, {n.id: n for n in machines}, [old], TEAMS, team_usage(machines), {}, {"small": SMALL})
+    aged = pending_job(spec(1, 1.0), 28)
+    aged.aged = True
+    snapshot = Snapshot(0.0, {n.id: n for n in machines}, [aged], TEAMS, team_usage(machines), {}, {"small": SMALL})
     decision = decide(snapshot, 100, 8)
     assert sorted(key for key, _ in decision.placed) == [("j-1", index) for index in range(28)]
     preemption_exempt = [task for n in snapshot.machines.values() for task in n.tasks if task.rank > 3]
