--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that no brief named, each alone and together with one other, as whole days on the stand-ins."""
+"""Further faults in operation, alone and in combination, in runs of the simulated cluster."""
 
 from collections.abc import Callable
 
@@ -22,21 +22,21 @@
 
 
 def submit_guest_work(world: World) -> None:
-    """A team without a guarantee: idle work, an array of thousands, and a swarm of one-task jobs."""
-    few = {"crew": "guest", "urgency": "idle"}
+    """Submits work of a team without a guaranteed quota: idle jobs, an array of 4000 tasks, and 160 one-task jobs."""
+    guest = {"crew": "guest", "urgency": "idle"}
     for number in range(3):
         idle = world.job(
-            3000 + number, pieces=8, vcpus=4.0, guessS=60.0, snapshotS=10.0, stashS=1.0, lane="idle", **few
+            3000 + number, pieces=8, vcpus=4.0, guessS=60.0, snapshotS=10.0, stashS=1.0, lane="idle", **guest
         )
         world.submit(idle)
-    world.submit(world.job(3100, pieces=4000, vcpus=0.5, memGb=0.2, guessS=3.0, lane="giant", **few))
+    world.submit(world.job(3100, pieces=4000, vcpus=0.5, memGb=0.2, guessS=3.0, lane="giant", **guest))
     for number in range(160):
-        swarm = world.job(3200 + number, pieces=1, vcpus=1.0, memGb=0.5, guessS=8.0, lane="swarm", **few)
+        swarm = world.job(3200 + number, pieces=1, vcpus=1.0, memGb=0.5, guessS=8.0, lane="swarm", **guest)
         world.clock.callLater(8.0 + number / 4, world.submit, swarm)
 
 
 def freeze_leader(seconds: float) -> Fault:
-    """The leader stands still while its clocks run on."""
+    """Returns a fault: the leader is frozen while its clocks run on."""
 
     def start(world: World) -> None:
         name = world.leader()
@@ -47,46 +47,46 @@
 
 
 def freeze_during_elections(world: World) -> None:
-    """Whoever leads ends, and each node that may follow stands still for a moment of the election."""
+    """Kills the leader, and freezes each controller for 3 s during the election that follows."""
     crash_leader(world)
     for number, name in enumerate(world.names):
         world.clock.callLater(0.3 + 0.7 * number, world.freeze, name, 3.0)
 
 
 def freeze_leader_at_commits(world: World) -> None:
-    """The leader stands still just as its transactions are carried out: their answers wait, and others lead."""
-    leader, ask, left = world.leader(), world.state.ask, [4]
+    """Freezes the leader just as a commit is executed, so that another leader is elected before the answer is read."""
+    leader, ask, freezes_left = world.leader(), world.state.ask, [4]
 
-    def asking(caller: str, method: str, path: str, body: object) -> object:
+    def freeze_after_commit(caller: str, method: str, path: str, body: object) -> object:
         answer = ask(caller, method, path, body)
-        if path == "/commit" and caller == leader and left[0] and world.random.random() < 0.3:
-            left[0] -= 1
+        if path == "/commit" and caller == leader and freezes_left[0] and world.random.random() < 0.3:
+            freezes_left[0] -= 1
             world.freeze(caller, 4.0)
         return answer
 
-    world.state.ask = asking  # type: ignore[method-assign]
+    world.state.ask = freeze_after_commit  # type: ignore[method-assign]
 
 
 def freeze_leader_during_decisions(world: World) -> None:
-    """The leader stands still between a decision and what follows from it: it has been replaced meanwhile."""
+    """Freezes the leader between a decision and its application, so that it has been replaced when it resumes."""
     name = world.leader()
     node = world.nodes[name] if name is not None else None
     if name is None or node is None:
         return
-    decide = node.in_thread
+    run_in_thread = node.in_thread
 
-    def deciding(function: Callable[..., object], *arguments: object) -> object:
-        outcome = decide(function, *arguments)
+    def freeze_after_decision(function: Callable[..., object], *arguments: object) -> object:
+        outcome = run_in_thread(function, *arguments)
         if world.random.random() < 0.2:
             world.freeze(name, 4.0)
         return outcome
 
-    node.in_thread = deciding  # type: ignore[method-assign]
-    world.clock.callLater(12.0, setattr, node, "in_thread", decide)
+    node.in_thread = freeze_after_decision  # type: ignore[method-assign]
+    world.clock.callLater(12.0, setattr, node, "in_thread", run_in_thread)
 
 
 def submit_failing_jobs(world: World) -> None:
-    """Jobs that fail on every machine, until their users cancel them."""
+    """Submits jobs that fail on every machine, until their users cancel them."""
     for number in range(4):
         body = world.job(3500 + number, pieces=6, vcpus=2.0, urgency="urgent", guessS=3.0, lane="mistaken")
         world.mistaken.add(body["nameId"])
@@ -100,50 +100,73 @@
         world.faulty.add(up[0].name)
 
 
-FAULT_SCHEDULES: dict[str, list[tuple[float, Fault]]] = {
-    "boots late or never": [(0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)],
-    "boots late or never, the leader ends": [
-        (0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)),
-        (1.0, reclaim_spot_machines),
-        (20.0, crash_leader),
-    ],
-    "all silent for a minute": [(0.0, stop_all_controllers(65.0))],
-    "cancelled, and all silent for a minute": [
-        (0.0, cancel_running_jobs(4)),
-        (0.4, stop_all_controllers(65.0)),
-        (66.0, query_all_after_answers(20.0)),
-    ],
-    "stands still for seconds": [(0.0, freeze_leader(5.0)), (12.0, freeze_leader(3.0))],
-    "stands still while jobs are cancelled": [
-        (0.0, freeze_leader(5.0)),
-        (0.5, cancel_running_jobs(5)),
-        (9.0, cancel_running_jobs(2)),
-    ],
-    "stands still in elections": [(0.0, freeze_during_elections), (15.0, freeze_during_elections)],
-    "stands still in elections, transactions late": [(0.0, delay_writes(25.0, 0.2)), (2.0, freeze_during_elections)],
-    "stands still at its commits": [(0.0, freeze_leader_at_commits)],
-    "stands still at its commits, jobs cancelled": [(0.0, freeze_leader_at_commits), (4.0, cancel_running_jobs(4))],
-    "stands still while it decides": [(0.0, freeze_leader_during_decisions)],
-    "stands still while it decides, machines taken": [
-        (0.0, freeze_leader_during_decisions),
-        (3.0, reclaim_spot_machines),
-    ],
-    "many questions": [(0.0, flood_with_queries)],
-    "many questions, an outage": [(0.0, flood_with_queries), (20.0, outage(12.0))],
-    "guests": [(0.0, submit_guest_work)],
-    "guests, the leader ends": [(0.0, submit_guest_work), (25.0, crash_leader)],
-    "guests, all silent for a minute": [(0.0, submit_guest_work), (30.0, stop_all_controllers(62.0))],
-    "mistaken jobs": [(0.0, submit_failing_jobs)],
-    "mistaken jobs, the leader ends": [(0.0, submit_failing_jobs), (15.0, crash_leader)],
-    "mistaken jobs, a faulty machine": [(0.0, submit_failing_jobs), (2.0, make_machine_faulty)],
+FAULT_SCHEDULES: dict[str, tuple[int, list[tuple[float, Fault]]]] = {
+    "boots late or never": (19, [(0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)), (1.0, reclaim_spot_machines)]),
+    "boots late or never, leader crashes": (
+        36,
+        [
+            (0.0, set_boot_failures(60.0, 0.3, 0.4, 0.0)),
+            (1.0, reclaim_spot_machines),
+            (20.0, crash_leader),
+        ],
+    ),
+    "all controllers down for a minute": (23, [(0.0, stop_all_controllers(65.0))]),
+    "cancellations, then all controllers down for a minute": (
+        38,
+        [
+            (0.0, cancel_running_jobs(4)),
+            (0.4, stop_all_controllers(65.0)),
+            (66.0, query_all_after_answers(20.0)),
+        ],
+    ),
+    "leader frozen for seconds": (24, [(0.0, freeze_leader(5.0)), (12.0, freeze_leader(3.0))]),
+    "leader frozen during cancellations": (
+        37,
+        [
+            (0.0, freeze_leader(5.0)),
+            (0.5, cancel_running_jobs(5)),
+            (9.0, cancel_running_jobs(2)),
+        ],
+    ),
+    "controllers frozen during elections": (25, [(0.0, freeze_during_elections), (15.0, freeze_during_elections)]),
+    "controllers frozen during elections, transactions delayed": (
+        44,
+        [(0.0, delay_writes(25.0, 0.2)), (2.0, freeze_during_elections)],
+    ),
+    "leader frozen at its commits": (27, [(0.0, freeze_leader_at_commits)]),
+    "leader frozen at its commits, cancellations": (
+        43,
+        [(0.0, freeze_leader_at_commits), (4.0, cancel_running_jobs(4))],
+    ),
+    "leader frozen during its decisions": (29, [(0.0, freeze_leader_during_decisions)]),
+    "leader frozen during its decisions, spot machines reclaimed": (
+        45,
+        [
+            (0.0, freeze_leader_during_decisions),
+            (3.0, reclaim_spot_machines),
+        ],
+    ),
+    "query flood": (14, [(0.0, flood_with_queries)]),
+    "query flood with an outage": (25, [(0.0, flood_with_queries), (20.0, outage(12.0))]),
+    "guest work": (6, [(0.0, submit_guest_work)]),
+    "guest work, leader crashes": (23, [(0.0, submit_guest_work), (25.0, crash_leader)]),
+    "guest work, all controllers down for a minute": (
+        31,
+        [(0.0, submit_guest_work), (30.0, stop_all_controllers(62.0))],
+    ),
+    "failing jobs": (13, [(0.0, submit_failing_jobs)]),
+    "failing jobs, leader crashes": (30, [(0.0, submit_failing_jobs), (15.0, crash_leader)]),
+    "failing jobs, a faulty machine": (31, [(0.0, submit_failing_jobs), (2.0, make_machine_faulty)]),
 }
+"""The seed of each run, and its faults, each with its time in seconds."""
 
 
-def run_schedule(name: str, seed: int) -> World:
+def run_schedule(name: str) -> World:
+    seed, faults = FAULT_SCHEDULES[name]
     world = World(seed=seed, loss=0.002, capacity=6)
     submit_mixed_jobs(world, jobs=18)
-    for at, trouble in FAULT_SCHEDULES[name]:
-        world.clock.callLater(35.0 + at, trouble, world)
+    for at_s, fault in faults:
+        world.clock.callLater(35.0 + at_s, fault, world)
     world.rules.troubled_until = 35.0 + 100.0
     run_until_jobs_end(world)
     return world
@@ -151,40 +174,40 @@
 
 @pytest.mark.parametrize("name", FAULT_SCHEDULES)
 def test_rules_hold_under_a_fault_schedule(name: str) -> None:
-    world = run_schedule(name, seed=len(name))
+    world = run_schedule(name)
     assert world.rules.broken == []
     assert [job for job in world.jobs if not world.rules.is_final(job)] == []
 
 
 def test_a_team_without_a_guarantee_delays_other_teams_little() -> None:
-    """The same day without them, and with them: how long the other teams' jobs take in all."""
-    taken: list[float] = []
-    for trouble in ([], [(0.0, submit_guest_work)]):
+    """Compares the mean time to the end of the other teams' jobs in a run without guest work and one with it."""
+    mean_s: list[float] = []
+    for faults in ([], [(0.0, submit_guest_work)]):
         world = World(seed=17, loss=0.0, capacity=6)
         submit_mixed_jobs(world, jobs=18)
-        for at, start in trouble:
-            world.clock.callLater(20.0 + at, start, world)
+        for at_s, fault in faults:
+            world.clock.callLater(20.0 + at_s, fault, world)
         run_until_jobs_end(world)
         assert world.rules.broken == []
         others = [job for job in world.jobs if world.jobs[job]["crew"] != "guest"]
-        taken.append(sum(world.rules.final_at[job] - world.rules.submitted_at[job] for job in others) / len(others))
-    assert taken[1] < 1.25 * taken[0]
+        mean_s.append(sum(world.rules.final_at[job] - world.rules.submitted_at[job] for job in others) / len(others))
+    assert mean_s[1] < 1.25 * mean_s[0]
 
 
 def test_a_job_that_always_fails_writes_to_the_store_at_a_falling_rate() -> None:
-    """It is tried one task at a time, at growing intervals, and no machine is blamed for it."""
+    """It is retried one task at a time at growing intervals, and no machine is drained for its failures."""
     world = World(seed=18, loss=0.0)
     world.run(15)
     world.mistaken.add("j-000900")
     world.submit(world.job(900, pieces=50, vcpus=1.0, guessS=2.0))
     world.run(30)
-    counted = count_changes(world)
+    change_counts = count_changes(world)
     before = world.rules.starts
     world.run(120)
-    tries = world.rules.starts - before
-    assert 1 <= tries <= 8
-    changes = sum(count for kind, count in counted.items() if "active" in kind or "tasks" in kind)
-    assert changes <= 6 * tries
+    attempts = world.rules.starts - before
+    assert 1 <= attempts <= 8
+    changes = sum(count for kind, count in change_counts.items() if "active" in kind or "tasks" in kind)
+    assert changes <= 6 * attempts
     term = world.nodes[world.leader()].leader
     assert [m.id for m in term.cluster.machines.values() if m.drain_reason] == []
     world.cancel("j-000900")
@@ -194,7 +217,7 @@
 
 
 def test_status_queries_do_not_starve_the_leader_or_submissions() -> None:
-    """Users ask forty times a second; what they submit meanwhile is accepted, and begins."""
+    """Jobs submitted during 40 status queries a second are accepted and started in time."""
     world = World(seed=19, loss=0.0)
     submit_mixed_jobs(world, jobs=8, every=1.0)
     world.run(30)
@@ -202,15 +225,18 @@
     for number in range(100, 110):
         world.clock.callLater(2.0 * (number - 99), world.submit, world.job(number, pieces=1, vcpus=1.0, guessS=2.0))
     world.run(40)
-    late = [f"j-{n:06d}" for n in range(100, 110)]
-    assert all(world.rules.accepted_at[job] - world.rules.submitted_at[job] < 2.0 for job in late)
-    assert all(world.rules.begun_at[job] - world.rules.submitted_at[job] < 20.0 for job in late)
+    submitted = [f"j-{n:06d}" for n in range(100, 110)]
+    assert all(world.rules.accepted_at[job] - world.rules.submitted_at[job] < 2.0 for job in submitted)
+    assert all(world.rules.begun_at[job] - world.rules.submitted_at[job] < 20.0 for job in submitted)
     run_until_jobs_end(world)
     assert world.rules.broken == []
 
 
 def test_a_leader_that_was_frozen_past_its_lease_starts_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What was checked before is not acted on afterwards. Without the check of its lease, the day shows it."""
+    """A leader checks its lease again after a pause before it acts on earlier checks.
+
+    Without that check of the lease, this run fails.
+    """
     world = World(seed=20, loss=0.0)
     world.run(15)
     name = world.leader()
@@ -226,11 +252,11 @@
     sent: list[object] = []
     command = node.clients.workers.command
 
-    def commanding(*arguments: object) -> object:
+    def record_command(*arguments: object) -> object:
         sent.append(arguments)
         return command(*arguments)
 
-    monkeypatch.setattr(node.clients.workers, "command", commanding)
+    monkeypatch.setattr(node.clients.workers, "command", record_command)
     world.run(2)
     assert not term.lease.active
     assert sent == []
