--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Four thousand machines on nodes with some hundreds of sockets: nothing of a fixed size stands in their way."""
+"""Fleets of thousands of machines, with some hundreds of sockets per controller: no fixed limit is exceeded."""
 
 import resource
 
@@ -19,7 +19,7 @@
 
 
 def machines_with_current_token(world: World) -> int:
-    """Machines that the present leader hears."""
+    """Returns the number of machines that have the current leader's token."""
     term = world.nodes[world.leader()].leader
     return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
 
@@ -36,7 +36,10 @@
 
 @pytest.mark.parametrize("keeps", [False, True])
 def test_no_lease_runs_out_with_far_fewer_sockets_than_machines(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With `keeps`, workers' connections stay open as in small fleets; others are refused, and lose their leases."""
+    """With `keeps`, heartbeat connections stay open as in small fleets, so that other workers are refused.
+
+    These workers lose their leases.
+    """
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
     world = FleetWorld(1, MACHINES // 2 if keeps else MACHINES)
@@ -63,7 +66,10 @@
 
 
 def test_a_new_leader_does_not_mark_machines_as_slow(caplog: pytest.LogCaptureFixture) -> None:
-    """Tasks that ran when it began end sooner after it first saw them; those begun later are not slow beside them."""
+    """A new leader sees tasks that already run for only a part of their run time.
+
+    Tasks that are started later must not count as slow in comparison.
+    """
     caplog.set_level("INFO")
     world = FleetWorld(6, 300)
     world.submit_batch(8.0)
@@ -74,7 +80,7 @@
 
 
 def test_the_fleet_recovers_after_all_controllers_were_down_for_longer_than_a_lease() -> None:
-    """All workers end their tasks; every one of them finds the way back, and the batch is finished."""
+    """All workers end their tasks; all of them report to a leader again, and the jobs are completed."""
     world = FleetWorld(3, MACHINES)
     world.submit_batch(8.0)
     world.run(20)
@@ -90,7 +96,7 @@
 
 
 def test_a_machine_list_of_many_pages_is_read_within_the_rate_limit_of_the_cloud() -> None:
-    """In one go it would take more requests than the cloud allows, and none of it would be known."""
+    """Without pauses between the pages the cloud would refuse the requests, and no machine would be known."""
     world = FleetWorld(4, 6000, booted=False)
     world.run(20)
     assert len(world.nodes[world.leader()].leader.cluster.machines) >= 6000
@@ -98,7 +104,7 @@
 
 
 def test_provisioning_more_machines_than_a_request_holds_takes_several_requests() -> None:
-    """In one request the rest would not come, and look as if the cloud had no more of these machines."""
+    """A single request would return fewer machines than asked for, which looks as if the cloud had no more capacity."""
     world = World(seed=5, capacity=1000, loss=0.0)
     world.run(5)
     leader = world.nodes[world.leader()].leader
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Large fleets: what a round and a task cost, in machine visits and store changes, not in time."""
+"""Large fleets: the cost of a scheduling cycle and of a task, counted in machine visits and store changes."""
 
 import pytest
 
@@ -16,38 +16,38 @@
 
 
 def test_scheduling_work_grows_with_changes_not_with_machines_times_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Not with machines times tasks: machines are scored once a job, and copied when they have changed.
+    """Machines are scored once per job, and copied when they have changed.
 
-    How often machines are tried varies by half with the draw of the network's delays; so three days are played, and
-    their mean is held to less than a single day is.
+    The random network delays vary the number of searched machines by half; so three seeds are run, and their mean has a
+    lower limit than a single run.
     """
-    tried = [count_work(seed, monkeypatch)["tried"] / (JOBS * TASKS * MACHINES) for seed in (23, 24, 25)]
-    assert sum(tried) / len(tried) < 0.28
-    assert max(tried) < 0.33
+    searched = [count_work(seed, monkeypatch)["searched"] / (JOBS * TASKS * MACHINES) for seed in (23, 24, 25)]
+    assert sum(searched) / len(searched) < 0.28
+    assert max(searched) < 0.33
 
 
 def count_work(seed: int, monkeypatch: pytest.MonkeyPatch) -> dict[str, int]:
-    counts = {"rounds": 0, "copies": 0, "scored": 0, "tried": 0, "changes": 0, "transactions": 0, "releases": 0}
+    counts = {"cycles": 0, "copies": 0, "scored": 0, "searched": 0, "changes": 0, "transactions": 0, "releases": 0}
 
-    def counted(owner: object, name: str, what: str) -> None:
-        plain = getattr(owner, name)
+    def count_calls(owner: object, name: str, counter: str) -> None:
+        function = getattr(owner, name)
 
         def call(*arguments, **more):
-            counts[what] += 1
-            return plain(*arguments, **more)
+            counts[counter] += 1
+            return function(*arguments, **more)
 
         monkeypatch.setattr(owner, name, call)
 
-    counted(SchedulingLoop, "_decide", "rounds")
-    counted(MachineViewCache, "_build", "copies")
-    counted(placement.CandidateMachines, "_score", "scored")
-    counted(PreemptionSearch, "_search_machine", "tried")
+    count_calls(SchedulingLoop, "_decide", "cycles")
+    count_calls(MachineViewCache, "_build", "copies")
+    count_calls(placement.CandidateMachines, "_score", "scored")
+    count_calls(PreemptionSearch, "_search_machine", "searched")
     world = World(seed, capacity=MACHINES, loss=0.0)
     commit, handle = world.state.commit, world.cloud.handle
 
     def count_changes(body):
         counts["transactions"] += 1
-        # Where images are is recorded with what is left of the budget.
+        # Image records are written with the rest of the write budget, and not counted here.
         changed = [write.get("set") or write["delete"] for write in body["writes"]]
         counts["changes"] += sum(1 for key in changed if not key.startswith(records.IMAGES))
         return commit(body)
@@ -63,7 +63,7 @@
         if not machine.up:
             machine.boot()
     for number in range(JOBS):
-        # Small in processors, for the team's limit; two to a machine by memory.
+        # Few processors, to stay within the quota of the team; the memory allows two tasks per machine.
         body = world.job(
             number,
             pieces=TASKS,
@@ -78,23 +78,23 @@
     assert world.rules.broken == []
     assert sum(world.rules.last.get(job) == "done" for job in world.jobs) == JOBS
     tasks = JOBS * TASKS
-    # Each machine is copied anew once a second, and when it has changed; not in each round.
-    assert counts["copies"] < 0.5 * counts["rounds"] * MACHINES
-    # Scored once for each job in a round, and once more for each task placed; tried once for each job that waits.
+    # Each machine is copied once a second and when it has changed, not in each cycle.
+    assert counts["copies"] < 0.5 * counts["cycles"] * MACHINES
+    # A machine is scored once per job in a cycle, and again for each placed task; it is searched once per pending job.
     assert counts["scored"] < 0.1 * tasks * MACHINES
-    # Placing, completing and counting a task share their changes with those of its job.
+    # Placing, completing and counting a task share changes of the store with its job.
     assert counts["changes"] < 0.85 * tasks
-    # Machines that nobody needs go back many at a time.
+    # Unneeded machines are released many at a time.
     before = counts["releases"]
     world.run(40)
-    returned = MACHINES - len([m for m in world.cloud.machines.values() if m.name < f"n-{MACHINES:06d}"])
-    assert returned > 100
-    assert counts["releases"] - before < returned / 4
+    released = MACHINES - len([m for m in world.cloud.machines.values() if m.name < f"n-{MACHINES:06d}"])
+    assert released > 100
+    assert counts["releases"] - before < released / 4
     return counts
 
 
 class LargeFleetWorld(World):
-    """The settings of a large fleet: more machines than half of the sockets."""
+    """Settings of a large fleet, whose machines are almost half as many as a controller's sockets."""
 
     SOCKETS, CLOUD_RPS, WRITE_RPS = 1950, 9.0, 50.0
 
@@ -108,12 +108,12 @@
 
 
 @pytest.mark.parametrize("keeps", [False, True])
-def test_sockets_and_requests_stay_bounded_in_a_large_fleet(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:  # noqa: C901 - a day and its counts
-    """A burst, half of the machines lost at once, and all controllers restarted: what is open and asked for is bounded.
+def test_sockets_and_requests_stay_bounded_in_a_large_fleet(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:  # noqa: C901 - a run and its counts
+    """Sockets and requests stay bounded when half of the machines are lost in a burst and all controllers restart.
 
-    With `keeps`, idle connections to workers are never given up, and the checker must object.
+    With `keeps`, idle connections to workers are never closed, and the limit must be exceeded.
     """
-    machines = 942
+    machines = 942  # half as many again as the fleet has
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
     world = LargeFleetWorld(seed=24, capacity=machines, loss=0.0)
@@ -121,19 +121,19 @@
         machine = world.cloud.add(TYPES[0], "ab"[number % 2], True)
         if not machine.up:
             machine.boot()
-    asked: dict[int, int] = {}
-    changed: dict[int, int] = {}
+    requests_by_second: dict[int, int] = {}
+    changes_by_second: dict[int, int] = {}
     handle, commit = world.cloud.handle, world.state.commit
 
-    def count_asked(caller, method, path, body):
-        asked[int(world.now)] = asked.get(int(world.now), 0) + 1
+    def count_requests(caller, method, path, body):
+        requests_by_second[int(world.now)] = requests_by_second.get(int(world.now), 0) + 1
         return handle(caller, method, path, body)
 
     def count_changes(body):
-        changed[int(world.now)] = changed.get(int(world.now), 0) + len(body["writes"])
+        changes_by_second[int(world.now)] = changes_by_second.get(int(world.now), 0) + len(body["writes"])
         return commit(body)
 
-    monkeypatch.setattr(world.cloud, "handle", count_asked)
+    monkeypatch.setattr(world.cloud, "handle", count_requests)
     monkeypatch.setattr(world.state, "commit", count_changes)
     for number in range(40):
         body = world.job(
@@ -154,20 +154,20 @@
     world.clock.callLater(18.0, lose_half)
     for name in world.names:
         world.clock.callLater(19.0, world.kill, name, 0.3)
-    most = 0
+    most_sockets = 0
     for _ in range(150):
         world.run(0.5)
-        most = max(most, *(world.sockets(name) for name in world.names))
+        most_sockets = max(most_sockets, *(world.sockets(name) for name in world.names))
     world.rules.check_cancelled()
     assert world.rules.broken == []
-    # The workers' reports alone take half; the rest is for commands, users, peers and the state service.
-    assert (most > KEEP_USERS_SHARE * world.SOCKETS) == keeps
+    # The workers' heartbeats alone take half; the rest is for commands, users, peers and the state service.
+    assert (most_sockets > KEEP_USERS_SHARE * world.SOCKETS) == keeps
     if keeps:
         return
     assert sum(world.rules.last.get(job) == "done" for job in world.jobs) == 40
-    # The platform allows bursts of two seconds' worth of requests to the cloud, and of one of changes.
-    assert max(asked.values()) <= 2 * world.CLOUD_RPS
-    assert max(changed.values()) <= 2 * world.WRITE_RPS
-    # Those that were lost went back many at a time.
+    # The platform allows bursts of two seconds' worth of cloud requests, and of one second's worth of changes.
+    assert max(requests_by_second.values()) <= 2 * world.CLOUD_RPS
+    assert max(changes_by_second.values()) <= 2 * world.WRITE_RPS
+    # Lost machines were released many at a time.
     assert len(world.cloud.machines) < machines
-    assert sum(asked.values()) < 5 * 75
+    assert sum(requests_by_second.values()) < 5 * 75
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -1,4 +1,4 @@
-"""Outages of the state service: what a controller goes on with, what it leaves, and the budgets of its requests."""
+"""Outages of the state service: what a controller continues, what it stops, and its request budgets."""
 
 from twisted.internet import defer
 from twisted.internet.task import Clock
@@ -18,7 +18,7 @@
     world.state.outage(24.0)
     world.submit(world.job(2, pieces=2))
     world.run(23)
-    # The outage is longer than the workers' lease, and no task was lost to it.
+    # The outage is longer than the workers' lease, and yet no task was lost.
     assert len([t for t in world.rules.where if t.startswith("j-000001/")]) == 2
     assert world.rules.starts == 2
     world.run(240)
@@ -59,7 +59,7 @@
 
 
 def test_commits_back_off_while_the_state_service_refuses_them() -> None:
-    """Reports come many times a second; so did commits, which used up what was wanted after the outage."""
+    """Commits retried with each heartbeat, many times a second, used up the budget needed after the outage."""
     world = World(seed=25, loss=0.0)
     for number in range(6):
         world.submit(world.job(number, pieces=6, vcpus=1.0, guessS=4.0))
@@ -67,15 +67,15 @@
         world.run(1)
     commits, handle = [], world.state.handle
 
-    def counted(caller, method, path, body):
+    def refuse_commits(caller, method, path, body):
         if path == "/commit" and world.now < until:
             if any(write.get("set", "").startswith(("tasks/", "active/")) for write in body["writes"]):
-                commits.append(world.now)  # rentals and images are recorded at their own pace
+                commits.append(world.now)  # provisioning and image records are written on their own schedule
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
     until = world.now + 10.0
-    world.state.handle = counted  # type: ignore[method-assign]
+    world.state.handle = refuse_commits  # type: ignore[method-assign]
     term = world.nodes[world.leader()].leader
     world.run(9.9)
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_BACKOFF_S
