--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -524,7 +524,7 @@
 
 
 def test_an_aged_job_may_use_more_than_the_share_reserved_for_aged_jobs() -> None:
-    """It gets a quarter of the machines first, and other free machines in the ordinary order of the queue."""
+    """An aged job gets a quarter of the machines first, and other free machines in the ordinary order of the queue."""
     machines = [make_machine(f"n-{number}", SMALL, []) for number in range(4)]
     aged = pending_job(spec(1, 1.0), 28)
     aged.aged = True
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -360,7 +360,7 @@
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_version_in_production_leads_after_spare_tokens_were_issued(seed: int) -> None:
-    """That version has no spare tokens: its own token, the version of its key, is above all issued spare tokens."""
+    """The version in production has no spare tokens: its token, the version of its key, is above all issued ones."""
     world = busy_world(40 + seed)
     cancel_jobs_with_held_starts(world)
     raised = current_leader(world).tokens.highest_issued
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -195,7 +195,7 @@
 
 
 def test_a_job_that_always_fails_writes_to_the_store_at_a_falling_rate() -> None:
-    """It is retried one task at a time at growing intervals, and no machine is drained for its failures."""
+    """A job that always fails is retried one task at a time at growing intervals; no machine is drained for it."""
     world = World(seed=18, loss=0.0)
     world.run(15)
     world.mistaken.add("j-000900")
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -815,7 +815,7 @@
 
 
 def test_a_worker_with_an_older_token_receives_stops_of_cancelled_jobs() -> None:
-    """The answer that renews its lease carries the stops, also while an outage delays the reload of the job."""
+    """The answer that renews the worker's lease carries the stops, also while an outage delays the reload of the job."""
     world = World(seed=8, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
@@ -975,7 +975,7 @@
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_delayed_writes_of_provisioning_and_image_records_do_no_harm(kind: str, seed: int) -> None:
-    """Such writes get no answer and are executed seconds later, over newer records; new leaders then read them."""
+    """Delayed writes get no answer and are executed seconds later, over newer records, which new leaders then read."""
     world = World(seed=seed, loss=0.0, capacity=6)
     ask, delayed = world.state.ask, []
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -305,7 +305,7 @@
     for number in (2, 8, 15):
         world.clock.callLater(20.0 + 3 * number, world.cancel, f"j-{number:06d}")
     for number in (4, 11, 20):
-        # These fall into the time of the faults: every confirmation must be right, whichever controller gives it.
+        # These cancellations fall into the time of the faults; each confirmation must be right, whoever gives it.
         world.clock.callLater(48.0 + number / 2, world.cancel, f"j-{number:06d}")
     world.rules.troubled_until = 110.0
     run_until_jobs_end(world)
@@ -403,7 +403,7 @@
 
 
 def test_aged_jobs_start_under_sustained_overload() -> None:
-    """Also the widest jobs: ageing moves them forward in the queue, and their started tasks are not preempted."""
+    """Even the widest jobs start: ageing moves them forward in the queue, and their tasks are not preempted."""
     world = overloaded_world(8)
     world.run(400)
     world.rules.check_served()
