--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -815,7 +815,7 @@
 
 
 def test_a_worker_with_an_older_token_receives_stops_of_cancelled_jobs() -> None:
-    """The answer that renews the worker's lease carries the stops, also while an outage delays the reload of the job."""
+    """The answer that renews a worker's lease carries the stops, also while an outage delays a reload of the job."""
     world = World(seed=8, loss=0.0)
     submit_long_jobs(world)
     world.run(40)
