--- a/tests/held_starts.py
+++ b/tests/held_starts.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from stileloft.leadership.invariants import InvariantMonitor
-from tests.simulation.network import Hold
-from tests.simulation.world import World
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.network import MessageDelay
 
-Fault = Callable[[World], None]
+Fault = Callable[[SimulatedCluster], None]
 LONG_JOBS, SMALL_JOBS = 9, 4
 FIRST_SMALL_JOB = 100
 """Number of the first small job."""
@@ -23,7 +23,7 @@
 """Time from the submission of the small jobs to their cancellation, in seconds."""
 RUN_AFTER_SUBMISSION_S = 115.0
 """Time from the submission of the small jobs to the end of the run, in seconds."""
-OUTAGE_S = World.CANCEL_S + 15.0
+OUTAGE_S = SimulatedCluster.CANCEL_S + 15.0
 
 
 @dataclass(frozen=True)
@@ -32,7 +32,9 @@
 
     faults: tuple[tuple[float, Fault], ...] = ()
     """Faults, each with its time in seconds after the submission of the small jobs."""
-    hold: Callable[[World], Hold] = lambda world: Hold(world.now + 6.0, 45.0, 80.0, verb="launch")
+    delay: Callable[[SimulatedCluster], MessageDelay] = lambda cluster: MessageDelay(
+        cluster.now + 6.0, 45.0, 80.0, verb="launch"
+    )
     small: dict[str, Any] = field(default_factory=dict)
     """Changes to the default fields of the small jobs."""
     loses_tasks: bool = False
@@ -52,118 +54,118 @@
     long_tasks_lost: int
 
 
-def busy_world(seed: int, **options: Any) -> World:
-    """Returns a world whose machines run long tasks, which faults of other tasks must not end."""
-    world = World(seed=seed, loss=0.0, **options)
+def busy_cluster(seed: int, **options: Any) -> SimulatedCluster:
+    """Returns a cluster whose machines run long tasks, which faults of other tasks must not end."""
+    cluster = SimulatedCluster(seed=seed, loss=0.0, **options)
     for number in range(LONG_JOBS):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 0.5 * number,
-            world.submit,
-            world.job(number, pieces=3, vcpus=3.0, guessS=600.0, crew=("core", "edge")[number % 2]),
+            cluster.submit,
+            cluster.job(number, pieces=3, vcpus=3.0, guessS=600.0, crew=("core", "edge")[number % 2]),
         )
-    world.run(40)
-    assert len(world.rules.where) > 15
-    return world
+    cluster.run(40)
+    assert len(cluster.checker.machine_by_task) > 15
+    return cluster
 
 
-def submit_small_jobs(world: World, changes: dict[str, Any] | None = None) -> list[str]:
+def submit_small_jobs(cluster: SimulatedCluster, changes: dict[str, Any] | None = None) -> list[str]:
     """Submits jobs of two small tasks that fit beside the long ones; returns their ids."""
     fields: dict[str, Any] = {"pieces": 2, "vcpus": 0.5, "memGb": 0.5, "guessS": 200.0} | (changes or {})
-    jobs = [world.job(FIRST_SMALL_JOB + number, **fields) for number in range(SMALL_JOBS)]
+    jobs = [cluster.job(FIRST_SMALL_JOB + number, **fields) for number in range(SMALL_JOBS)]
     for job in jobs:
-        world.submit(job)
+        cluster.submit(job)
     return [job["nameId"] for job in jobs]
 
 
-def hold_and_cancel(world: World, least_s: float = 45.0, most_s: float = 60.0) -> list[str]:
-    """Submits small jobs, delays their starts by `least_s` to `most_s`, and cancels the jobs; returns their ids."""
-    world.holds.append(Hold(world.now + 6.0, least_s, most_s, verb="launch"))
-    jobs = submit_small_jobs(world)
-    world.run(CANCEL_AFTER_S)
+def delay_starts_and_cancel(cluster: SimulatedCluster, min_s: float = 45.0, max_s: float = 60.0) -> list[str]:
+    """Submits small jobs, delays their starts by `min_s` to `max_s`, and cancels the jobs; returns their ids."""
+    cluster.message_delays.append(MessageDelay(cluster.now + 6.0, min_s, max_s, verb="launch"))
+    jobs = submit_small_jobs(cluster)
+    cluster.run(CANCEL_AFTER_S)
     for job in jobs:
-        world.cancel(job)
+        cluster.cancel(job)
     return jobs
 
 
-def run_checking_cancellations(world: World, seconds: float) -> None:
+def run_checking_cancellations(cluster: SimulatedCluster, seconds: float) -> None:
     """Runs for `seconds` and checks every 0.25 s that no cancelled job has outlived its bound."""
-    end = world.now + seconds
-    while world.now < end:
-        world.run(0.25)
-        world.rules.check_cancelled()
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(0.25)
+        cluster.checker.check_cancelled()
 
 
-def run_scenario(scenario: Scenario, seed: int) -> tuple[World, Outcome]:
+def run_scenario(scenario: Scenario, seed: int) -> tuple[SimulatedCluster, Outcome]:
     """Runs a scenario with one seed."""
-    world = busy_world(seed)
-    world.holds.append(scenario.hold(world))
+    cluster = busy_cluster(seed)
+    cluster.message_delays.append(scenario.delay(cluster))
     for after_s, fault in scenario.faults:
-        world.clock.callLater(after_s, fault, world)
-    jobs = submit_small_jobs(world, scenario.small)
+        cluster.clock.callLater(after_s, fault, cluster)
+    jobs = submit_small_jobs(cluster, scenario.small)
     for job in jobs:
-        world.clock.callLater(CANCEL_AFTER_S, world.cancel, job)
-    run_checking_cancellations(world, RUN_AFTER_SUBMISSION_S)
-    rules = world.rules
+        cluster.clock.callLater(CANCEL_AFTER_S, cluster.cancel, job)
+    run_checking_cancellations(cluster, RUN_AFTER_SUBMISSION_S)
+    checker = cluster.checker
     long_tasks = [f"j-{number:06d}/{index}" for number in range(LONG_JOBS) for index in range(3)]
     outcome = Outcome(
-        tuple(rules.broken),
-        len(rules.cancelled_at),
-        rules.longest_after_cancel_s / world.CANCEL_S,
-        rules.refused_starts["token"],
-        rules.refused_starts["session"],
-        sum(max(0, rules.starts_by_task.get(task, 0) - 1) for task in long_tasks),
+        tuple(checker.violations),
+        len(checker.cancelled_at),
+        checker.longest_after_cancel_s / cluster.CANCEL_S,
+        checker.refused_starts["token"],
+        checker.refused_starts["epoch"],
+        sum(max(0, checker.starts_by_task.get(task, 0) - 1) for task in long_tasks),
     )
-    return world, outcome
+    return cluster, outcome
 
 
 # -- faults ------------------------------------------------------------------------------------------------------
 
 
-def crash_leader(world: World) -> None:
+def crash_leader(cluster: SimulatedCluster) -> None:
     """The leader's process crashes."""
-    name = world.leader()
+    name = cluster.leader()
     if name is not None:
-        world.kill(name)
+        cluster.kill(name)
 
 
-def refuse_leader(world: World) -> None:
+def refuse_leader(cluster: SimulatedCluster) -> None:
     """The state service refuses the leader's requests for 14 s."""
-    name = world.leader()
+    name = cluster.leader()
     if name is not None:
-        world.state.refuses[name] = world.now + 14.0
+        cluster.state.refused_until[name] = cluster.now + 14.0
 
 
-def state_service_outage(world: World) -> None:
+def state_service_outage(cluster: SimulatedCluster) -> None:
     """The state service is down for longer than the cancellation bound."""
-    world.state.outage(OUTAGE_S)
+    cluster.state.outage(OUTAGE_S)
 
 
-def cloud_outage(world: World) -> None:
+def cloud_outage(cluster: SimulatedCluster) -> None:
     """The cloud is down for 90 s."""
-    world.cloud.down_until = world.now + 90.0
+    cluster.cloud.down_until = cluster.now + 90.0
 
 
-def delay_writes(world: World) -> None:
+def delay_writes(cluster: SimulatedCluster) -> None:
     """For 10 s, 40% of the commits get no answer and are executed later, so that the leader reloads the records."""
-    world.state.late_writes = world.now + 10.0, 0.4, False
+    cluster.state.late_writes = cluster.now + 10.0, 0.4, False
 
 
-def duplicate_messages(world: World) -> None:
+def duplicate_messages(cluster: SimulatedCluster) -> None:
     """Some messages are delivered a second time, late."""
-    world.copies = 0.3
+    cluster.duplicate_share = 0.3
 
 
-def machines_up(world: World) -> list[Any]:
+def machines_up(cluster: SimulatedCluster) -> list[Any]:
     """Returns the machines that are up."""
-    return [machine for machine in world.cloud.machines.values() if machine.up]
+    return [machine for machine in cluster.cloud.machines.values() if machine.up]
 
 
 def block_one_direction(which: str, seconds: float) -> Fault:
-    """Returns a fault: nothing reaches half of the machines (`deaf`), or they reach no controller (`mute`)."""
+    """Returns a fault: half of the machines receive (`inbound_blocked`) or send (`outbound_blocked`) no messages."""
 
-    def start(world: World) -> None:
-        for machine in machines_up(world)[::2]:
-            getattr(world, which)[machine.name] = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in machines_up(cluster)[::2]:
+            getattr(cluster, which)[machine.name] = cluster.now + seconds
 
     return start
 
@@ -171,15 +173,15 @@
 def hang_machines(seconds: float) -> Fault:
     """Returns a fault: half of the machines hang for `seconds`."""
 
-    def start(world: World) -> None:
-        for machine in machines_up(world)[::2]:
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in machines_up(cluster)[::2]:
             machine.hung = True
 
             def resume(machine=machine) -> None:
                 machine.hung = False
-                machine.lapse()
+                machine.check_lease()
 
-            world.clock.callLater(seconds, resume)
+            cluster.clock.callLater(seconds, resume)
 
     return start
 
@@ -187,66 +189,68 @@
 def partition_machines(seconds: float) -> Fault:
     """Returns a fault: half of the machines are partitioned; messages sent in that time arrive at its end."""
 
-    def start(world: World) -> None:
-        for machine in machines_up(world)[::2]:
-            for name in world.names:
-                world.cut(name, machine.name, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in machines_up(cluster)[::2]:
+            for name in cluster.names:
+                cluster.partition(name, machine.name, seconds, hold=True)
 
     return start
 
 
-def release_machines(world: World) -> None:
+def release_machines(cluster: SimulatedCluster) -> None:
     """The leader releases a third of its machines; during `cloud_outage` the cloud does not confirm it."""
-    name = world.leader()
-    leader = None if name is None else world.nodes[name].leader
+    name = cluster.leader()
+    leader = None if name is None else cluster.nodes[name].leader
     if leader is not None:
         for machine in list(leader.cluster.machines.values())[::3]:
             leader.releaser.release(machine, "operator request")
 
 
-def freeze_leader(world: World) -> None:
+def freeze_leader(cluster: SimulatedCluster) -> None:
     """The leader's process is frozen for 20 s."""
-    world.freeze(world.leader() or world.names[0], 20.0)
+    cluster.freeze(cluster.leader() or cluster.names[0], 20.0)
 
 
 def restart_leaders(times: int, apart_s: float) -> Fault:
     """Returns a fault: the current leader is killed `times` times, `apart_s` apart, and restarts after 0.2 s."""
 
     def restart_leader() -> None:
-        name = faulty_world.leader()
+        name = faulty_cluster.leader()
         if name is not None:
-            faulty_world.kill(name, 0.2)
+            faulty_cluster.kill(name, 0.2)
 
-    faulty_world: World
+    faulty_cluster: SimulatedCluster
 
-    def start(world: World) -> None:
-        nonlocal faulty_world
-        faulty_world = world
+    def start(cluster: SimulatedCluster) -> None:
+        nonlocal faulty_cluster
+        faulty_cluster = cluster
         for number in range(times):
-            world.clock.callLater(number * apart_s, restart_leader)
+            cluster.clock.callLater(number * apart_s, restart_leader)
 
     return start
 
 
-def hold_messages(least_s: float, most_s: float, period_s: float, **options: Any) -> Callable[[World], Hold]:
-    """Delays the messages of the next `period_s` by `least_s` to `most_s`; `options` of `Hold` select which."""
-    return lambda world: Hold(world.now + period_s, least_s, most_s, **options)
+def delay_messages(
+    min_s: float, max_s: float, period_s: float, **options: Any
+) -> Callable[[SimulatedCluster], MessageDelay]:
+    """Delays the messages of the next `period_s` by `min_s` to `max_s`; `options` of `MessageDelay` select them."""
+    return lambda cluster: MessageDelay(cluster.now + period_s, min_s, max_s, **options)
 
 
 SCENARIOS: dict[str, Scenario] = {
     "starts delayed, heartbeats arrive": Scenario(),
-    "any command delayed": Scenario(hold=hold_messages(0.0, 80.0, 8.0)),
-    "answers delayed": Scenario(hold=hold_messages(45.0, 80.0, 6.0, answers=True)),
-    "stops delayed": Scenario(hold=hold_messages(20.0, 80.0, 30.0, verb="stop")),
+    "any command delayed": Scenario(delay=delay_messages(0.0, 80.0, 8.0)),
+    "answers delayed": Scenario(delay=delay_messages(45.0, 80.0, 6.0, answers=True)),
+    "stops delayed": Scenario(delay=delay_messages(20.0, 80.0, 30.0, verb="stop")),
     "stops with an outdated grace delayed": Scenario(
         ((2.0, release_machines), (2.0, cloud_outage)),
-        hold=hold_messages(20.0, 80.0, 30.0, verb="stop"),
+        delay=delay_messages(20.0, 80.0, 30.0, verb="stop"),
         small={"snapshotS": 5.0, "stashS": 3.0},
         loses_tasks=True,
     ),
-    "forgets delayed": Scenario(hold=hold_messages(20.0, 80.0, 60.0, verb="forget")),
+    "forgets delayed": Scenario(delay=delay_messages(20.0, 80.0, 60.0, verb="forget")),
     "some starts of a gang delayed": Scenario(
-        hold=hold_messages(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
+        delay=delay_messages(45.0, 80.0, 6.0, verb="launch", share=0.5), small={"shape": "gang", "together": True}
     ),
     "state service down after the cancellation": Scenario(((CANCEL_AFTER_S + 0.6, state_service_outage),)),
     "leader refused, then the state service down": Scenario(
@@ -258,23 +262,25 @@
     ),
     "leader crashes before the cancellation": Scenario(((2.0, crash_leader),)),
     "leader crashes after the cancellation": Scenario(((CANCEL_AFTER_S + 0.6, crash_leader),)),
-    "leader crashes, claims delayed": Scenario(((2.0, crash_leader),), hold=hold_messages(30.0, 80.0, 25.0)),
+    "leader crashes, claims delayed": Scenario(((2.0, crash_leader),), delay=delay_messages(30.0, 80.0, 25.0)),
     "series of failovers": Scenario(((1.0, restart_leaders(6, 2.5)),)),
     "series of failovers, any command delayed": Scenario(
-        ((1.0, restart_leaders(8, 1.5)),), hold=hold_messages(0.0, 80.0, 20.0)
+        ((1.0, restart_leaders(8, 1.5)),), delay=delay_messages(0.0, 80.0, 20.0)
     ),
-    "leader frozen": Scenario(((CANCEL_AFTER_S - 0.05, freeze_leader),), hold=hold_messages(5.0, 80.0, 8.0)),
+    "leader frozen": Scenario(((CANCEL_AFTER_S - 0.05, freeze_leader),), delay=delay_messages(5.0, 80.0, 8.0)),
     "writes delayed, records reloaded": Scenario(((0.0, delay_writes),)),
     "delayed duplicates of messages": Scenario(((0.0, duplicate_messages),)),
     "traffic to machines blocked for longer than a lease": Scenario(
-        ((1.0, block_one_direction("deaf", 20.0)),), loses_tasks=True
+        ((1.0, block_one_direction("inbound_blocked", 20.0)),), loses_tasks=True
+    ),
+    "traffic to machines blocked for less than a lease": Scenario(
+        ((3.0, block_one_direction("inbound_blocked", 9.0)),)
     ),
-    "traffic to machines blocked for less than a lease": Scenario(((3.0, block_one_direction("deaf", 9.0)),)),
     "traffic from machines blocked for longer than a lease": Scenario(
-        ((1.0, block_one_direction("mute", 20.0)),), loses_tasks=True
+        ((1.0, block_one_direction("outbound_blocked", 20.0)),), loses_tasks=True
     ),
     "traffic from machines blocked, cloud down": Scenario(
-        ((1.0, block_one_direction("mute", 9.0)), (0.0, cloud_outage)), loses_tasks=True
+        ((1.0, block_one_direction("outbound_blocked", 9.0)), (0.0, cloud_outage)), loses_tasks=True
     ),
     "machines hang for less than a lease": Scenario(((3.0, hang_machines(9.0)),), loses_tasks=True),
     "machines hang for longer than a lease": Scenario(((3.0, hang_machines(20.0)),), loses_tasks=True),
--- a/tests/simulation/controllers.py
+++ b/tests/simulation/controllers.py
@@ -11,11 +11,11 @@
 from stileloft.protocol import messages
 from stileloft.protocol.users import HEARTBEAT_PATH
 from stileloft.transport.client import ConnectionFailedError, NoResponseError, Reply
-from tests.simulation.clients import Connection
+from tests.simulation.clients import SimulatedClient
 from tests.simulation.deployment import SETTINGS
 from tests.simulation.gangs import Gang
 from tests.simulation.processes import Process
-from tests.versions import NEW, Version
+from tests.versions import CURRENT, Version
 
 # How often connections that were given up are cleared away.
 PRUNE_S = 0.05
@@ -24,17 +24,17 @@
 class Controllers:
     """The part of the world that runs nodes."""
 
-    CONNECTION = Connection
+    CLIENT_CLASS = SimulatedClient
     """What nodes have in place of the pooled HTTP client."""
 
-    def have_no_connections(self) -> None:
+    def init_connections(self) -> None:
         """Before any node has started."""
         self.connections: dict[str, dict[str, float]] = {name: {} for name in self.names}
         """Connections that each node has made, and until when they are kept."""
         self.pruned_at = dict.fromkeys(self.names, 0.0)
-        self.report_connections: dict[str, set[str]] = {name: set() for name in self.names}
+        self.heartbeat_connections: dict[str, set[str]] = {name: set() for name in self.names}
         """Machines that have a connection open to each node for their reports."""
-        self.most_sockets = math.inf
+        self.max_sockets = math.inf
         """A node with so many sockets takes no further connection for reports."""
 
     def settings(self, name: str) -> str:
@@ -44,15 +44,15 @@
             for i, other in enumerate(self.names)
             if other != name
         )
-        coming = "".join(f"next.{limit} = {value}\n" for limit, value in self.coming.items())
+        upcoming_limits = "".join(f"next.{limit} = {value}\n" for limit, value in self.upcoming_limits.items())
         return SETTINGS.format(
-            n=number, zone="a" if number else "b", peers=peers, value_kb=self.value_kb, coming=coming
+            n=number, zone="a" if number else "b", peers=peers, value_kb=self.value_kb, upcoming_limits=upcoming_limits
         )
 
-    def lower_limits(self) -> None:
+    def apply_upcoming_limits(self) -> None:
         """The limits that were announced come into force."""
-        self.state.value_bytes = int(self.coming["value_kb"] * 1024)
-        self.state.txn_ops = int(self.coming["txn_ops"])
+        self.state.value_bytes = int(self.upcoming_limits["value_kb"] * 1024)
+        self.state.txn_ops = int(self.upcoming_limits["txn_ops"])
 
     def gang_of(self, task_name: str, attempt: int) -> Gang | None:
         return self.gangs.get((split_task(task_name)[0], attempt))
@@ -66,8 +66,8 @@
             process,
             version.parse_settings(self.settings(name)),
             lambda: self.now + 1000.0,
-            lambda *_, **options: self.CONNECTION(self, name, number, **options),
-            **({"features": self.features[name]} if version is NEW and self.features[name] else {}),
+            lambda *_, **options: self.CLIENT_CLASS(self, name, number, **options),
+            **({"features": self.features[name]} if version is CURRENT and self.features[name] else {}),
         )
         node.in_thread = lambda function, *arguments: defer.maybeDeferred(function, *arguments)  # type: ignore
         node.nonce = f"{name}-{number}"
@@ -89,40 +89,40 @@
             self.pruned_at[name] = self.now
             for address in [address for address, until in made.items() if until < self.now]:
                 del made[address]
-        return len(made) + len(self.report_connections[name])
+        return len(made) + len(self.heartbeat_connections[name])
 
-    def keeps_report_connection(self, name: str) -> bool:
+    def keeps_heartbeat_connection(self, name: str) -> bool:
         """Whether a node leaves a worker's connection open after its answer; the versions before always do."""
         keep = getattr(self.nodes[name], "keep_request_connection", None)
         return keep is None or keep(HEARTBEAT_PATH)
 
-    def kill(self, name: str, back_after: float | None = 5.0, version: Version | None = None) -> None:
+    def kill(self, name: str, restart_after_s: float | None = 5.0, version: Version | None = None) -> None:
         """Ends a process; it comes back as it was, or as another version."""
         self.processes[name] += 1
         self.versions[name] = version or self.versions[name]
-        self.frozen.pop(name, None)
+        self.frozen_until.pop(name, None)
         self.connections[name] = {}
-        for machine in list(self.report_connections[name]):
-            self.every_machine[machine].disconnect()
+        for machine in list(self.heartbeat_connections[name]):
+            self.all_machines[machine].disconnect()
         self.nodes[name] = None
-        if back_after is not None:
-            self.clock.callLater(back_after, self.start, name)
+        if restart_after_s is not None:
+            self.clock.callLater(restart_after_s, self.start, name)
 
     def freeze(self, name: str, seconds: float) -> None:
         """The process stands still while its clocks run on; then all that was due meanwhile comes at once."""
-        self.frozen[name] = self.now + seconds
+        self.frozen_until[name] = self.now + seconds
 
-    def awake(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
+    def run_in_process(self, name: str, function: Callable[..., Any], *arguments: Any) -> None:
         """Calls a function of a process, or has it called when the process goes on."""
         number = self.processes[name]
-        wait = self.frozen.get(name, 0.0) - self.now
+        wait = self.frozen_until.get(name, 0.0) - self.now
         if wait <= 0:
             function(*arguments)
             return
 
         def later() -> None:
             if self.processes[name] == number:
-                self.awake(name, function, *arguments)
+                self.run_in_process(name, function, *arguments)
 
         self.clock.callLater(wait + self.random.uniform(0.0, 0.005), later)
 
@@ -130,12 +130,12 @@
         return next((name for name, node in self.nodes.items() if node is not None and self._leads(name, node)), None)
 
     def _leads(self, name: str, node: Any) -> bool:
-        holds_lease: Callable[[], bool] = self.versions[name].part(node.election, "holds_lease")
+        holds_lease: Callable[[], bool] = self.versions[name].attribute(node.election, "holds_lease")
         return holds_lease()
 
-    def to_node(self, name: str, work: Callable[[], Any]) -> Any:
+    def deliver_to_node(self, name: str, work: Callable[[], Any]) -> Any:
         """A request that came to a process: a frozen one takes it up when it goes on."""
-        if self.frozen.get(name, 0.0) <= self.now:
+        if self.frozen_until.get(name, 0.0) <= self.now:
             return work()
         answered: defer.Deferred = defer.Deferred()
 
@@ -144,15 +144,15 @@
             with contextlib.suppress(ConnectionFailedError, NoResponseError):
                 answered.callback(work())
 
-        self.awake(name, later)
+        self.run_in_process(name, later)
         return answered
 
-    def deliver_report(self, name: str, body: Any) -> Reply:
-        if self.copies and self.random.random() < self.copies:
+    def deliver_heartbeat(self, name: str, body: Any) -> Reply:
+        if self.duplicate_share and self.random.random() < self.duplicate_share:
             # A copy comes late, from seconds to well over a lease, to whatever process is there by then.
-            self.clock.callLater(self.random.uniform(1.0, 40.0), self.copy_report, name, body)
-        if self.now < self.keep_for_next and self.random.random() < 0.1:
-            self.for_next.append(body)
+            self.clock.callLater(self.random.uniform(1.0, 40.0), self.deliver_duplicate, name, body)
+        if self.now < self.keep_heartbeats_until and self.random.random() < 0.1:
+            self.kept_heartbeats.append(body)
         node = self.nodes[name]
         if node is None:
             raise ConnectionFailedError("no process")
@@ -161,14 +161,14 @@
 
     def new_leader(self, name: str) -> None:
         """A leader's first moments: what was kept for it comes to all controllers."""
-        for tell in self.on_leader:
+        for tell in self.leader_listeners:
             tell(name)
-        kept, self.for_next = self.for_next, []
+        kept, self.kept_heartbeats = self.kept_heartbeats, []
         for body in kept:
             for other in self.names:
-                self.clock.callLater(self.random.uniform(0.0, 0.4), self.copy_report, other, body)
+                self.clock.callLater(self.random.uniform(0.0, 0.4), self.deliver_duplicate, other, body)
 
-    def copy_report(self, name: str, body: Any) -> None:
+    def deliver_duplicate(self, name: str, body: Any) -> None:
         node = self.nodes[name]
         if node is not None:
             self.versions[name].handle_heartbeat(node, body)
--- a/tests/simulation/state_service.py
+++ b/tests/simulation/state_service.py
@@ -8,20 +8,20 @@
 from stileloft.transport.client import NoResponseError, Reply
 
 if TYPE_CHECKING:
-    from tests.simulation.world import World
+    from tests.simulation.cluster import SimulatedCluster
 
 
 # What an answer holds at the most, and how many changes are kept for watches.
-MOST_ITEMS = 1000
-MOST_BYTES = 512 * 1024
-MOST_CHANGES = 10_000
+MAX_ITEMS = 1000
+MAX_BYTES = 512 * 1024
+MAX_CHANGES = 10_000
 
 
 class StateService:
     """The key-value store, with leases, watches and outages."""
 
-    def __init__(self, world: "World") -> None:
-        self.world = world
+    def __init__(self, cluster: "SimulatedCluster") -> None:
+        self.cluster = cluster
         self.items: dict[str, tuple[Any, int, int | None]] = {}
         self.revision = 0
         self.leases: dict[int, tuple[float, float]] = {}
@@ -30,70 +30,70 @@
         self.compacted = 0
         """Changes up to this revision are no longer known."""
         self.down_until = 0.0
-        self.refuses: dict[str, float] = {}
-        self.value_bytes = int(world.value_kb * 1024)
+        self.refused_until: dict[str, float] = {}
+        self.value_bytes = int(cluster.value_kb * 1024)
         self.txn_ops = 12
-        self.refused_sizes = 0
+        self.oversized_requests = 0
         self.rps, self.write_rps = 200.0, 60.0
         self.allowed = {"requests": (self.rps, 0.0), "changes": (self.write_rps, 0.0)}
         """What is left of each limit's burst, and when that was counted."""
-        self.refused_rates = 0
+        self.throttled_requests = 0
         self.late_writes = (0.0, 0.0, False)
         """Until when, of which share of the transactions the answer is lost, and whether they are carried out at once;
         else they are 2 s to 12 s later."""
-        self.slow = (0.0, 0.0)
+        self.slow_responses = (0.0, 0.0)
         """Until when answers take up to how long; what they say is read at the start or at the end of that."""
-        world.clock.callLater(0.05, self.expire)
+        cluster.clock.callLater(0.05, self.expire)
 
     def within(self, limit: str, per_s: float, amount: float) -> bool:
         left, at = self.allowed[limit]
-        left = min(per_s, left + (self.world.now - at) * per_s)
+        left = min(per_s, left + (self.cluster.now - at) * per_s)
         taken = left >= amount
-        self.allowed[limit] = left - amount * taken, self.world.now
+        self.allowed[limit] = left - amount * taken, self.cluster.now
         return taken
 
-    def ask(self, caller: str, method: str, path: str, body: Any) -> Any:
+    def receive(self, caller: str, method: str, path: str, body: Any) -> Any:
         """A request as it comes from the network, with the troubles of the service."""
-        world = self.world
+        cluster = self.cluster
         until, share, at_once = self.late_writes
-        if path == "/commit" and world.now < until and world.random.random() < share:
+        if path == "/commit" and cluster.now < until and cluster.random.random() < share:
             if at_once:
                 self.handle(caller, method, path, body)
             else:
-                world.clock.callLater(world.random.uniform(2.0, 12.0), self.handle, caller, method, path, body)
+                cluster.clock.callLater(cluster.random.uniform(2.0, 12.0), self.handle, caller, method, path, body)
             raise NoResponseError("the answer is lost")
-        until, longest = self.slow
-        if world.now >= until:
+        until, longest = self.slow_responses
+        if cluster.now >= until:
             return self.handle(caller, method, path, body)
         answered: defer.Deferred = defer.Deferred()
-        wait = world.random.uniform(0.0, longest)
-        if world.random.random() < 0.5:
+        wait = cluster.random.uniform(0.0, longest)
+        if cluster.random.random() < 0.5:
             early = defer.maybeDeferred(self.handle, caller, method, path, body)
-            world.clock.callLater(wait, early.chainDeferred, answered)
+            cluster.clock.callLater(wait, early.chainDeferred, answered)
         else:
-            world.clock.callLater(
+            cluster.clock.callLater(
                 wait, lambda: defer.maybeDeferred(self.handle, caller, method, path, body).chainDeferred(answered)
             )
         return answered
 
     def down_for(self, caller: str) -> bool:
-        now = self.world.now
-        return now < self.down_until or now < self.refuses.get(caller, 0.0)
+        now = self.cluster.now
+        return now < self.down_until or now < self.refused_until.get(caller, 0.0)
 
     def outage(self, seconds: float) -> None:
-        self.down_until = self.world.now + seconds
+        self.down_until = self.cluster.now + seconds
 
         def renewed() -> None:
             for lease, (life, _) in list(self.leases.items()):
-                self.leases[lease] = life, self.world.now + life
+                self.leases[lease] = life, self.cluster.now + life
 
-        self.world.clock.callLater(seconds, renewed)
+        self.cluster.clock.callLater(seconds, renewed)
 
     def wipe(self, keeps_counting: bool = False) -> None:
         """All records and leases are gone; revisions begin again, unless the service keeps counting."""
         self.restore({}, self.revision if keeps_counting else 0)
 
-    def copy(self) -> tuple[dict[str, tuple[Any, int, int | None]], int]:
+    def backup(self) -> tuple[dict[str, tuple[Any, int, int | None]], int]:
         """The present state, for `restore`."""
         return dict(self.items), self.revision
 
@@ -106,11 +106,11 @@
         self.compacted = 0
 
     def expire(self) -> None:
-        self.world.clock.callLater(0.05, self.expire)
-        if self.world.now < self.down_until:
+        self.cluster.clock.callLater(0.05, self.expire)
+        if self.cluster.now < self.down_until:
             return
         for lease, (_, until) in list(self.leases.items()):
-            if self.world.now >= until:
+            if self.cluster.now >= until:
                 self.end(lease)
 
     def end(self, lease: int) -> None:
@@ -128,7 +128,7 @@
             return Reply(503, {"error": "trouble"})
         changes = len(body["writes"]) if path == "/commit" else 0
         if not self.within("requests", self.rps, 1) or not self.within("changes", self.write_rps, changes):
-            self.refused_rates += 1
+            self.throttled_requests += 1
             return Reply(429, {"error": "too many"})
         path, _, query = path.partition("?")
         arguments = dict(part.split("=", 1) for part in query.split("&") if part)
@@ -139,13 +139,13 @@
             return Reply(200, {"path": path[4:], "v": item[0], "stamp": item[1], "hold": item[2]})
         if path == "/kv":
             since, limit = arguments.get("since", ""), int(arguments.get("limit", 1000))
-            return self.page(arguments["under"], since, min(limit, MOST_ITEMS))
+            return self.page(arguments["under"], since, min(limit, MAX_ITEMS))
         if path == "/commit":
             return self.commit(body)
         if path == "/holds":
             self.next_lease += 1
             life = body["lifeMs"] / 1000
-            self.leases[self.next_lease] = life, self.world.now + life
+            self.leases[self.next_lease] = life, self.cluster.now + life
             return Reply(200, {"hold": self.next_lease})
         if path.startswith("/holds/"):
             lease = int(path.split("/")[2])
@@ -155,7 +155,7 @@
                 self.end(lease)
             else:
                 life = self.leases[lease][0]
-                self.leases[lease] = life, self.world.now + life
+                self.leases[lease] = life, self.cluster.now + life
             return Reply(200, {})
         return self.watch(caller, arguments)
 
@@ -167,18 +167,18 @@
         for key in keys[:limit]:
             value, version, _ = self.items[key]
             size += len(json.dumps(value)) + len(key)
-            if pairs and size > MOST_BYTES:
+            if pairs and size > MAX_BYTES:
                 break
             pairs.append({"path": key, "v": value, "stamp": version})
         return Reply(200, {"pairs": pairs, "more": len(keys) > len(pairs), "epoch": self.revision})
 
     def commit(self, body: Any) -> Reply:
         if len(body["writes"]) > self.txn_ops or len(body["guards"]) > 4 * self.txn_ops:
-            self.refused_sizes += 1
+            self.oversized_requests += 1
             return Reply(400, {"error": "too many operations"})
         for write in body["writes"]:
             if len(json.dumps(write.get("v"))) > self.value_bytes:
-                self.refused_sizes += 1
+                self.oversized_requests += 1
                 return Reply(400, {"error": f"the value of {write.get('set')} is too large"})
             if write.get("hold") is not None and write["hold"] not in self.leases:
                 return Reply(400, {"error": "no such lease"})
@@ -196,19 +196,19 @@
 
     def watch(self, caller: str, arguments: dict[str, str]) -> defer.Deferred:
         since, prefix = int(arguments["since"]), arguments["under"]
-        if len(self.changes) > MOST_CHANGES:
-            self.compacted = self.changes[-MOST_CHANGES - 1][2]
-            del self.changes[:-MOST_CHANGES]
+        if len(self.changes) > MAX_CHANGES:
+            self.compacted = self.changes[-MAX_CHANGES - 1][2]
+            del self.changes[:-MAX_CHANGES]
         if since < self.compacted:
             answer: defer.Deferred = defer.succeed(Reply(410, {"epoch": self.revision}))
             return answer
-        until = self.world.now + int(arguments["blockMs"]) / 1000
+        until = self.cluster.now + int(arguments["blockMs"]) / 1000
         answered: defer.Deferred = defer.Deferred()
 
         def look() -> None:
             news = [c for c in self.changes if c[2] > since and c[0].startswith(prefix)]
-            if self.down_for(caller) or (not news and self.world.now < until):
-                self.world.clock.callLater(0.05, look)
+            if self.down_for(caller) or (not news and self.cluster.now < until):
+                self.cluster.clock.callLater(0.05, look)
                 return
             answered.callback(
                 Reply(
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -29,7 +29,7 @@
 from stileloft.scheduling.scheduling_cycle import UnmetDemand
 from stileloft.scheduling.snapshot import ExpectedTasks, PendingJob, Reservation, Snapshot
 from stileloft.settings import Team
-from tests import reference_model as plain
+from tests import reference_model
 
 SMALL = MachineType("small", 8.0, 32.0, 0.5, 0.2, 30.0, ("a", "b"), 50.0, 1.0)
 LARGE = MachineType("large", 32.0, 128.0, 2.0, 0.9, 30.0, ("a", "b"), 50.0, 1.0)
@@ -144,7 +144,7 @@
     found = preempt(job, machines, usage)
     assert [(n.free_cpus, sorted(t.key for t in n.tasks)) for n in machines] == [(c, sorted(k)) for c, k in before]
     snapshot = Snapshot(0.0, {}, [], TEAMS, usage, {}, {})
-    victims = {n.id: plain.trial(job, n, [], snapshot) for n in machines}
+    victims = {n.id: reference_model.find_victims(job, n, [], snapshot) for n in machines}
     expected = {name: None if tasks is None else sorted(t.key for t in tasks) for name, tasks in victims.items()}
     if usage[team].cpus + cpus > TEAMS[team].cpus_max or all(keys is None for keys in expected.values()):
         assert found is None
@@ -251,7 +251,7 @@
         ExpectedTasks(spec(950 + i, 2.0, priority, kind="gang", spot=False, one_zone=i == 0), random.randrange(6))
         for i, priority in enumerate(random.sample(["idle", "standard", "urgent"], 2))
     ]
-    expected = plain.decide(copy.deepcopy(snapshot), 6, max_preemptions)
+    expected = reference_model.decide(copy.deepcopy(snapshot), 6, max_preemptions)
     before = {name: (machine, machine.free_cpus, list(machine.tasks)) for name, machine in snapshot.machines.items()}
     decision = decide(snapshot, 6, max_preemptions)
     assert decision.placed == expected[0]
@@ -355,7 +355,7 @@
     gangs_placed = gangs_stopped = 0
     for seed in range(400):
         snapshot = random_snapshot(random.Random(seed))
-        expected = plain.decide(copy.deepcopy(snapshot), 50, 8)
+        expected = reference_model.decide(copy.deepcopy(snapshot), 50, 8)
         decision = decide(snapshot, 50, 8)
         assert decision.placed == expected[0], seed
         stopped = [(key, e.machine_id, sorted(v.key for v in e.victims)) for key, e in decision.preemptions]
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -25,11 +25,11 @@
 from stileloft.transport.client import Client, ConnectionFailedError
 from stileloft.workers.fencing import MachineFencing
 from stileloft.workers.heartbeat_responder import MAX_COMMANDS_PER_ANSWER, NO_TOKEN
-from tests.held_starts import busy_world, hold_and_cancel, run_checking_cancellations, submit_small_jobs
-from tests.simulation.network import Hold
-from tests.simulation.world import World
+from tests.held_starts import busy_cluster, delay_starts_and_cancel, run_checking_cancellations, submit_small_jobs
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.network import MessageDelay
 from tests.soak.cluster import COUNTED
-from tests.versions import NEW, production
+from tests.versions import CURRENT, production
 
 # -- tokens ----------------------------------------------------------------------------------------------------------
 
@@ -104,28 +104,28 @@
 # -- authority of a leader -------------------------------------------------------------------------------------------
 
 
-def leading_controller(world: World) -> Controller:
-    name = world.leader()
+def leading_controller(cluster: SimulatedCluster) -> Controller:
+    name = cluster.leader()
     assert name is not None
-    controller = world.nodes[name]
+    controller = cluster.nodes[name]
     assert controller is not None
     return controller
 
 
-def current_leader(world: World) -> Leader:
-    leader = leading_controller(world).leader
+def current_leader(cluster: SimulatedCluster) -> Leader:
+    leader = leading_controller(cluster).leader
     assert leader is not None
     return leader
 
 
 def test_an_attempt_is_forgotten_only_when_its_start_is_fenced() -> None:
     """A delayed start that came after the forget would run the attempt again, perhaps beside a newer attempt."""
-    world = World(seed=31, loss=0.0)
-    world.submit(world.job(1, pieces=1, guessS=400.0))
-    world.run(40)
-    leader = current_leader(world)
-    (name,) = {machine.name for machine in world.rules.where.values()}
-    machine, worker = leader.cluster.machines[name], world.every_machine[name]
+    cluster = SimulatedCluster(seed=31, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=1, guessS=400.0))
+    cluster.run(40)
+    leader = current_leader(cluster)
+    (name,) = {machine.name for machine in cluster.checker.machine_by_task.values()}
+    machine, worker = leader.cluster.machines[name], cluster.all_machines[name]
     placement = next(iter(machine.placements.values()))
     token = machine.token
     delayed_start = msgspec.to_builtins(
@@ -133,31 +133,31 @@
     )
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, False) is Refusal.START_IN_FLIGHT
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is None
-    machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = world.now
+    machine.inflight_starts.by_attempt[placement.task, placement.attempt].in_doubt_since = cluster.now
     assert leader.authority.check_forget(machine, placement.task, placement.attempt, True) is Refusal.START_IN_FLIGHT
     leader.lifecycle.stop(placement, 0.0)
     machine.drain_reason = None
-    world.run(4 * world.LEASE_S + 20.0)
+    cluster.run(4 * cluster.LEASE_S + 20.0)
     assert placement.task not in worker.tasks or worker.tasks[placement.task]["try"] > placement.attempt
     assert worker.token > token, "the attempt was forgotten under a higher token than that of its start"
-    starts = world.rules.starts
+    starts = cluster.checker.starts
     assert worker.command(delayed_start).status == 409
-    world.run(5)
-    assert world.rules.starts == starts
-    assert world.rules.broken == []
+    cluster.run(5)
+    assert cluster.checker.starts == starts
+    assert cluster.checker.violations == []
 
 
 def test_an_answer_without_room_for_all_stops_renews_no_lease(caplog: pytest.LogCaptureFixture) -> None:
     """Stops beyond the limit of an answer are sent directly; answers renew the lease again after that."""
-    world = World(seed=32, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
-    world.run(60)
-    fullest = max(world.cloud.machines.values(), key=lambda machine: len(machine.tasks))
+    cluster = SimulatedCluster(seed=32, loss=0.0, value_kb=16.0)
+    cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    cluster.run(60)
+    fullest = max(cluster.cloud.machines.values(), key=lambda machine: len(machine.tasks))
     assert len(fullest.tasks) > MAX_COMMANDS_PER_ANSWER
-    leader = world.leader()
-    world.cut(leader, fullest.name, 0.0)
+    leader = cluster.leader()
+    cluster.partition(leader, fullest.name, 0.0)
     answers: list[dict[str, Any]] = []
-    deliver = world.deliver_report
+    deliver = cluster.deliver_heartbeat
 
     def record_answers(name: str, body: Any) -> Any:
         reply = deliver(name, body)
@@ -165,16 +165,17 @@
             answers.append(reply.body)
         return reply
 
-    world.deliver_report = record_answers  # type: ignore[method-assign]
-    world.holds.append(Hold(world.now + 7.0, 60.0, 60.0))  # direct commands are delayed at first
-    world.cancel("j-000001")
+    cluster.deliver_heartbeat = record_answers  # type: ignore[method-assign]
+    # Direct commands are delayed at first.
+    cluster.message_delays.append(MessageDelay(cluster.now + 7.0, 60.0, 60.0))
+    cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
-        run_checking_cancellations(world, world.CANCEL_S + 20.0)
+        run_checking_cancellations(cluster, cluster.CANCEL_S + 20.0)
     assert COUNTED["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
-    assert world.rules.broken == []
-    assert world.rules.where == {}
+    assert cluster.checker.violations == []
+    assert cluster.checker.machine_by_task == {}
 
 
 def test_stops_beyond_the_limit_of_an_answer_are_sent_directly_in_time() -> None:
@@ -182,16 +183,16 @@
 
     Otherwise the machine would lose its lease, and with it the tasks of other jobs.
     """
-    world = World(seed=39, loss=0.0, value_kb=16.0)
-    world.submit(world.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
-    world.submit(world.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
-    world.run(60)
-    assert max(len(machine.tasks) for machine in world.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
-    world.cancel("j-000001")
-    run_checking_cancellations(world, 0.6 * World.LEASE_S)
-    assert set(world.rules.where) == {"j-000002/0"}
-    assert world.sessions_lost == 0
-    assert world.rules.starts_by_task["j-000002/0"] == 1
+    cluster = SimulatedCluster(seed=39, loss=0.0, value_kb=16.0)
+    cluster.submit(cluster.job(1, pieces=MAX_COMMANDS_PER_ANSWER + 100, vcpus=0.01, memGb=0.01, guessS=900.0))
+    cluster.submit(cluster.job(2, pieces=1, vcpus=0.5, memGb=0.5, guessS=900.0))
+    cluster.run(60)
+    assert max(len(machine.tasks) for machine in cluster.cloud.machines.values()) > MAX_COMMANDS_PER_ANSWER
+    cluster.cancel("j-000001")
+    run_checking_cancellations(cluster, 0.6 * SimulatedCluster.LEASE_S)
+    assert set(cluster.checker.machine_by_task) == {"j-000002/0"}
+    assert cluster.expired_leases == 0
+    assert cluster.checker.starts_by_task["j-000002/0"] == 1
 
 
 def test_a_start_is_checked_again_after_its_connection_is_made() -> None:
@@ -224,8 +225,8 @@
 
 def test_which_commands_may_be_transmitted_once_connected() -> None:
     """A leader may send stops, and starts if all their conditions hold; a former leader may send nothing."""
-    world = busy_world(36)
-    leader = current_leader(world)
+    cluster = busy_cluster(36)
+    leader = current_leader(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     assert leader.authority.check_transmission([placement], machine) is Refusal.ALREADY_REPORTED
@@ -233,7 +234,7 @@
     assert leader.authority.check_transmission([placement], machine) is None
     leader.tokens._spares.clear()
     assert leader.authority.check_transmission([placement], machine) is Refusal.NO_SPARE_TOKEN
-    leading_controller(world).election._held_until = 0.0
+    leading_controller(cluster).election._held_until = 0.0
     assert leader.authority.check_transmission([placement], machine) is Refusal.LEASE_NOT_CONFIRMED
     assert leader.authority.check_transmission([], machine) is None
     leader.lease.active = False
@@ -241,28 +242,28 @@
 
 
 def test_a_forget_without_a_spare_token_is_no_invariant_violation(no_violations: list[str]) -> None:
-    world = busy_world(37)
-    leader = current_leader(world)
+    cluster = busy_cluster(37)
+    leader = current_leader(cluster)
     machine = next(iter(leader.cluster.machines.values()))
     before = machine.token
     leader.tokens._spares.clear()
-    leader.fencing.fence_for_forgets(machine, world.now)
+    leader.fencing.fence_for_forgets(machine, cluster.now)
     assert machine.token == before
     assert no_violations == []
     leader.tokens.record_commit(10**6)
-    leader.fencing.fence_for_forgets(machine, world.now)
+    leader.fencing.fence_for_forgets(machine, cluster.now)
     assert machine.token > before
     leader.tokens.record_commit(10**6 + 1)
-    leader.fencing.fence_for_forgets(machine, world.now + 0.1)
+    leader.fencing.fence_for_forgets(machine, cluster.now + 0.1)
     assert machine.token == 10**6, "at most once per lease, since each one takes a heartbeat"
 
 
 def test_provisioning_and_releases_are_checked_again_after_connecting() -> None:
     """A leader that was replaced while connecting would provision twice, or release its successor's machines."""
-    world = busy_world(38)
-    leader = current_leader(world)
+    cluster = busy_cluster(38)
+    leader = current_leader(cluster)
     requested_paths: list[str] = []
-    controller = leading_controller(world)
+    controller = leading_controller(cluster)
     client = controller.clients.cloud._client
     request = client.request
 
@@ -273,23 +274,23 @@
         controller.election._held_until = 0.0  # its lease ends while the connection is made
         return await request(method, address, path, body, timeout_s, is_wanted)
 
-    machines = set(world.cloud.machines)
+    machines = set(cluster.cloud.machines)
     client.request = end_lease_while_connecting
     leader.releaser.release(next(iter(leader.cluster.machines.values())), "a test")
-    world.run(0.1)
-    controller.election._record_renewal(world.now)
+    cluster.run(0.1)
+    controller.election._record_renewal(cluster.now)
     leader.provisioner.provision(("small", "a", True), 1)
-    world.run(0.1)
+    cluster.run(0.1)
     assert requested_paths == ["/hosts/release", "/hosts"]
-    assert set(world.cloud.machines) == machines
+    assert set(cluster.cloud.machines) == machines
 
 
 def test_a_leader_marks_a_job_cancelled_before_it_answers_the_user() -> None:
-    world = busy_world(33)
-    leader = current_leader(world)
+    cluster = busy_cluster(33)
+    leader = current_leader(cluster)
     job = leader.cluster.jobs["j-000001"]
     seen: list[str | None] = []
-    node = leading_controller(world)
+    node = leading_controller(cluster)
     admission = node.admission
     record = admission.outcomes.record
 
@@ -298,50 +299,50 @@
         return record(job_id, value)
 
     admission.outcomes.record = record_phase  # type: ignore[method-assign]
-    world.rules.cancelling("j-000001")
+    cluster.checker.cancel_requested("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
-    world.run(1.0)
+    cluster.run(1.0)
     assert seen
     assert seen[0] is not None
 
 
 def test_a_leader_without_a_spare_token_rewrites_a_record_to_get_one() -> None:
-    world = busy_world(34)
-    leader = current_leader(world)
+    cluster = busy_cluster(34)
+    leader = current_leader(cluster)
     leader.tokens._spares.clear()
     commits = leader.commit_queue.commits
-    world.submit(world.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
-    world.run(0.2)
+    cluster.submit(cluster.job(200, pieces=1, vcpus=0.5, memGb=0.5, guessS=5.0))
+    cluster.run(0.2)
     leader.tokens._spares.clear()  # as if the machine had already been given the newest token
-    world.run(20)
+    cluster.run(20)
     assert leader.commit_queue.commits > commits
-    assert "j-000200/0" in world.rules.done
+    assert "j-000200/0" in cluster.checker.completed_tasks
     assert leader.fencing.machines_awaiting_token == {}
 
 
 def test_the_patterns_of_the_soak_match_the_log_lines(caplog: pytest.LogCaptureFixture) -> None:
-    world = busy_world(48)
+    cluster = busy_cluster(48)
     with caplog.at_level(logging.INFO):
-        hold_and_cancel(world)
-        run_checking_cancellations(world, 60.0)
+        delay_starts_and_cancel(cluster)
+        run_checking_cancellations(cluster, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
         assert COUNTED[name].search(caplog.text), name
 
 
 def test_the_status_shows_starts_in_doubt() -> None:
-    world = busy_world(35)
-    world.holds.append(Hold(world.now + 3.0, 45.0, 45.0, verb="launch"))
-    submit_small_jobs(world)
-    world.run(7)
-    commands = current_leader(world).status()["commands"]
+    cluster = busy_cluster(35)
+    cluster.message_delays.append(MessageDelay(cluster.now + 3.0, 45.0, 45.0, verb="launch"))
+    submit_small_jobs(cluster)
+    cluster.run(7)
+    commands = current_leader(cluster).status()["commands"]
     assert commands["starts_in_doubt"] >= commands["in_doubt_now"] > 0
     assert commands["starts_sent"] > commands["starts_answered"]
     row = commands["in_doubt"][0]
-    assert row["first_sent_at"] < row["in_doubt_since"] <= world.now
+    assert row["first_sent_at"] < row["in_doubt_since"] <= cluster.now
     assert row["token"] > 0
     assert row["epoch"] == 1
     # The status as the administration API answers it.
-    status = orjson.loads(orjson.dumps(leading_controller(world).administration.status()))
+    status = orjson.loads(orjson.dumps(leading_controller(cluster).administration.status()))
     assert status["invariants"] == {"violations": {}, "newest": []}
     assert status["leadership"]["commands"] == commands
     assert status["leadership"]["knowledge"]["watch_revision"] > 0
@@ -350,41 +351,41 @@
 # -- versions, and loss of the store ---------------------------------------------------------------------------------
 
 
-def cancel_jobs_with_held_starts(world: World) -> None:
+def cancel_jobs_with_delayed_starts(cluster: SimulatedCluster) -> None:
     """Cancels jobs whose starts are delayed, so that the leader issues spare tokens to fence the starts."""
-    hold_and_cancel(world)
-    world.run(4)
-    assert current_leader(world).tokens.issued_count > 0
+    delay_starts_and_cancel(cluster)
+    cluster.run(4)
+    assert current_leader(cluster).tokens.issued_count > 0
 
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_version_in_production_leads_after_spare_tokens_were_issued(seed: int) -> None:
     """The version in production has no spare tokens: its token, the version of its key, is above all issued ones."""
-    world = busy_world(40 + seed)
-    cancel_jobs_with_held_starts(world)
-    raised = current_leader(world).tokens.highest_issued
-    for name in world.names:
-        world.kill(name, 0.3, production() or NEW)
-    run_checking_cancellations(world, 100.0)
-    leader = world.leader()
+    cluster = busy_cluster(40 + seed)
+    cancel_jobs_with_delayed_starts(cluster)
+    raised = current_leader(cluster).tokens.highest_issued
+    for name in cluster.names:
+        cluster.kill(name, 0.3, production() or CURRENT)
+    run_checking_cancellations(cluster, 100.0)
+    leader = cluster.leader()
     assert leader is not None
-    assert world.nodes[leader].election.token > raised
-    assert world.rules.broken == []
-    assert world.rules.refused_starts["token"] > 0
+    assert cluster.nodes[leader].election.token > raised
+    assert cluster.checker.violations == []
+    assert cluster.checker.refused_starts["token"] > 0
 
 
 def test_a_store_lost_after_spare_tokens_were_issued_is_rebuilt() -> None:
     """The leader of the highest known token counts as the last one, also if that token was a spare token."""
-    world = busy_world(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
-    cancel_jobs_with_held_starts(world)
-    running, tokens = set(world.rules.where), leading_controller(world).rebuild.tokens
-    assert tokens.last_term_token == current_leader(world).tokens.highest_issued == tokens.highest
-    world.state.wipe()
-    run_checking_cancellations(world, 100.0)
-    assert current_leader(world).tokens.first > tokens.last_term_token - 1
-    assert world.rules.broken == []
-    assert running <= set(world.rules.where), "running tasks are kept"
+    cluster = busy_cluster(44, features=Features(rebuild=RebuildFeature(enabled=True, follow_s=0.1)))
+    cancel_jobs_with_delayed_starts(cluster)
+    running, tokens = set(cluster.checker.machine_by_task), leading_controller(cluster).rebuild.tokens
+    assert tokens.last_term_token == current_leader(cluster).tokens.highest_issued == tokens.highest
+    cluster.state.wipe()
+    run_checking_cancellations(cluster, 100.0)
+    assert current_leader(cluster).tokens.first > tokens.last_term_token - 1
+    assert cluster.checker.violations == []
+    assert running <= set(cluster.checker.machine_by_task), "running tasks are kept"
 
 
 # -- invariants -------------------------------------------------------------------------------------------------------
@@ -398,13 +399,13 @@
     Such an answer is refused, and the end of the worker's lease fences the start.
     """
     monkeypatch.setattr(MachineFencing, "fence_starts_of_ended_jobs", lambda *_: True)
-    world = busy_world(45)
-    hold_and_cancel(world)
-    run_checking_cancellations(world, 80.0)
+    cluster = busy_cluster(45)
+    delay_starts_and_cancel(cluster)
+    run_checking_cancellations(cluster, 80.0)
     assert {line.partition(":")[0] for line in no_violations} == {Invariant.RENEWAL_FENCES.name}
-    assert world.rules.broken == []
-    assert world.sessions_lost > 0
-    assert leading_controller(world).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
+    assert cluster.checker.violations == []
+    assert cluster.expired_leases > 0
+    assert leading_controller(cluster).administration.status()["invariants"]["violations"]["RENEWAL_FENCES"] > 0
     no_violations.clear()
 
 
@@ -417,11 +418,11 @@
         lambda _, placement, __: None if placement.state == PlacementState.BOUND else Refusal.ALREADY_REPORTED,
     )
     monkeypatch.setattr(Authority, "check_transmission", lambda *_: None)
-    world = busy_world(46)
-    hold_and_cancel(world)
-    run_checking_cancellations(world, 60.0)
+    cluster = busy_cluster(46)
+    delay_starts_and_cancel(cluster)
+    run_checking_cancellations(cluster, 60.0)
     assert Invariant.NO_START_AFTER_END.name in {line.partition(":")[0] for line in no_violations}
-    assert world.rules.broken == []
+    assert cluster.checker.violations == []
     no_violations.clear()
 
 
@@ -443,14 +444,14 @@
 
 
 def test_a_fenced_start_that_runs_is_reported(no_violations: list[str]) -> None:
-    world = busy_world(47)
-    leader = current_leader(world)
+    cluster = busy_cluster(47)
+    leader = current_leader(cluster)
     machine = next(m for m in leader.cluster.machines.values() if m.placements)
     placement = next(iter(machine.placements.values()))
     leader.fencing.record_fenced(
         machine, Placement(placement.job, placement.index, placement.attempt, machine.id, "a", True)
     )
-    world.run(5)
+    cluster.run(5)
     assert no_violations
     assert no_violations[0].startswith(Invariant.FENCED_STAYS_FENCED.name)
     assert Machine("n").fenced_starts == {}
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -11,9 +11,9 @@
 from stileloft.model.placements import Placement, PlacementState
 from stileloft.protocol.messages import MachineType, parse_heartbeat, parse_job
 from stileloft.settings import Team
+from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.gangs import Gang
 from tests.simulation.workers import Machine
-from tests.simulation.world import World
 from tests.test_rules import (
     block_traffic_to_machines,
     crash_leader,
@@ -32,7 +32,7 @@
 )
 
 
-def gang_job(world: World, number: int, **changes: object) -> dict:
+def gang_job(cluster: SimulatedCluster, number: int, **changes: object) -> dict:
     fields = {
         "lane": "solver",
         "shape": "gang",
@@ -45,28 +45,32 @@
         "snapshotS": 4.0,
         "stashS": 1.0,
     } | changes
-    return world.job(number, **fields)
+    return cluster.job(number, **fields)
 
 
-def submit_gangs(world: World, first: int = 100, count: int = 8, every: float = 4.0) -> None:
+def submit_gangs(cluster: SimulatedCluster, first: int = 100, count: int = 8, every: float = 4.0) -> None:
     for number in range(count):
         pieces = (2, 4, 6, 3)[number % 4]
         # In turn: one zone; any zones; urgent, spot machines allowed; no checkpoints.
         changes = ({}, {"together": False}, {"loaner": True, "urgency": "urgent"}, {"snapshotS": 0.0, "stashS": 0.0})
-        body = gang_job(world, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4])
-        world.clock.callLater(2.0 + number * every, world.submit, body)
+        body = gang_job(
+            cluster, first + number, pieces=pieces, crew=("core", "edge")[number % 2], **changes[number % 4]
+        )
+        cluster.clock.callLater(2.0 + number * every, cluster.submit, body)
 
 
-def act_on_first_gang(world: World, matches: Callable[[Gang], bool], action: Callable[[Gang], None]) -> list[float]:
+def act_on_first_gang(
+    cluster: SimulatedCluster, matches: Callable[[Gang], bool], action: Callable[[Gang], None]
+) -> list[float]:
     """Calls `action` with the first gang attempt that matches; returns a list that then gets the time."""
     acted_at: list[float] = []
 
     def poll() -> None:
-        found = next((g for g in list(world.gangs.values()) if matches(g)), None)
+        found = next((g for g in list(cluster.gangs.values()) if matches(g)), None)
         if found is None:
-            world.clock.callLater(0.02, poll)
+            cluster.clock.callLater(0.02, poll)
         else:
-            acted_at.append(world.now)
+            acted_at.append(cluster.now)
             action(found)
 
     poll()
@@ -78,36 +82,36 @@
 
 
 def is_running(g: Gang) -> bool:
-    return g.running_since is not None and not g.over and g.at() > 5.0
+    return g.running_since is not None and not g.finished and g.current_progress() > 5.0
 
 
 def is_stopping(g: Gang) -> bool:
-    return bool(g.told) and not g.over
+    return bool(g.stopping_since) and not g.finished
 
 
 def has_a_done_task(g: Gang) -> bool:
-    return g.over and any(f"{name}" in g.world.rules.done for name in g.members)
+    return g.finished and any(f"{name}" in g.cluster.checker.completed_tasks for name in g.members)
 
 
 def crash_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
-    g.world.cloud.machines.pop(machine.name, None)
+    g.cluster.cloud.machines.pop(machine.name, None)
     machine.die()
 
 
 def reclaim_one_machine(g: Gang) -> None:
     machine = next(iter(g.members.values()))[0]
-    machine.notice = g.world.now + 7.0
+    machine.preempted_at = g.cluster.now + 7.0
 
     def reclaim() -> None:
-        g.world.cloud.machines.pop(machine.name, None)
+        g.cluster.cloud.machines.pop(machine.name, None)
         machine.die()
 
-    g.world.clock.callLater(7.0, reclaim)
+    g.cluster.clock.callLater(7.0, reclaim)
 
 
 def crash_the_leader(g: Gang) -> None:
-    crash_leader(g.world)
+    crash_leader(g.cluster)
 
 
 PHASES = {
@@ -124,82 +128,82 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_a_fault_in_each_phase_of_a_gang(phase: str, fault: str) -> None:
     (phase_number, in_phase), (fault_number, inject) = PHASES[phase], FAULTS[fault]
-    world = World(seed=phase_number + fault_number, loss=0.004)
-    submit_gangs(world)
+    cluster = SimulatedCluster(seed=phase_number + fault_number, loss=0.004)
+    submit_gangs(cluster)
     if phase == "stopping":
-        act_on_first_gang(world, is_running, reclaim_one_machine)
-    injected_at = act_on_first_gang(world, in_phase, inject)
-    run_until_jobs_end(world, 300)
+        act_on_first_gang(cluster, is_running, reclaim_one_machine)
+    injected_at = act_on_first_gang(cluster, in_phase, inject)
+    run_until_jobs_end(cluster, 300)
     assert injected_at
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
 
 
 @pytest.mark.parametrize("progress", ["partly committed", "committed, partly started"])
 def test_failover_while_a_gang_is_placed(progress: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A partly committed gang has started nothing and is withdrawn; of a partly started one, the rest is started."""
-    world = World(seed=31, loss=0.0, value_kb=1.0, coming={"txn_ops": 4, "value_kb": 1.0})
-    handle, start = world.state.handle, Machine.start
+    cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, upcoming_limits={"txn_ops": 4, "value_kb": 1.0})
+    handle, start = cluster.state.handle, Machine.start
     commits: list[float] = []
     starts: list[float] = []
 
     def kill_leader_at_commit(caller: str, method: str, path: str, body: dict) -> object:
         if path == "/commit" and any("tasks/j-000001/" in write.get("set", "") for write in body["writes"]):
-            commits.append(world.now)
+            commits.append(cluster.now)
             if len(commits) == 1 and progress == "partly committed":
-                world.clock.callLater(0.0, world.kill, caller, 1.0)
+                cluster.clock.callLater(0.0, cluster.kill, caller, 1.0)
         return handle(caller, method, path, body)
 
     def kill_leader_at_start(machine: Machine, name: str, attempt: int, known: dict | None) -> None:
-        starts.append(world.now)
+        starts.append(cluster.now)
         if len(starts) == 1 and progress != "partly committed":
-            world.kill(world.leader(), 1.0)
+            cluster.kill(cluster.leader(), 1.0)
         start(machine, name, attempt, known)
 
-    world.state.handle = kill_leader_at_commit  # type: ignore[method-assign]
+    cluster.state.handle = kill_leader_at_commit  # type: ignore[method-assign]
     monkeypatch.setattr(Machine, "start", kill_leader_at_start)
-    world.submit(gang_job(world, 1, pieces=24))
+    cluster.submit(gang_job(cluster, 1, pieces=24))
     while not commits:
-        world.run(0.5)
-    assert {len(starts), len(world.gangs)} == {0} or progress != "partly committed"
-    run_until_jobs_end(world, 200)
-    assert world.rules.broken == []
-    assert world.rules.last["j-000001"] == "done"
+        cluster.run(0.5)
+    assert {len(starts), len(cluster.gangs)} == {0} or progress != "partly committed"
+    run_until_jobs_end(cluster, 200)
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase["j-000001"] == "done"
     # A withdrawn gang runs in a second attempt; a partly started one goes on in its first.
-    assert sorted(attempt for _, attempt in world.gangs) == ([2] if progress == "partly committed" else [1])
+    assert sorted(attempt for _, attempt in cluster.gangs) == ([2] if progress == "partly committed" else [1])
 
 
 def test_a_new_leader_stops_nothing_before_it_has_read_the_store() -> None:
     """Heartbeats that came before the store was read used to make the leader stop their tasks as unknown."""
-    world = World(seed=32, loss=0.0)
-    world.submit(world.job(1, pieces=6, guessS=600.0))
-    world.submit(gang_job(world, 2, guessS=600.0))
-    world.run(60)
-    assert len(world.rules.where) >= 6
-    before = dict(world.rules.where)
-    handle = world.state.handle
+    cluster = SimulatedCluster(seed=32, loss=0.0)
+    cluster.submit(cluster.job(1, pieces=6, guessS=600.0))
+    cluster.submit(gang_job(cluster, 2, guessS=600.0))
+    cluster.run(60)
+    assert len(cluster.checker.machine_by_task) >= 6
+    before = dict(cluster.checker.machine_by_task)
+    handle = cluster.state.handle
 
     def delay_reads(caller: str, method: str, path: str, body: object) -> object:
         answer = handle(caller, method, path, body)
         if not path.startswith("/kv?under=tasks/"):
             return answer
         delayed: defer.Deferred = defer.Deferred()
-        world.clock.callLater(1.2, delayed.callback, answer)
+        cluster.clock.callLater(1.2, delayed.callback, answer)
         return delayed
 
-    world.state.handle = delay_reads  # type: ignore[method-assign]
-    leader = world.leader()
-    world.kill(leader, 0.2)
-    for machine in world.cloud.machines.values():
-        world.clock.callLater(0.8, machine.send_report)
+    cluster.state.handle = delay_reads  # type: ignore[method-assign]
+    leader = cluster.leader()
+    cluster.kill(leader, 0.2)
+    for machine in cluster.cloud.machines.values():
+        cluster.clock.callLater(0.8, machine.send_heartbeat)
         machine.target = leader
-    world.run(6)
-    assert world.leader() is not None
-    assert world.rules.broken == []
-    assert {task: world.rules.where.get(task) for task in before} == before
+    cluster.run(6)
+    assert cluster.leader() is not None
+    assert cluster.checker.violations == []
+    assert {task: cluster.checker.machine_by_task.get(task) for task in before} == before
 
 
-FAULT_SEQUENCES: dict[str, tuple[int, list[Callable[[World], None]]]] = {
+FAULT_SEQUENCES: dict[str, tuple[int, list[Callable[[SimulatedCluster], None]]]] = {
     "no faults": (55, []),
     "machines crash": (62, [crash_machines, crash_machines]),
     "machines hang for longer than the lease": (78, [hang_two_machines(20.0), crash_leader]),
@@ -223,63 +227,63 @@
 @pytest.mark.parametrize("name", FAULT_SEQUENCES)
 def test_rules_hold_for_gangs_under_a_sequence_of_faults(name: str) -> None:
     seed, faults = FAULT_SEQUENCES[name]
-    world = World(seed=seed, loss=0.004)
-    submit_mixed_jobs(world, jobs=12)
-    submit_gangs(world, count=10)
+    cluster = SimulatedCluster(seed=seed, loss=0.004)
+    submit_mixed_jobs(cluster, jobs=12)
+    submit_gangs(cluster, count=10)
     for number, fault in enumerate(faults):
-        world.clock.callLater(33.0 + 9.0 * number, fault, world)
-    world.clock.callLater(34.0, world.cancel, "j-000101")
-    world.clock.callLater(45.0, world.cancel, "j-000104")
-    world.rules.troubled_until = 110.0
-    run_until_jobs_end(world)
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+        cluster.clock.callLater(33.0 + 9.0 * number, fault, cluster)
+    cluster.clock.callLater(34.0, cluster.cancel, "j-000101")
+    cluster.clock.callLater(45.0, cluster.cancel, "j-000104")
+    cluster.checker.faults_until = 110.0
+    run_until_jobs_end(cluster)
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
 
 
 def test_a_preempted_gang_checkpoints_together_and_resumes() -> None:
     """Urgent work preempts the gang: all its tasks are stopped at once, and no progress is lost."""
-    world = World(seed=41, loss=0.0)
-    world.cloud.most = 1
-    world.cloud.kinds = {"large"}
-    world.submit(gang_job(world, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
-    world.lengths["j-000001/0"] = 40.0
-    world.run(45)
-    assert [g.running_since is not None for g in world.gangs.values()] == [True]
-    world.submit(world.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
-    run_until_jobs_end(world, 250)
-    assert world.rules.broken == []
-    assert set(world.rules.last.values()) == {"done"}
-    assert world.lost_gangs == 0
-    assert world.saved["j-000001"] > 4.0
-    assert len(world.gangs) == 2
-    assert world.rules.final_at["j-000002"] < world.rules.final_at["j-000001"]
+    cluster = SimulatedCluster(seed=41, loss=0.0)
+    cluster.cloud.max_machines = 1
+    cluster.cloud.available_types = {"large"}
+    cluster.submit(gang_job(cluster, 1, pieces=4, vcpus=6.0, builds=["large"], guessS=40.0, together=False))
+    cluster.run_times["j-000001/0"] = 40.0
+    cluster.run(45)
+    assert [g.running_since is not None for g in cluster.gangs.values()] == [True]
+    cluster.submit(cluster.job(2, urgency="urgent", pieces=2, vcpus=14.0, guessS=8.0, builds=["large"]))
+    run_until_jobs_end(cluster, 250)
+    assert cluster.checker.violations == []
+    assert set(cluster.checker.last_phase.values()) == {"done"}
+    assert cluster.gang_rollbacks == 0
+    assert cluster.saved_progress["j-000001"] > 4.0
+    assert len(cluster.gangs) == 2
+    assert cluster.checker.final_at["j-000002"] < cluster.checker.final_at["j-000001"]
 
 
 def test_a_gang_starts_only_when_all_its_tasks_have_room() -> None:
     """With room for seven of eight tasks none starts; small tasks that fill the gaps do not starve the gang."""
-    world = World(seed=42, loss=0.0)
-    world.cloud.most = 1
-    world.cloud.kinds = {"large"}
+    cluster = SimulatedCluster(seed=42, loss=0.0)
+    cluster.cloud.max_machines = 1
+    cluster.cloud.available_types = {"large"}
     for number in range(90):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 2.0 * number,
-            world.submit,
-            world.job(
+            cluster.submit,
+            cluster.job(
                 1000 + number, pieces=2, vcpus=4.0, guessS=7.0, builds=["large"], crew=("core", "edge")[number % 2]
             ),
         )
-    wide = gang_job(world, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
-    world.clock.callLater(40.0, world.submit, wide)
-    while world.now < 300 and not world.rules.is_final("j-000001"):
-        world.run(2.0)
-    assert world.rules.begun_at["j-000001"] - world.rules.submitted_at["j-000001"] < 240
-    (attempt,) = world.gangs.values()
-    assert world.rules.broken == []
-    assert max(attempt.gathered) - min(attempt.gathered) < 3.0
+    wide = gang_job(cluster, 1, pieces=8, vcpus=4.0, builds=["large"], loaner=True, guessS=10.0)
+    cluster.clock.callLater(40.0, cluster.submit, wide)
+    while cluster.now < 300 and not cluster.checker.is_final("j-000001"):
+        cluster.run(2.0)
+    assert cluster.checker.started_at["j-000001"] - cluster.checker.submitted_at["j-000001"] < 240
+    (attempt,) = cluster.gangs.values()
+    assert cluster.checker.violations == []
+    assert max(attempt.waiting_since) - min(attempt.waiting_since) < 3.0
 
 
 def job_with_placements(states: list[tuple[int, str, bool]], tasks: int, size: int = 3) -> Job:
-    body = World.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
+    body = SimulatedCluster.job(None, 1, shape="gang", pieces=tasks)  # type: ignore[arg-type]
     job = Job(parse_job(body), 0.0, size)
     for index, (attempt, state, done) in enumerate(states):
         placement = Placement(job.id, index, attempt, "n-0", "a", False, state, done=done)
@@ -315,7 +319,7 @@
     types = {"small": MachineType("small", 8.0, 32.0, 0.5, 0.2, 30.0, ("a", "b"))}
 
     def reason(**changes: object) -> str | None:
-        body = World.job(None, 1, shape="gang", pieces=4, vcpus=4.0, crew="core") | changes  # type: ignore[arg-type]
+        body = SimulatedCluster.job(None, 1, shape="gang", pieces=4, vcpus=4.0, crew="core") | changes  # type: ignore[arg-type]
         return infeasibility_reason(parse_job(body), teams, types, 4096)
 
     assert reason() is None
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -8,14 +8,16 @@
 from tests.held_starts import (
     SCENARIOS,
     SMALL_JOBS,
-    busy_world,
-    hold_and_cancel,
+    busy_cluster,
+    delay_starts_and_cancel,
     run_checking_cancellations,
     run_scenario,
 )
 
-SCENARIOS_WITH_HELD_STARTS = [
-    name for name, scenario in SCENARIOS.items() if scenario.hold is SCENARIOS["starts delayed, heartbeats arrive"].hold
+SCENARIOS_WITH_DELAYED_STARTS = [
+    name
+    for name, scenario in SCENARIOS.items()
+    if scenario.delay is SCENARIOS["starts delayed, heartbeats arrive"].delay
 ]
 """Scenarios that delay the starts for longer than the cancellation bound of their jobs."""
 
@@ -23,22 +25,22 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_delayed_start_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
     """As in the incident: heartbeats arrive, each answer carries a stop, and the start comes after all of them."""
-    world = busy_world(seed)
-    jobs = hold_and_cancel(world, 45.0, 80.0)
-    run_checking_cancellations(world, 100.0)
-    assert set(jobs) <= world.rules.cancelled_at.keys()
-    assert world.rules.broken == []
+    cluster = busy_cluster(seed)
+    jobs = delay_starts_and_cancel(cluster, 45.0, 80.0)
+    run_checking_cancellations(cluster, 100.0)
+    assert set(jobs) <= cluster.checker.cancelled_at.keys()
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_a_delayed_command_together_with_another_fault(name: str, seed: int) -> None:
-    world, outcome = run_scenario(SCENARIOS[name], seed)
+    cluster, outcome = run_scenario(SCENARIOS[name], seed)
     assert outcome.broken == ()
     assert outcome.cancelled == SMALL_JOBS
     assert outcome.longest_fraction <= 1.0
-    assert world.rules.started_after == []
-    if name in SCENARIOS_WITH_HELD_STARTS:
+    assert cluster.checker.late_starts == []
+    if name in SCENARIOS_WITH_DELAYED_STARTS:
         assert outcome.refused_by_token + outcome.refused_by_epoch > 0, "no delayed start reached a worker"
 
 
@@ -47,29 +49,31 @@
 )
 def test_fencing_a_start_does_not_disturb_other_tasks_of_the_machine(name: str) -> None:
     """Other tasks of the machine go on while a start is fenced: no epoch ends, and no task restarts."""
-    world, outcome = run_scenario(SCENARIOS[name], 3)
+    cluster, outcome = run_scenario(SCENARIOS[name], 3)
     assert outcome.refused_by_token > 0
     assert outcome.long_tasks_lost == 0
-    assert world.sessions_lost == 0
+    assert cluster.expired_leases == 0
 
 
 def test_a_start_that_is_hours_late_is_refused() -> None:
-    world = busy_world(4)
-    held: list[Callable[[], Any]] = []
-    send = world.send
+    cluster = busy_cluster(4)
+    delayed: list[Callable[[], Any]] = []
+    send = cluster.send
 
-    def record_held(source: str, target: str, work: Callable[[], Any], held_s: tuple[float, float] = (0.0, 0.0)) -> Any:
-        if held_s[0] > 0.0:
-            held.append(work)
-        return send(source, target, work, held_s)
+    def record_delayed(
+        source: str, target: str, work: Callable[[], Any], delays_s: tuple[float, float] = (0.0, 0.0)
+    ) -> Any:
+        if delays_s[0] > 0.0:
+            delayed.append(work)
+        return send(source, target, work, delays_s)
 
-    world.send = record_held  # type: ignore[method-assign]
-    hold_and_cancel(world, 7200.0, 7200.0)
-    run_checking_cancellations(world, 60.0)
-    assert held, "no message was delayed"
-    starts, refused = world.rules.starts, world.rules.refused_starts["token"]
-    for deliver in held:
+    cluster.send = record_delayed  # type: ignore[method-assign]
+    delay_starts_and_cancel(cluster, 7200.0, 7200.0)
+    run_checking_cancellations(cluster, 60.0)
+    assert delayed, "no message was delayed"
+    starts, refused = cluster.checker.starts, cluster.checker.refused_starts["token"]
+    for deliver in delayed:
         deliver()  # the worker has stored a higher token, so the delay does not matter
-    run_checking_cancellations(world, 10.0)
-    assert world.rules.starts == starts
-    assert world.rules.refused_starts["token"] > refused
+    run_checking_cancellations(cluster, 10.0)
+    assert cluster.checker.starts == starts
+    assert cluster.checker.refused_starts["token"] > refused
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -9,56 +9,56 @@
 from stileloft.protocol import messages
 from stileloft.scheduling.decision_applier import DecisionApplier
 from stileloft.transport.client import NoResponseError, Reply
-from tests.simulation.deployment import TYPES
+from tests.simulation.cluster import SimulatedCluster
+from tests.simulation.deployment import MACHINE_TYPES
 from tests.simulation.workers import Machine
-from tests.simulation.world import World
 from tests.test_rules import crash_leader, hang_machines, reclaim_spot_machines, run_until_jobs_end, submit_mixed_jobs
 
-CANCEL_S = World.CANCEL_S
+CANCEL_S = SimulatedCluster.CANCEL_S
 
 # -- faults ------------------------------------------------------------------------------------------------------
 
-Fault = Callable[[World], None]
+Fault = Callable[[SimulatedCluster], None]
 
 
-def submit_long_jobs(world: World, jobs: int = 9) -> None:
+def submit_long_jobs(cluster: SimulatedCluster, jobs: int = 9) -> None:
     """Submits jobs that still run when the faults are over."""
     for number in range(jobs):
-        world.clock.callLater(
+        cluster.clock.callLater(
             1.0 + 0.5 * number,
-            world.submit,
-            world.job(number, pieces=3, vcpus=3.0, guessS=150.0, crew=("core", "edge")[number % 2]),
+            cluster.submit,
+            cluster.job(number, pieces=3, vcpus=3.0, guessS=150.0, crew=("core", "edge")[number % 2]),
         )
 
 
-def every_nth_machine(world: World, step: int = 2) -> list:
-    return [m for m in world.cloud.machines.values() if m.up][::step]
+def every_nth_machine(cluster: SimulatedCluster, step: int = 2) -> list:
+    return [m for m in cluster.cloud.machines.values() if m.up][::step]
 
 
-def no_fault(world: World) -> None:
+def no_fault(cluster: SimulatedCluster) -> None:
     pass
 
 
-def refuse_leader(world: World, seconds: float = 14.0) -> None:
-    name = world.leader()
+def refuse_leader(cluster: SimulatedCluster, seconds: float = 14.0) -> None:
+    name = cluster.leader()
     if name is not None:
-        world.state.refuses[name] = world.now + seconds
+        cluster.state.refused_until[name] = cluster.now + seconds
 
 
-def run_checking_cancellations(world: World, seconds: float) -> None:
-    end = world.now + seconds
-    while world.now < end:
-        world.run(0.25)
-        world.rules.check_cancelled()
+def run_checking_cancellations(cluster: SimulatedCluster, seconds: float) -> None:
+    end = cluster.now + seconds
+    while cluster.now < end:
+        cluster.run(0.25)
+        cluster.checker.check_cancelled()
 
 
 def outage(seconds: float) -> Fault:
-    return lambda world: world.state.outage(seconds)
+    return lambda cluster: cluster.state.outage(seconds)
 
 
 def slow_state_service(seconds: float, longest_s: float = 0.6) -> Fault:
-    def start(world: World) -> None:
-        world.state.slow = world.now + seconds, longest_s
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.state.slow_responses = cluster.now + seconds, longest_s
 
     return start
 
@@ -66,8 +66,8 @@
 def delay_writes(seconds: float, share: float, at_once: bool = False) -> Fault:
     """Returns a fault: a share of the commits gets no answer and is executed late, or `at_once`."""
 
-    def start(world: World) -> None:
-        world.state.late_writes = world.now + seconds, share, at_once
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.state.late_writes = cluster.now + seconds, share, at_once
 
     return start
 
@@ -75,8 +75,8 @@
 def query_all_after_answers(seconds: float) -> Fault:
     """Returns a fault: users query all controllers and submit again within milliseconds of each relevant answer."""
 
-    def start(world: World) -> None:
-        world.close_looks = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.dense_polling_until = cluster.now + seconds
 
     return start
 
@@ -84,15 +84,15 @@
 def replay_heartbeats_to_next_leader(seconds: float) -> Fault:
     """Returns a fault: a tenth of the heartbeats is delivered again to all controllers when the next leader starts."""
 
-    def start(world: World) -> None:
-        world.keep_for_next = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.keep_heartbeats_until = cluster.now + seconds
 
     return start
 
 
 def delay_commands(seconds: float, longest_s: float = 9.0) -> Fault:
-    def start(world: World) -> None:
-        world.slow_commands = world.now + seconds, longest_s
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.slow_commands = cluster.now + seconds, longest_s
 
     return start
 
@@ -100,31 +100,31 @@
 def set_boot_failures(seconds: float, never: float, late: float, boot_s: float) -> Fault:
     """Returns a fault: the share `never` of new machines does not boot, the share `late` boots late."""
 
-    def start(world: World) -> None:
-        world.cloud.boots_until, world.cloud.boots = world.now + seconds, (never, late, boot_s)
+    def start(cluster: SimulatedCluster) -> None:
+        cluster.cloud.boot_faults_until, cluster.cloud.boot_faults = cluster.now + seconds, (never, late, boot_s)
 
     return start
 
 
 def block_one_direction(which: str, seconds: float, step: int = 2) -> Fault:
-    """Returns a fault: nothing reaches some machines (`deaf`), or they reach no controller (`mute`)."""
+    """Returns a fault: some machines receive (`inbound_blocked`) or send (`outbound_blocked`) no messages."""
 
-    def start(world: World) -> None:
-        for machine in every_nth_machine(world, step):
-            getattr(world, which)[machine.name] = world.now + seconds
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in every_nth_machine(cluster, step):
+            getattr(cluster, which)[machine.name] = cluster.now + seconds
 
     return start
 
 
 def hang_every_nth_machine(seconds: float, step: int = 2) -> Fault:
-    return lambda world: hang_machines(every_nth_machine(world, step), seconds)
+    return lambda cluster: hang_machines(every_nth_machine(cluster, step), seconds)
 
 
 def partition_every_nth_machine(seconds: float, step: int = 3) -> Fault:
-    def start(world: World) -> None:
-        for machine in every_nth_machine(world, step):
-            for name in world.names:
-                world.cut(name, machine.name, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        for machine in every_nth_machine(cluster, step):
+            for name in cluster.names:
+                cluster.partition(name, machine.name, seconds, hold=True)
 
     return start
 
@@ -135,43 +135,47 @@
     With `hang_s`, up to eight machines of these jobs hang for that long.
     """
 
-    def start(world: World) -> None:
-        running = list(dict.fromkeys(task.rpartition("/")[0] for task in world.rules.where))[:count]
+    def start(cluster: SimulatedCluster) -> None:
+        running = list(dict.fromkeys(task.rpartition("/")[0] for task in cluster.checker.machine_by_task))[:count]
         for job in running:
-            world.clock.callLater(world.random.uniform(0.0, 0.2), world.cancel, job)
+            cluster.clock.callLater(cluster.random.uniform(0.0, 0.2), cluster.cancel, job)
         if hang_s:
-            machines = {m.name: m for task, m in world.rules.where.items() if task.rpartition("/")[0] in running}
+            machines = {
+                m.name: m for task, m in cluster.checker.machine_by_task.items() if task.rpartition("/")[0] in running
+            }
             hang_machines(list(machines.values())[:8], hang_s)
 
     return start
 
 
-def cancel_at_completion(world: World) -> None:
+def cancel_at_completion(cluster: SimulatedCluster) -> None:
     """For 60 s, cancels most jobs within 30 ms of the end of their last task."""
-    completed = world.rules.completed
+    completed = cluster.checker.task_completed
 
     def complete_and_cancel(task: str) -> None:
         completed(task)
         job = task.rpartition("/")[0]
-        unfinished = [i for i in range(world.jobs[job]["pieces"]) if f"{job}/{i}" not in world.rules.done]
-        if not unfinished and world.random.random() < 0.7:
-            world.clock.callLater(world.random.uniform(0.0, 0.03), world.cancel, job)
+        unfinished = [
+            i for i in range(cluster.jobs[job]["pieces"]) if f"{job}/{i}" not in cluster.checker.completed_tasks
+        ]
+        if not unfinished and cluster.random.random() < 0.7:
+            cluster.clock.callLater(cluster.random.uniform(0.0, 0.03), cluster.cancel, job)
 
-    world.rules.completed = complete_and_cancel  # type: ignore[method-assign]
-    world.clock.callLater(60.0, setattr, world.rules, "completed", completed)
+    cluster.checker.task_completed = complete_and_cancel  # type: ignore[method-assign]
+    cluster.clock.callLater(60.0, setattr, cluster.checker, "task_completed", completed)
 
 
 def restart_leaders(times: int, apart_s: float) -> Fault:
     """Returns a fault: the current leader is killed `times` times, `apart_s` apart, and restarts after 0.2 s."""
 
-    def start(world: World) -> None:
+    def start(cluster: SimulatedCluster) -> None:
         def restart_leader() -> None:
-            name = world.leader()
+            name = cluster.leader()
             if name is not None:
-                world.kill(name, 0.2)
+                cluster.kill(name, 0.2)
 
         for number in range(times):
-            world.clock.callLater(number * apart_s, restart_leader)
+            cluster.clock.callLater(number * apart_s, restart_leader)
 
     return start
 
@@ -179,77 +183,77 @@
 def isolate_leader_with_workers(seconds: float) -> Fault:
     """Returns a fault: the leader reaches its workers and users, but neither the state service nor its peers."""
 
-    def start(world: World) -> None:
-        name = world.leader() or "node-0"
-        for other in ["state", *(n for n in world.names if n != name)]:
-            world.cut(name, other, seconds, hold=True)
+    def start(cluster: SimulatedCluster) -> None:
+        name = cluster.leader() or "node-0"
+        for other in ["state", *(n for n in cluster.names if n != name)]:
+            cluster.partition(name, other, seconds, hold=True)
 
     return start
 
 
 def partition_zone(seconds: float, zone: str = "a") -> Fault:
-    def start(world: World) -> None:
+    def start(cluster: SimulatedCluster) -> None:
         inside = ["node-1", "node-2"] if zone == "a" else ["node-0"]
-        inside += [m.name for m in world.cloud.machines.values() if m.zone == zone]
+        inside += [m.name for m in cluster.cloud.machines.values() if m.zone == zone]
         outside = [
             "state",
             "cloud",
-            *(n for n in world.names if n not in inside),
-            *(m.name for m in world.cloud.machines.values() if m.zone != zone),
+            *(n for n in cluster.names if n not in inside),
+            *(m.name for m in cluster.cloud.machines.values() if m.zone != zone),
         ]
         for one in inside:
             for other in outside:
-                world.cut(one, other, seconds, hold=True)
+                cluster.partition(one, other, seconds, hold=True)
 
     return start
 
 
 def stop_all_controllers(seconds: float) -> Fault:
-    def start(world: World) -> None:
-        for name in world.names:
-            world.kill(name, seconds)
+    def start(cluster: SimulatedCluster) -> None:
+        for name in cluster.names:
+            cluster.kill(name, seconds)
 
     return start
 
 
-def restart_controllers_one_by_one(world: World) -> None:
+def restart_controllers_one_by_one(cluster: SimulatedCluster) -> None:
     """Kills all controllers; the first restarts after 0.3 s, the others 6 s and 12 s later."""
-    for number, name in enumerate(world.names):
-        world.kill(name, 0.3 + 6.0 * number)
+    for number, name in enumerate(cluster.names):
+        cluster.kill(name, 0.3 + 6.0 * number)
 
 
-def exhaust_team_quotas(world: World) -> None:
+def exhaust_team_quotas(cluster: SimulatedCluster) -> None:
     """Submits more work than the teams' quotas allow to run at once."""
     for number in range(16):
-        world.submit(world.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
+        cluster.submit(cluster.job(600 + number, pieces=4, vcpus=3.0, guessS=40.0, crew=("core", "edge")[number % 2]))
 
 
-def submit_one_task_jobs(world: World) -> None:
+def submit_one_task_jobs(cluster: SimulatedCluster) -> None:
     """Submits one-task jobs, four a second for 60 s, and cancels a quarter of them 1 s to 8 s later."""
     for number in range(240):
-        job = world.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
-        world.clock.callLater(number / 4, world.submit, job)
+        job = cluster.job(2000 + number, pieces=1, vcpus=0.5, guessS=4.0, crew=("core", "edge")[number % 2])
+        cluster.clock.callLater(number / 4, cluster.submit, job)
         if number % 4 == 0:
-            world.clock.callLater(number / 4 + world.random.uniform(1.0, 8.0), world.cancel, job["nameId"])
+            cluster.clock.callLater(number / 4 + cluster.random.uniform(1.0, 8.0), cluster.cancel, job["nameId"])
 
 
-def submit_zone_bound_jobs(world: World) -> None:
+def submit_zone_bound_jobs(cluster: SimulatedCluster) -> None:
     """Submits jobs that are bound to a given zone, to any single zone, or to an even spread over both."""
     for number, constraint in enumerate([{"yard": "a"}, {"together": True}, {"spread": True}, {"yard": "b"}] * 3):
         changes: dict = {"pieces": 5, "vcpus": 2.0, "guessS": 30.0, "crew": ("core", "edge")[number % 2]} | constraint
-        world.submit(world.job(700 + number, **changes))
+        cluster.submit(cluster.job(700 + number, **changes))
 
 
-def crash_machines(world: World) -> None:
-    for machine in every_nth_machine(world, 3):
+def crash_machines(cluster: SimulatedCluster) -> None:
+    for machine in every_nth_machine(cluster, 3):
         machine.die()
 
 
 def refuse_leader_for(seconds: float) -> Fault:
-    return lambda world: refuse_leader(world, seconds)
+    return lambda cluster: refuse_leader(cluster, seconds)
 
 
-def submit_infeasible_and_repeated_jobs(world: World) -> None:
+def submit_infeasible_and_repeated_jobs(cluster: SimulatedCluster) -> None:
     """Submits jobs that no machine or team can take, and known jobs again, at all controllers."""
     infeasible = [
         {"vcpus": 64.0},
@@ -261,22 +265,28 @@
         {"crew": "edge", "shape": "standing", "pieces": 40, "vcpus": 4.0},
     ]
     for number, changes in enumerate(infeasible):
-        body = world.job(800 + number, **changes)
-        world.rules.impossible.add(body["nameId"])
-        world.jobs[body["nameId"]] = body
-        for name in world.names:
-            world.clock.callLater(0.1 * number, world._look, name, world._submission(body), body["nameId"])
-    for job in list(world.jobs)[:12]:
-        if job not in world.rules.impossible:
-            for name in world.names:
-                world.clock.callLater(0.3, world._look, name, world._submission(world.jobs[job]), job)
-
-
-def flood_with_queries(world: World) -> None:
+        body = cluster.job(800 + number, **changes)
+        cluster.checker.infeasible_jobs.add(body["nameId"])
+        cluster.jobs[body["nameId"]] = body
+        for name in cluster.names:
+            cluster.clock.callLater(
+                0.1 * number, cluster._request_once, name, cluster._submit_request(body), body["nameId"]
+            )
+    for job in list(cluster.jobs)[:12]:
+        if job not in cluster.checker.infeasible_jobs:
+            for name in cluster.names:
+                cluster.clock.callLater(
+                    0.3, cluster._request_once, name, cluster._submit_request(cluster.jobs[job]), job
+                )
+
+
+def flood_with_queries(cluster: SimulatedCluster) -> None:
     """Sends 40 status queries a second for 60 s, fifty times the usual rate."""
     for number in range(2400):
-        job = world.random.choice(list(world.jobs))
-        world.clock.callLater(number / 40, world._look, world.names[number % 3], world._question(job), job)
+        job = cluster.random.choice(list(cluster.jobs))
+        cluster.clock.callLater(
+            number / 40, cluster._request_once, cluster.names[number % 3], cluster._status_request(job), job
+        )
 
 
 # -- only the leader is refused, others confirm cancellations, then the state service is down for all ------------
@@ -284,19 +294,19 @@
 
 def run_outage_after_cancellations(
     seed: int, apart_s: float, fault: Fault, outage_s: float = CANCEL_S + 12.0, twice: bool = False
-) -> World:
-    world = World(seed=seed, loss=0.002)
-    submit_long_jobs(world)
-    world.run(40)
-    assert len(world.rules.where) > 15
+) -> SimulatedCluster:
+    cluster = SimulatedCluster(seed=seed, loss=0.002)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    assert len(cluster.checker.machine_by_task) > 15
     for first in (0,) if not twice else (0, 4):
-        refuse_leader(world)
-        fault(world)
+        refuse_leader(cluster)
+        fault(cluster)
         for number in range(first, first + 4):
-            world.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), world.cancel, f"j-{number:06d}")
-        world.clock.callLater(apart_s, world.state.outage, outage_s)
-        run_checking_cancellations(world, apart_s + outage_s + 25.0)
-    return world
+            cluster.clock.callLater(apart_s * (0.1 + 0.25 * (number - first)), cluster.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(apart_s, cluster.state.outage, outage_s)
+        run_checking_cancellations(cluster, apart_s + outage_s + 25.0)
+    return cluster
 
 
 @pytest.mark.parametrize(
@@ -305,8 +315,8 @@
         no_fault,
         hang_every_nth_machine(9.0),
         partition_every_nth_machine(9.0, 2),
-        block_one_direction("deaf", 9.0),
-        block_one_direction("mute", 9.0),
+        block_one_direction("inbound_blocked", 9.0),
+        block_one_direction("outbound_blocked", 9.0),
     ],
     ids=["no other fault", "machines hang", "machines partitioned", "to machines blocked", "from machines blocked"],
 )
@@ -316,38 +326,38 @@
 
     The leader renews worker leases for its grace, but cannot read the cancellations that other controllers confirmed.
     """
-    world = run_outage_after_cancellations(int(apart_s * 10), apart_s, fault)
-    assert world.rules.cancelled_at
-    assert world.rules.broken == []
+    cluster = run_outage_after_cancellations(int(apart_s * 10), apart_s, fault)
+    assert cluster.checker.cancelled_at
+    assert cluster.checker.violations == []
 
 
 def test_cancellations_unseen_by_the_leader_and_an_outage_twice_in_a_row() -> None:
-    world = run_outage_after_cancellations(5, 1.0, no_fault, twice=True)
-    assert len(world.rules.cancelled_at) >= 4
-    assert world.rules.broken == []
+    cluster = run_outage_after_cancellations(5, 1.0, no_fault, twice=True)
+    assert len(cluster.checker.cancelled_at) >= 4
+    assert cluster.checker.violations == []
 
 
-def run_short_leaderships_before_outage(seed: int, wait_s: float) -> World:
+def run_short_leaderships_before_outage(seed: int, wait_s: float) -> SimulatedCluster:
     """Kills the first three leaders at their election; the outage begins `wait_s` after the fourth is elected."""
-    world = World(seed=seed, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    refuse_leader(world)
+    cluster = SimulatedCluster(seed=seed, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    refuse_leader(cluster)
     for number in range(4):
-        world.clock.callLater(0.1 + 0.1 * number, world.cancel, f"j-{number:06d}")
+        cluster.clock.callLater(0.1 + 0.1 * number, cluster.cancel, f"j-{number:06d}")
     elected = []
 
     def on_leader(name: str) -> None:
         elected.append(name)
         if len(elected) <= 3:
-            world.clock.callLater(0.0, world.kill, name, 0.2)
+            cluster.clock.callLater(0.0, cluster.kill, name, 0.2)
         else:
-            world.clock.callLater(wait_s, world.state.outage, CANCEL_S + 12.0)
+            cluster.clock.callLater(wait_s, cluster.state.outage, CANCEL_S + 12.0)
 
-    world.on_leader.append(on_leader)
-    run_checking_cancellations(world, CANCEL_S + 40.0)
+    cluster.leader_listeners.append(on_leader)
+    run_checking_cancellations(cluster, CANCEL_S + 40.0)
     assert len(elected) >= 4
-    return world
+    return cluster
 
 
 @pytest.mark.parametrize("wait_s", [0.012, 0.4])
@@ -357,35 +367,37 @@
 
     The last leader has read the store before the outage, or has not.
     """
-    world = run_short_leaderships_before_outage(seed, wait_s)
-    assert len(world.rules.cancelled_at) == 4
-    assert world.rules.broken == []
+    cluster = run_short_leaderships_before_outage(seed, wait_s)
+    assert len(cluster.checker.cancelled_at) == 4
+    assert cluster.checker.violations == []
 
 
 def test_a_leader_with_a_failed_watch_renews_leases_only_for_its_grace() -> None:
     """The leader keeps its own lease, but receives no cancellations."""
-    world = World(seed=4, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    leader, ask = world.leader(), world.state.ask
+    cluster = SimulatedCluster(seed=4, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    leader, ask = cluster.leader(), cluster.state.receive
 
     def refuse_watch(caller: str, method: str, path: str, body: object) -> object:
         if caller == leader and path.startswith("/watch?under=active/"):
             return Reply(503, {"error": "trouble"})
         return ask(caller, method, path, body)
 
-    world.state.ask = refuse_watch  # type: ignore[method-assign]
-    world.run(6)  # until the watch that was already open has ended
+    cluster.state.receive = refuse_watch  # type: ignore[method-assign]
+    cluster.run(6)  # until the watch that was already open has ended
     for number in range(4):
-        world.cancel(f"j-{number:06d}")
-    run_checking_cancellations(world, CANCEL_S + 30.0)
-    assert len(world.rules.cancelled_at) == 4
-    assert world.rules.broken == []
+        cluster.cancel(f"j-{number:06d}")
+    run_checking_cancellations(cluster, CANCEL_S + 30.0)
+    assert len(cluster.checker.cancelled_at) == 4
+    assert cluster.checker.violations == []
 
 
 def test_the_checker_detects_unbounded_lease_renewal(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Leader, "may_renew_worker_leases", lambda _: True)
-    broken = [line for seed in (1, 2, 3) for line in run_short_leaderships_before_outage(seed, 0.012).rules.broken]
+    broken = [
+        line for seed in (1, 2, 3) for line in run_short_leaderships_before_outage(seed, 0.012).checker.violations
+    ]
     assert any("ran_cancelled" in line for line in broken)
 
 
@@ -489,7 +501,7 @@
         [
             (0.0, replay_heartbeats_to_next_leader(30.0)),
             (6.0, refuse_leader_for(20.0)),
-            (6.5, block_one_direction("mute", 6.0)),
+            (6.5, block_one_direction("outbound_blocked", 6.0)),
             (20.0, hang_every_nth_machine(8.0)),
             (21.0, crash_leader),
         ],
@@ -542,7 +554,7 @@
     "quotas exhausted, machines unreachable, cancellations, failover": (
         [
             (0.0, exhaust_team_quotas),
-            (14.0, block_one_direction("deaf", 15.0)),
+            (14.0, block_one_direction("inbound_blocked", 15.0)),
             (15.0, crash_leader),
             (15.3, cancel_running_jobs(5)),
             (24.0, crash_leader),
@@ -588,17 +600,17 @@
         [
             (0.0, partition_every_nth_machine(14.0, 2)),
             (1.0, crash_leader),
-            (20.0, block_one_direction("deaf", 14.0)),
+            (20.0, block_one_direction("inbound_blocked", 14.0)),
             (21.0, crash_leader),
         ],
         60.0,
     ),
     "old heartbeats of an earlier epoch after newer ones": (
         [
-            (0.0, lambda world: setattr(world, "copies", 0.3)),
+            (0.0, lambda cluster: setattr(cluster, "duplicate_share", 0.3)),
             (4.0, hang_every_nth_machine(14.0)),
             (10.0, crash_leader),
-            (30.0, lambda world: setattr(world, "copies", 0.0)),
+            (30.0, lambda cluster: setattr(cluster, "duplicate_share", 0.0)),
         ],
         80.0,
     ),
@@ -612,7 +624,7 @@
         60.0,
     ),
     "heartbeats of machines blocked while commands reach them": (
-        [(0.0, block_one_direction("mute", 18.0)), (2.0, cancel_running_jobs(4)), (6.0, crash_leader)],
+        [(0.0, block_one_direction("outbound_blocked", 18.0)), (2.0, cancel_running_jobs(4)), (6.0, crash_leader)],
         60.0,
     ),
     "cancellations during a failover": (
@@ -643,15 +655,15 @@
 }
 
 
-def run_schedule(name: str, seed: int) -> World:
+def run_schedule(name: str, seed: int) -> SimulatedCluster:
     faults, faults_end_s = FAULT_SCHEDULES[name]
-    world = World(seed=seed, loss=0.003)
-    submit_mixed_jobs(world)
+    cluster = SimulatedCluster(seed=seed, loss=0.003)
+    submit_mixed_jobs(cluster)
     for seconds, fault in faults:
-        world.clock.callLater(34.0 + seconds, fault, world)
-    world.rules.troubled_until = 34.0 + faults_end_s
-    run_until_jobs_end(world)
-    return world
+        cluster.clock.callLater(34.0 + seconds, fault, cluster)
+    cluster.checker.faults_until = 34.0 + faults_end_s
+    run_until_jobs_end(cluster)
+    return cluster
 
 
 # Two seeds for each schedule, and the seeds that once broke a rule.
@@ -662,10 +674,10 @@
 
 @pytest.mark.parametrize(("name", "seed"), CASES)
 def test_overlapping_faults(name: str, seed: int) -> None:
-    world = run_schedule(name, seed)
-    assert world.rules.broken == []
-    wanted = [job for job in world.jobs if job not in world.rules.impossible]
-    assert [job for job in wanted if not world.rules.is_final(job)] == []
+    cluster = run_schedule(name, seed)
+    assert cluster.checker.violations == []
+    wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+    assert [job for job in wanted if not cluster.checker.is_final(job)] == []
 
 
 # -- concurrent queries --------------------------------------------------------------------------------------------
@@ -676,11 +688,11 @@
 
     Each read begins after the queries that it answers have arrived.
     """
-    world = World(seed=3, loss=0.0)
-    submit_mixed_jobs(world, jobs=12, every=0.5)
-    world.run(20)
-    ask, requests, answers = world.state.ask, [0], []
-    told = world.rules.told
+    cluster = SimulatedCluster(seed=3, loss=0.0)
+    submit_mixed_jobs(cluster, jobs=12, every=0.5)
+    cluster.run(20)
+    ask, requests, answers = cluster.state.receive, [0], []
+    told = cluster.checker.observe_status
 
     def count_requests(caller: str, method: str, path: str, body: object) -> object:
         requests[0] += 1
@@ -690,16 +702,18 @@
         answers.append(job)
         told(job, answer, asked_at)
 
-    world.state.ask = count_requests  # type: ignore[method-assign]
-    world.rules.told = record_answer  # type: ignore[method-assign]
+    cluster.state.receive = count_requests  # type: ignore[method-assign]
+    cluster.checker.observe_status = record_answer  # type: ignore[method-assign]
     for number in range(2000):
         job = f"j-{number % 12:06d}"
-        world.clock.callLater(number / 200, world._look, world.names[number % 3], world._question(job), job)
-    world.run(11)
+        cluster.clock.callLater(
+            number / 200, cluster._request_once, cluster.names[number % 3], cluster._status_request(job), job
+        )
+    cluster.run(11)
     assert len(answers) >= 0.99 * 2000
-    assert world.state.refused_rates == 0
-    assert requests[0] < 11 * 0.75 * world.state.rps
-    assert world.rules.broken == []
+    assert cluster.state.throttled_requests == 0
+    assert requests[0] < 11 * 0.75 * cluster.state.rps
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("inline", [True, False])
@@ -712,9 +726,9 @@
     """
     if not inline:
         monkeypatch.setattr(records, "INLINE_FORMAT", records.NEWEST_FORMAT + 1)
-    world = World(seed=5, loss=0.0)
-    world.run(5)
-    handle, delayed = world.state.handle, []
+    cluster = SimulatedCluster(seed=5, loss=0.0)
+    cluster.run(5)
+    handle, delayed = cluster.state.handle, []
 
     def has_placements(write: dict) -> bool:
         key = write.get("set", "")
@@ -728,19 +742,19 @@
             raise NoResponseError("nothing comes back")
         return handle(caller, method, path, body)
 
-    world.state.handle = delay_first_placement  # type: ignore[method-assign]
-    world.submit(world.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # exhausts the quota of its team
-    while not delayed and world.now < 60:
-        world.run(0.1)
-    job = world.nodes[world.leader()].leader.cluster.jobs["j-000001"]
+    cluster.state.handle = delay_first_placement  # type: ignore[method-assign]
+    cluster.submit(cluster.job(1, pieces=12, vcpus=4.0, guessS=30.0))  # exhausts the quota of its team
+    while not delayed and cluster.now < 60:
+        cluster.run(0.1)
+    job = cluster.nodes[cluster.leader()].leader.cluster.jobs["j-000001"]
     for reload_done in (False, True):
-        while job.reload_pending != (not reload_done) and world.now < 70:
-            world.clock.advance(0.01)
+        while job.reload_pending != (not reload_done) and cluster.now < 70:
+            cluster.clock.advance(0.01)
     # The job has been reloaded; its guards must reject the delayed transaction.
     assert handle(*delayed[0]).status == 409
-    run_until_jobs_end(world, 120)
-    assert world.rules.broken == []
-    assert world.rules.last["j-000001"] == "done"
+    run_until_jobs_end(cluster, 120)
+    assert cluster.checker.violations == []
+    assert cluster.checker.last_phase["j-000001"] == "done"
 
 
 # -- old heartbeats and a new leader ---------------------------------------------------------------------------------
@@ -751,101 +765,101 @@
 
     The former leader may still renew the worker's lease for its grace.
     """
-    world = World(seed=8, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
-    old = [machine.report() for _ in range(2)]
-    for name in world.names:
-        world.cut(name, machine.name, 90.0)
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    term = world.nodes[leader].leader
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.checker.machine_by_task.values()))
+    old = [machine.heartbeat() for _ in range(2)]
+    for name in cluster.names:
+        cluster.partition(name, machine.name, 90.0)
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader_name = cluster.leader()
+    leader = cluster.nodes[leader_name].leader
     for body in old:
-        assert world.deliver_report(leader, body).status == 200
-    known = term.cluster.machines[machine.name]
+        assert cluster.deliver_heartbeat(leader_name, body).status == 200
+    known = leader.cluster.machines[machine.name]
     assert known.placements
     assert not known.claimed
-    assert not term.dispatcher.is_reachable(known, world.now)
-    assert not term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
-    assert not term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 12.0)
-    assert term.worker_leases.has_expired(known, term.lease.began_at + term.lease.renewal_grace_s + 1.2 * 12.0)
+    assert not leader.dispatcher.is_reachable(known, cluster.now)
+    assert not leader.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
+    assert not leader.worker_leases.has_expired(known, leader.lease.began_at + leader.lease.renewal_grace_s + 12.0)
+    assert leader.worker_leases.has_expired(known, leader.lease.began_at + leader.lease.renewal_grace_s + 1.2 * 12.0)
 
 
 def test_an_epoch_without_an_answer_lasts_for_a_lease() -> None:
     """Tasks that were started in a new epoch outlive the lease of the epoch before."""
-    world = World(seed=8, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
-    term = world.nodes[world.leader()].leader
-    known = term.cluster.machines[machine.name]
-    for name in world.names:
-        world.cut(machine.name, name, 90.0)
-    known.lease_renewed_at = world.now - 11.9
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.checker.machine_by_task.values()))
+    leader = cluster.nodes[cluster.leader()].leader
+    known = leader.cluster.machines[machine.name]
+    for name in cluster.names:
+        cluster.partition(machine.name, name, 90.0)
+    known.lease_renewed_at = cluster.now - 11.9
     machine.epoch += 1
-    term.heartbeats.process(messages.parse_heartbeat(machine.report()))
-    assert not term.worker_leases.has_expired(known, world.now + 12.0)
-    assert term.worker_leases.has_expired(known, world.now + 1.2 * 12.0)
+    leader.heartbeats.process(messages.parse_heartbeat(machine.heartbeat()))
+    assert not leader.worker_leases.has_expired(known, cluster.now + 12.0)
+    assert leader.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
 
 
 def test_no_lease_is_renewed_before_the_store_is_read() -> None:
-    world = World(seed=8, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    machine = next(iter(world.rules.where.values()))
-    handle = world.state.handle
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    machine = next(iter(cluster.checker.machine_by_task.values()))
+    handle = cluster.state.handle
 
     def refuse_reads(caller: str, method: str, path: str, body: object) -> object:
         if path.startswith("/kv?under=active/"):
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
-    world.state.handle = refuse_reads  # type: ignore[method-assign]
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    assert world.deliver_report(leader, machine.report()).status == 503
-    world.state.handle = handle  # type: ignore[method-assign]
-    world.run(2)
-    answer = world.deliver_report(leader, machine.report())
+    cluster.state.handle = refuse_reads  # type: ignore[method-assign]
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader = cluster.leader()
+    assert cluster.deliver_heartbeat(leader, machine.heartbeat()).status == 503
+    cluster.state.handle = handle  # type: ignore[method-assign]
+    cluster.run(2)
+    answer = cluster.deliver_heartbeat(leader, machine.heartbeat())
     assert answer.status == 200
-    assert answer.body["baton"] == world.nodes[leader].leader.tokens.first
+    assert answer.body["baton"] == cluster.nodes[leader].leader.tokens.first
 
 
 def test_a_worker_with_an_older_token_receives_stops_of_cancelled_jobs() -> None:
     """The answer that renews a worker's lease carries the stops, also while an outage delays a reload of the job."""
-    world = World(seed=8, loss=0.0)
-    submit_long_jobs(world)
-    world.run(40)
-    (task, machine), *_ = world.rules.where.items()
+    cluster = SimulatedCluster(seed=8, loss=0.0)
+    submit_long_jobs(cluster)
+    cluster.run(40)
+    (task, machine), *_ = cluster.checker.machine_by_task.items()
     job = task.rpartition("/")[0]
-    world.deaf[machine.name] = world.now + 30.0
-    world.kill(world.leader(), None)
-    world.run(4)
-    leader = world.leader()
-    term = world.nodes[leader].leader
-    term.reloader.reload(term.cluster.jobs[job])
-    refuse_leader(world)
-    world.cancel(job)
-    world.run(0.01)
-    term.watch.on_change(job, None, world.state.revision)
-    assert term.cluster.jobs[job].reload_pending
-    assert not term.cluster.machines[machine.name].claimed
-    orders = world.deliver_report(leader, machine.report()).body["orders"]
+    cluster.inbound_blocked[machine.name] = cluster.now + 30.0
+    cluster.kill(cluster.leader(), None)
+    cluster.run(4)
+    leader_name = cluster.leader()
+    leader = cluster.nodes[leader_name].leader
+    leader.reloader.reload(leader.cluster.jobs[job])
+    refuse_leader(cluster)
+    cluster.cancel(job)
+    cluster.run(0.01)
+    leader.watch.on_change(job, None, cluster.state.revision)
+    assert leader.cluster.jobs[job].reload_pending
+    assert not leader.cluster.machines[machine.name].claimed
+    orders = cluster.deliver_heartbeat(leader_name, machine.heartbeat()).body["orders"]
     assert {order["piece"] for order in orders if order["verb"] == "stop"} >= {
-        name for name, host in world.rules.where.items() if host is machine and name.startswith(job)
+        name for name, host in cluster.checker.machine_by_task.items() if host is machine and name.startswith(job)
     }
 
 
 # -- the checker ---------------------------------------------------------------------------------------------------
 
 
-def world_with_one_job() -> World:
-    world = World(seed=1)
-    world.jobs["j-000001"] = world.job(1, pieces=1)
-    return world
+def cluster_with_one_job() -> SimulatedCluster:
+    cluster = SimulatedCluster(seed=1)
+    cluster.jobs["j-000001"] = cluster.job(1, pieces=1)
+    return cluster
 
 
 def test_the_checker_detects_a_stale_answer_of_another_controller() -> None:
@@ -853,24 +867,24 @@
 
     A query that was sent earlier may still get the older answer.
     """
-    rules = world_with_one_job().rules
-    rules.cancelling("j-000001")
-    rules.told("j-000001", {"phase": "aborted"}, -1.0)
-    rules.told("j-000001", {"phase": "running"}, -0.5)
-    rules.told("j-000001", None, -0.5)
-    assert rules.broken == []
-    rules.told("j-000001", {"phase": "running"}, 0.5)
-    rules.told("j-000001", None, 0.5)
-    assert [line.split()[1] for line in rules.broken] == ["went_back:", "forgotten:"]
+    checker = cluster_with_one_job().checker
+    checker.cancel_requested("j-000001")
+    checker.observe_status("j-000001", {"phase": "aborted"}, -1.0)
+    checker.observe_status("j-000001", {"phase": "running"}, -0.5)
+    checker.observe_status("j-000001", None, -0.5)
+    assert checker.violations == []
+    checker.observe_status("j-000001", {"phase": "running"}, 0.5)
+    checker.observe_status("j-000001", None, 0.5)
+    assert [line.split()[1] for line in checker.violations] == ["went_back:", "forgotten:"]
 
 
 def test_the_checker_detects_an_accepted_infeasible_job(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("stileloft.jobs.feasibility.infeasibility_reason", lambda *_: None)
-    world = World(seed=1)
-    world.run(5)
-    submit_infeasible_and_repeated_jobs(world)
-    world.run(5)
-    assert any("accepted" in line for line in world.rules.broken)
+    cluster = SimulatedCluster(seed=1)
+    cluster.run(5)
+    submit_infeasible_and_repeated_jobs(cluster)
+    cluster.run(5)
+    assert any("accepted" in line for line in cluster.checker.violations)
 
 
 def test_the_checker_detects_a_job_that_waits_despite_free_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -878,25 +892,25 @@
     monkeypatch.setattr(
         DecisionApplier, "_place", lambda applier, key, *more: key[0] != "j-000001" and place(applier, key, *more)
     )
-    world = World(seed=1, loss=0.0)
+    cluster = SimulatedCluster(seed=1, loss=0.0)
     for number in (1, 2):
-        world.submit(world.job(number, pieces=1, guessS=60.0))
+        cluster.submit(cluster.job(number, pieces=1, guessS=60.0))
     for _ in range(30):
-        world.run(5)
-        world.rules.check_waiting()
-    assert {line.split()[2] for line in world.rules.broken if "left_waiting" in line} == {"j-000001"}
+        cluster.run(5)
+        cluster.checker.check_waiting()
+    assert {line.split()[2] for line in cluster.checker.violations if "left_waiting" in line} == {"j-000001"}
 
 
 def test_the_checker_detects_a_start_after_a_cancellation() -> None:
-    world = world_with_one_job()
-    rules = world.rules
-    rules.cancelling("j-000001")
-    rules.told("j-000001", {"phase": "aborted"})
-    machine = world.cloud.add(TYPES[1], "a", True)
-    rules.started("j-000001/0", machine, 2.0)
-    assert rules.started_after == []
-    rules.started("j-000001/0", machine, 10.0)
-    assert len(rules.started_after) == 1
+    cluster = cluster_with_one_job()
+    checker = cluster.checker
+    checker.cancel_requested("j-000001")
+    checker.observe_status("j-000001", {"phase": "aborted"})
+    machine = cluster.cloud.add(MACHINE_TYPES[1], "a", True)
+    checker.task_started("j-000001/0", machine, 2.0)
+    assert checker.late_starts == []
+    checker.task_started("j-000001/0", machine, 10.0)
+    assert len(checker.late_starts) == 1
 
 
 @pytest.mark.parametrize(
@@ -910,101 +924,103 @@
 )
 def test_nothing_starts_after_a_confirmed_cancellation(name: str) -> None:
     """No task starts later than the network delay explains, in runs without delayed commands."""
-    world = run_schedule(name, 3)
-    assert len(world.rules.cancelled_at) >= 3
-    assert world.rules.started_after == []
+    cluster = run_schedule(name, 3)
+    assert len(cluster.checker.cancelled_at) >= 3
+    assert cluster.checker.late_starts == []
 
 
 def test_a_replacement_is_provisioned_before_an_overdue_machine_is_released() -> None:
     """A machine that never boots counts as booting for 1.6 boot times, not until its release after 3."""
-    world = World(seed=9, loss=0.0)
-    set_boot_failures(10.0, 1.0, 0.0, 0.0)(world)
-    world.submit(world.job(1, pieces=2))
-    world.run(10)
-    never_up = set(world.cloud.machines)
+    cluster = SimulatedCluster(seed=9, loss=0.0)
+    set_boot_failures(10.0, 1.0, 0.0, 0.0)(cluster)
+    cluster.submit(cluster.job(1, pieces=2))
+    cluster.run(10)
+    never_up = set(cluster.cloud.machines)
     assert never_up
-    while not world.rules.begun_at and world.now < 100:
-        world.run(1.0)
+    while not cluster.checker.started_at and cluster.now < 100:
+        cluster.run(1.0)
     # A boot takes up to 22.5 s here; plans are made every two seconds.
-    assert world.rules.begun_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
-    world.run(60)
-    assert not never_up & set(world.cloud.machines)
-    assert world.rules.broken == []
+    assert cluster.checker.started_at["j-000001"] < 1.6 * 15.0 + 22.5 + 8.0
+    cluster.run(60)
+    assert not never_up & set(cluster.cloud.machines)
+    assert cluster.checker.violations == []
 
 
 def test_a_zone_with_failing_boots_is_avoided_and_retried_later() -> None:
     """While machines of one zone do not boot, the other zone is used; later the first zone is used again."""
-    world = World(seed=12, loss=0.0, capacity=12)
-    add, zone_fails = world.cloud.add, [True]
+    cluster = SimulatedCluster(seed=12, loss=0.0, capacity=12)
+    add, zone_fails = cluster.cloud.add, [True]
 
     def add_with_failures(kind: dict, zone: str, spot: bool) -> Machine:
-        world.cloud.boots_until = world.now + 1.0
-        world.cloud.boots = (1.0 if zone_fails[0] and zone == "a" else 0.0, 0.0, 8.0)
+        cluster.cloud.boot_faults_until = cluster.now + 1.0
+        cluster.cloud.boot_faults = (1.0 if zone_fails[0] and zone == "a" else 0.0, 0.0, 8.0)
         return add(kind, zone, spot)
 
     def zones_used_for_burst(first: int, jobs: int, **changes: object) -> list[str]:
         """Returns the zones of the machines that are provisioned for jobs that fill one machine each."""
-        before = set(world.every_machine)
+        before = set(cluster.all_machines)
         for number in range(first, first + jobs):
-            world.submit(world.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
-        world.run(6)
-        return [machine.zone for name, machine in world.every_machine.items() if name not in before]
+            cluster.submit(cluster.job(number, pieces=2, vcpus=4.0, guessS=60.0, builds=["small"], **changes))
+        cluster.run(6)
+        return [machine.zone for name, machine in cluster.all_machines.items() if name not in before]
 
-    world.cloud.add = add_with_failures  # type: ignore[method-assign]
-    world.run(4)
+    cluster.cloud.add = add_with_failures  # type: ignore[method-assign]
+    cluster.run(4)
     # More machines in zone b, so that the failing zone a would be preferred.
     assert set(zones_used_for_burst(0, 5, yard="b", crew="edge")) == {"b"}
     assert zones_used_for_burst(10, 6).count("a") >= 3
-    term = world.nodes[world.leader()].leader
-    while not term.boots.unreliable_offers() and world.now < 60:
-        world.run(0.05)
-    assert {zone for _, zone, _ in term.boots.unreliable_offers()} == {"a"}
-    before = set(world.every_machine)
-    world.run(8)
-    instead = [machine.zone for name, machine in world.every_machine.items() if name not in before]
+    leader = cluster.nodes[cluster.leader()].leader
+    while not leader.boots.unreliable_offers() and cluster.now < 60:
+        cluster.run(0.05)
+    assert {zone for _, zone, _ in leader.boots.unreliable_offers()} == {"a"}
+    before = set(cluster.all_machines)
+    cluster.run(8)
+    instead = [machine.zone for name, machine in cluster.all_machines.items() if name not in before]
     assert len(instead) >= 2
     assert set(instead) == {"b"}
     zone_fails[0] = False
-    world.run(200)  # until all jobs are done and idle machines are released
-    assert term.boots.unreliable_offers() == set()
+    cluster.run(200)  # until all jobs are done and idle machines are released
+    assert leader.boots.unreliable_offers() == set()
     assert "a" in zones_used_for_burst(40, 8)
-    run_until_jobs_end(world)
-    assert world.rules.broken == []
+    run_until_jobs_end(cluster)
+    assert cluster.checker.violations == []
 
 
 @pytest.mark.parametrize("kind", [records.PROVISIONED, records.IMAGES])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_delayed_writes_of_provisioning_and_image_records_do_no_harm(kind: str, seed: int) -> None:
     """Delayed writes get no answer and are executed seconds later, over newer records, which new leaders then read."""
-    world = World(seed=seed, loss=0.0, capacity=6)
-    ask, delayed = world.state.ask, []
+    cluster = SimulatedCluster(seed=seed, loss=0.0, capacity=6)
+    ask, delayed = cluster.state.receive, []
 
     def delay_commits(caller: str, method: str, path: str, body: dict) -> object:
         keys = [write.get("set") or write["delete"] for write in body["writes"]] if path == "/commit" else []
-        if any(key.startswith(kind) for key in keys) and world.now < 90.0:
+        if any(key.startswith(kind) for key in keys) and cluster.now < 90.0:
             delayed.append(keys)
-            world.clock.callLater(world.random.uniform(4.0, 20.0), world.state.handle, caller, method, path, body)
+            cluster.clock.callLater(cluster.random.uniform(4.0, 20.0), cluster.state.handle, caller, method, path, body)
             raise NoResponseError("nothing comes back")
         return ask(caller, method, path, body)
 
-    world.state.ask = delay_commits  # type: ignore[method-assign]
-    submit_mixed_jobs(world, jobs=18)
+    cluster.state.receive = delay_commits  # type: ignore[method-assign]
+    submit_mixed_jobs(cluster, jobs=18)
     for number in range(18):
         # Enough images that a machine's record keeps changing.
-        world.clock.callLater(3.0 * number, world.submit, world.job(100 + number, pieces=2, bundle=f"img-{number}"))
+        cluster.clock.callLater(
+            3.0 * number, cluster.submit, cluster.job(100 + number, pieces=2, bundle=f"img-{number}")
+        )
     for at in (30.0, 52.0, 74.0):
-        world.clock.callLater(at, crash_leader, world)
-    world.clock.callLater(60.0, reclaim_spot_machines, world)
-    world.rules.troubled_until = 110.0
-    run_until_jobs_end(world)
+        cluster.clock.callLater(at, crash_leader, cluster)
+    cluster.clock.callLater(60.0, reclaim_spot_machines, cluster)
+    cluster.checker.faults_until = 110.0
+    run_until_jobs_end(cluster)
     assert len(delayed) >= 3
-    assert world.rules.broken == []
-    assert [job for job in world.jobs if not world.rules.is_final(job)] == []
+    assert cluster.checker.violations == []
+    assert [job for job in cluster.jobs if not cluster.checker.is_final(job)] == []
     # Each provisioned machine is found by its record or in the cloud's list; unneeded machines are released.
-    world.run(100)
-    leader = world.nodes[world.leader()]
-    assert set(world.cloud.machines) == set(leader.leader.cluster.machines)
-    assert len(world.cloud.machines) <= 6
+    cluster.run(100)
+    controller = cluster.nodes[cluster.leader()]
+    assert set(cluster.cloud.machines) == set(controller.leader.cluster.machines)
+    assert len(cluster.cloud.machines) <= 6
 
 
 def test_a_new_leader_does_not_treat_running_machines_as_overdue() -> None:
@@ -1012,21 +1028,21 @@
 
     If it took running machines for overdue, it would replace them, or release the idle ones (inc-e1be).
     """
-    world = World(seed=13, loss=0.0, capacity=8)
-    world.submit(world.job(1, pieces=8, vcpus=4.0, guessS=120.0))
-    while len(world.rules.where) < 8:
-        world.run(1)
-    world.run(25)  # until all machines are older than the longest boot
+    cluster = SimulatedCluster(seed=13, loss=0.0, capacity=8)
+    cluster.submit(cluster.job(1, pieces=8, vcpus=4.0, guessS=120.0))
+    while len(cluster.checker.machine_by_task) < 8:
+        cluster.run(1)
+    cluster.run(25)  # until all machines are older than the longest boot
     for _ in range(3):
-        before = set(world.cloud.machines)
-        crash_leader(world)
-        world.run(6)
-        term = world.nodes[world.leader()].leader
+        before = set(cluster.cloud.machines)
+        crash_leader(cluster)
+        cluster.run(6)
+        leader = cluster.nodes[cluster.leader()].leader
         assert [
-            machine.id for machine in term.cluster.machines.values() if machine.boot_overdue and machine.cloud_state
+            machine.id for machine in leader.cluster.machines.values() if machine.boot_overdue and machine.cloud_state
         ] == []
-        assert term.boots.unreliable_offers() == set()
-        assert before <= set(world.cloud.machines)
-        assert len(world.cloud.machines) <= len(before) + 3
-    run_until_jobs_end(world)
-    assert world.rules.broken == []
+        assert leader.boots.unreliable_offers() == set()
+        assert before <= set(cluster.cloud.machines)
+        assert len(cluster.cloud.machines) <= len(before) + 3
+    run_until_jobs_end(cluster)
+    assert cluster.checker.violations == []
