--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -379,11 +379,11 @@
 
 @DERANDOMIZED
 @given(fleets(), st.lists(st.tuples(st.integers(1, 8), st.sampled_from(["standard", "urgent"])), max_size=5))
-def test_a_task_waits_only_when_it_fits_nowhere(machines: list[MachineView], wanted: list[tuple[int, str]]) -> None:
+def test_a_task_waits_only_when_it_fits_nowhere(machines: list[MachineView], demands: list[tuple[int, str]]) -> None:
     """Compared with first fit by brute force: no machine has room for an unplaced task."""
     waiting = [
         PendingJob(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
-        for i, (cpus, priority) in enumerate(wanted)
+        for i, (cpus, priority) in enumerate(demands)
     ]
     snapshot = Snapshot(
         0.0, {n.id: n for n in machines}, waiting, TEAMS, team_usage(machines), {}, {"small": SMALL, "large": LARGE}
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -289,21 +289,21 @@
     cluster = busy_cluster(33)
     leader = current_leader(cluster)
     job = leader.cluster.jobs["j-000001"]
-    seen: list[str | None] = []
+    phases_at_answer: list[str | None] = []
     node = leading_controller(cluster)
     admission = node.admission
     record = admission.outcomes.record
 
     def record_phase(job_id: str, value: dict[str, Any]) -> dict[str, Any]:
-        seen.append(job.end_phase)  # the answer exists, but has not been sent
+        phases_at_answer.append(job.end_phase)  # the answer exists, but has not been sent
         return record(job_id, value)
 
     admission.outcomes.record = record_phase  # type: ignore[method-assign]
     cluster.checker.cancel_requested("j-000001")
     defer.ensureDeferred(admission.cancel("j-000001"))
     cluster.run(1.0)
-    assert seen
-    assert seen[0] is not None
+    assert phases_at_answer
+    assert phases_at_answer[0] is not None
 
 
 def test_a_leader_without_a_spare_token_rewrites_a_record_to_get_one() -> None:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -109,10 +109,10 @@
     cluster.run(5)
     leader = cluster.nodes[cluster.leader()].leader
     before = len(cluster.cloud.machines)
-    wanted = 2 * PROVISION_LIMIT + 20
-    leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): wanted}))
+    count = 2 * PROVISION_LIMIT + 20
+    leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): count}))
     cluster.run(2)
-    assert len(cluster.cloud.machines) - before >= wanted
+    assert len(cluster.cloud.machines) - before >= count
     assert not leader.provisioner.offers_without_capacity()
 
 
@@ -122,7 +122,7 @@
 ) -> None:
     limits: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, hard))
-    monkeypatch.setattr(resource, "setrlimit", lambda _, wanted: limits.append(wanted))
+    monkeypatch.setattr(resource, "setrlimit", lambda _, limit: limits.append(limit))
     sockets.raise_open_files_limit(2000)
     assert limits == ([] if expected is None else [(expected, hard)])
     assert ("max_sockets=2000" in caplog.text) == (expected == 1500)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -26,7 +26,7 @@
     cluster.run(10)
     name = cluster.leader()
     node = cluster.nodes[name]
-    report = msgspec.convert(
+    heartbeat = msgspec.convert(
         {
             "host": "n-1",
             "endpoint": "1:1",
@@ -39,7 +39,7 @@
         },
         messages.Heartbeat,
     )
-    assert node.handle_heartbeat(report).status == 421
+    assert node.handle_heartbeat(heartbeat).status == 421
     assert not node.election.leading
 
 
@@ -77,9 +77,9 @@
     cluster.run(30)
     leader = cluster.nodes[cluster.leader()].leader
     machine = next(m for m in cluster.cloud.machines.values() if m.up)
-    late = messages.parse_heartbeat(machine.heartbeat())
+    delayed_heartbeat = messages.parse_heartbeat(machine.heartbeat())
     cluster.cloud.machines.pop(machine.name).die()
     cluster.run(20)
     assert machine.name in leader.releaser.released
-    assert leader.on_heartbeat(late).commands == []
+    assert leader.on_heartbeat(delayed_heartbeat).commands == []
     assert machine.name not in leader.cluster.machines
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -676,8 +676,8 @@
 def test_overlapping_faults(name: str, seed: int) -> None:
     cluster = run_schedule(name, seed)
     assert cluster.checker.violations == []
-    wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
-    assert [job for job in wanted if not cluster.checker.is_final(job)] == []
+    feasible = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+    assert [job for job in feasible if not cluster.checker.is_final(job)] == []
 
 
 # -- concurrent queries --------------------------------------------------------------------------------------------
@@ -692,7 +692,7 @@
     submit_mixed_jobs(cluster, jobs=12, every=0.5)
     cluster.run(20)
     ask, requests, answers = cluster.state.receive, [0], []
-    told = cluster.checker.observe_status
+    observe_status = cluster.checker.observe_status
 
     def count_requests(caller: str, method: str, path: str, body: object) -> object:
         requests[0] += 1
@@ -700,7 +700,7 @@
 
     def record_answer(job: str, answer: dict | None, asked_at: float) -> None:
         answers.append(job)
-        told(job, answer, asked_at)
+        observe_status(job, answer, asked_at)
 
     cluster.state.receive = count_requests  # type: ignore[method-assign]
     cluster.checker.observe_status = record_answer  # type: ignore[method-assign]
@@ -778,13 +778,17 @@
     leader = cluster.nodes[leader_name].leader
     for body in old:
         assert cluster.deliver_heartbeat(leader_name, body).status == 200
-    known = leader.cluster.machines[machine.name]
-    assert known.placements
-    assert not known.claimed
-    assert not leader.dispatcher.is_reachable(known, cluster.now)
-    assert not leader.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
-    assert not leader.worker_leases.has_expired(known, leader.lease.began_at + leader.lease.renewal_grace_s + 12.0)
-    assert leader.worker_leases.has_expired(known, leader.lease.began_at + leader.lease.renewal_grace_s + 1.2 * 12.0)
+    leader_machine = leader.cluster.machines[machine.name]
+    assert leader_machine.placements
+    assert not leader_machine.claimed
+    assert not leader.dispatcher.is_reachable(leader_machine, cluster.now)
+    assert not leader.worker_leases.has_expired(leader_machine, cluster.now + 1.2 * 12.0)
+    assert not leader.worker_leases.has_expired(
+        leader_machine, leader.lease.began_at + leader.lease.renewal_grace_s + 12.0
+    )
+    assert leader.worker_leases.has_expired(
+        leader_machine, leader.lease.began_at + leader.lease.renewal_grace_s + 1.2 * 12.0
+    )
 
 
 def test_an_epoch_without_an_answer_lasts_for_a_lease() -> None:
@@ -794,14 +798,14 @@
     cluster.run(40)
     machine = next(iter(cluster.checker.machine_by_task.values()))
     leader = cluster.nodes[cluster.leader()].leader
-    known = leader.cluster.machines[machine.name]
+    leader_machine = leader.cluster.machines[machine.name]
     for name in cluster.names:
         cluster.partition(machine.name, name, 90.0)
-    known.lease_renewed_at = cluster.now - 11.9
+    leader_machine.lease_renewed_at = cluster.now - 11.9
     machine.epoch += 1
     leader.heartbeats.process(messages.parse_heartbeat(machine.heartbeat()))
-    assert not leader.worker_leases.has_expired(known, cluster.now + 12.0)
-    assert leader.worker_leases.has_expired(known, cluster.now + 1.2 * 12.0)
+    assert not leader.worker_leases.has_expired(leader_machine, cluster.now + 12.0)
+    assert leader.worker_leases.has_expired(leader_machine, cluster.now + 1.2 * 12.0)
 
 
 def test_no_lease_is_renewed_before_the_store_is_read() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -38,15 +38,17 @@
 def run_until_jobs_end(cluster: SimulatedCluster, seconds: float = 400.0) -> None:
     """Runs until the users have received the end of each feasible job and the faults are over, or for `seconds`."""
     end = cluster.now + seconds
-    wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+    feasible = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
     while cluster.now < end and not (
-        wanted and cluster.now > cluster.checker.faults_until and all(cluster.checker.is_final(job) for job in wanted)
+        feasible
+        and cluster.now > cluster.checker.faults_until
+        and all(cluster.checker.is_final(job) for job in feasible)
     ):
         cluster.run(5.0)
         cluster.checker.check_cancelled()
         cluster.checker.check_answered()
         cluster.checker.check_waiting()
-        wanted = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
+        feasible = [job for job in cluster.jobs if job not in cluster.checker.infeasible_jobs]
     cluster.checker.check_served()
 
 
@@ -369,8 +371,8 @@
     cluster = SimulatedCluster(seed=6)
     cluster.submit(cluster.job(1, pieces=100_000, vcpus=1.0, guessS=600.0))
     cluster.run(60)
-    kept = [key for key in cluster.state.items if key.startswith("tasks/")]
-    assert 0 < len(kept) <= 8
+    task_records = [key for key in cluster.state.items if key.startswith("tasks/")]
+    assert 0 < len(task_records) <= 8
     assert cluster.checker.starts >= 24
     cluster.cancel("j-000001")
     cluster.run(20)
