--- a/tests/test_fence_histories.py
+++ b/tests/test_fence_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of held, lost and repeated commands, cancellations and changes of leader: the rules hold in each."""
+"""Random histories of delayed, lost and duplicate commands, cancellations and failovers: the rules hold in each."""
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -8,11 +8,11 @@
 from tests.simulation.network import MessageDelay
 from tests.test_rules import run_until_jobs_end
 
-HELD_VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
+DELAYED_VERBS = st.sampled_from([None, "launch", "launch", "stop", "forget"])
 
 
 class FencingHistories(RuleBasedStateMachine):
-    """A world in which messages stay on their way for up to three times `cancel_s`; at its end every job has ended."""
+    """A cluster in which messages are delayed by up to three times `cancel_s`; at its end every job has ended."""
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
@@ -29,15 +29,17 @@
         self.cluster.submit(body)
         self.cluster.clock.callLater(cancel_s, self.cluster.cancel, body["nameId"])
 
-    @rule(verb=HELD_VERBS, spell_s=st.floats(0.5, 15.0), held_s=st.floats(0.5, 90.0), answers=st.booleans())
-    def hold(self, verb: str | None, spell_s: float, held_s: float, answers: bool) -> None:
+    @rule(verb=DELAYED_VERBS, period_s=st.floats(0.5, 15.0), delay_s=st.floats(0.5, 90.0), answers=st.booleans())
+    def delay_messages(self, verb: str | None, period_s: float, delay_s: float, answers: bool) -> None:
         now = self.cluster.now
-        self.cluster.message_delays = [hold for hold in self.cluster.message_delays if hold.until > now]
-        self.cluster.message_delays.append(MessageDelay(now + spell_s, held_s / 2, held_s, verb=verb, answers=answers))
+        self.cluster.message_delays = [delay for delay in self.cluster.message_delays if delay.until > now]
+        self.cluster.message_delays.append(
+            MessageDelay(now + period_s, delay_s / 2, delay_s, verb=verb, answers=answers)
+        )
 
-    @rule(which=st.integers(0, 2), back_s=st.floats(0.2, 5.0))
-    def kill(self, which: int, back_s: float) -> None:
-        self.cluster.kill(self.cluster.leader() or self.cluster.names[which], back_s)
+    @rule(which=st.integers(0, 2), restart_after_s=st.floats(0.2, 5.0))
+    def restart_controller(self, which: int, restart_after_s: float) -> None:
+        self.cluster.kill(self.cluster.leader() or self.cluster.names[which], restart_after_s)
 
     @rule(seconds=st.floats(0.5, 12.0))
     def freeze_leader(self, seconds: float) -> None:
@@ -54,7 +56,7 @@
             self.cluster.state.refused_until[name] = self.cluster.now + seconds
 
     @rule(seconds=st.floats(0.5, 10.0), share=st.floats(0.1, 0.6))
-    def late_writes(self, seconds: float, share: float) -> None:
+    def delay_writes(self, seconds: float, share: float) -> None:
         self.cluster.state.late_writes = self.cluster.now + seconds, share, False
 
     @rule(
@@ -62,19 +64,19 @@
         seconds=st.floats(1.0, 20.0),
         how=st.sampled_from(["inbound_blocked", "outbound_blocked"]),
     )
-    def silence(self, which: int, seconds: float, how: str) -> None:
+    def block_one_direction(self, which: int, seconds: float, how: str) -> None:
         machines = [machine for machine in self.cluster.cloud.machines.values() if machine.up]
         for machine in machines[which : which + 2]:
             getattr(self.cluster, how)[machine.name] = self.cluster.now + seconds
 
     @precondition(lambda self: self.cluster.duplicate_share == 0.0)
     @rule(seconds=st.floats(5.0, 30.0))
-    def copies(self, seconds: float) -> None:
+    def duplicate_messages(self, seconds: float) -> None:
         self.cluster.duplicate_share = 0.1
         self.cluster.clock.callLater(seconds, setattr, self.cluster, "duplicate_share", 0.0)
 
     @rule(seconds=st.floats(0.1, 15.0))
-    def go_on(self, seconds: float) -> None:
+    def run_checking_cancellations(self, seconds: float) -> None:
         end = self.cluster.now + seconds
         while self.cluster.now < end:
             self.cluster.run(0.25)
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""Four thousand machines on nodes with some hundreds of sockets: nothing of a fixed size stands in their way."""
+"""Fleets of thousands of machines, with some hundreds of sockets per controller: no fixed limit is exceeded."""
 
 import resource
 
@@ -19,9 +19,9 @@
 
 
 def machines_with_current_token(cluster: SimulatedCluster) -> int:
-    """Machines that the present leader hears."""
-    term = cluster.nodes[cluster.leader()].leader
-    return sum(1 for machine in term.cluster.machines.values() if machine.has_current_token)
+    """Returns the number of machines that have the current leader's token."""
+    leader = cluster.nodes[cluster.leader()].leader
+    return sum(1 for machine in leader.cluster.machines.values() if machine.has_current_token)
 
 
 def run_until_done(cluster: SimulatedCluster, longest_s: float) -> None:
@@ -36,9 +36,12 @@
 
 @pytest.mark.parametrize("keeps", [False, True])
 def test_no_lease_runs_out_with_far_fewer_sockets_than_machines(keeps: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """With `keeps`, workers' connections stay open as in small fleets; others are refused, and lose their leases."""
+    """With `keeps`, heartbeat connections stay open as in small fleets, so that other workers are refused.
+
+    These workers lose their leases.
+    """
     if keeps:
-        monkeypatch.setattr(SocketUsage, "keeps_heartbeat_connections", lambda *_: True)
+        monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
     cluster = FleetCluster(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
         cluster.run(1.5 * cluster.LEASE_S)
@@ -63,7 +66,10 @@
 
 
 def test_a_new_leader_does_not_mark_machines_as_slow(caplog: pytest.LogCaptureFixture) -> None:
-    """Tasks that ran when it began end sooner after it first saw them; those begun later are not slow beside them."""
+    """A new leader sees tasks that already run for only a part of their run time.
+
+    Tasks that are started later must not count as slow in comparison.
+    """
     caplog.set_level("INFO")
     cluster = FleetCluster(6, 300)
     cluster.submit_batch(8.0)
@@ -74,7 +80,7 @@
 
 
 def test_the_fleet_recovers_after_all_controllers_were_down_for_longer_than_a_lease() -> None:
-    """All workers end their tasks; every one of them finds the way back, and the batch is finished."""
+    """All workers end their tasks; all of them report to a leader again, and the jobs are completed."""
     cluster = FleetCluster(3, MACHINES)
     cluster.submit_batch(8.0)
     cluster.run(20)
@@ -90,7 +96,7 @@
 
 
 def test_a_machine_list_of_many_pages_is_read_within_the_rate_limit_of_the_cloud() -> None:
-    """In one go it would take more requests than the cloud allows, and none of it would be known."""
+    """Without pauses between the pages the cloud would refuse the requests, and no machine would be known."""
     cluster = FleetCluster(4, 6000, booted=False)
     cluster.run(20)
     assert len(cluster.nodes[cluster.leader()].leader.cluster.machines) >= 6000
@@ -98,15 +104,15 @@
 
 
 def test_provisioning_more_machines_than_a_request_holds_takes_several_requests() -> None:
-    """In one request the rest would not come, and look as if the cloud had no more of these machines."""
+    """A single request would return fewer machines than asked for, which looks as if the cloud had no more capacity."""
     cluster = SimulatedCluster(seed=5, capacity=1000, loss=0.0)
     cluster.run(5)
     leader = cluster.nodes[cluster.leader()].leader
     before = len(cluster.cloud.machines)
-    wanted = 2 * PROVISION_LIMIT + 20
-    leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): wanted}))
+    count = 2 * PROVISION_LIMIT + 20
+    leader.scheduling._applier.apply_scaling(ScalingPlan(provision={("small", "a", True): count}))
     cluster.run(2)
-    assert len(cluster.cloud.machines) - before >= wanted
+    assert len(cluster.cloud.machines) - before >= count
     assert not leader.provisioner.offers_without_capacity()
 
 
@@ -116,7 +122,7 @@
 ) -> None:
     limits: list[tuple[int, int]] = []
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, hard))
-    monkeypatch.setattr(resource, "setrlimit", lambda _, wanted: limits.append(wanted))
+    monkeypatch.setattr(resource, "setrlimit", lambda _, limit: limits.append(limit))
     sockets.raise_open_files_limit(2000)
     assert limits == ([] if expected is None else [(expected, hard)])
     assert ("max_sockets=2000" in caplog.text) == (expected == 1500)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Changes of leaders: restarts, newer tokens, deaf leaders, and late heartbeats."""
+"""Changes of leaders: restarts, higher tokens, leaders without heartbeats, and delayed heartbeats."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
     cluster.run(10)
     name = cluster.leader()
     node = cluster.nodes[name]
-    report = msgspec.convert(
+    heartbeat = msgspec.convert(
         {
             "host": "n-1",
             "endpoint": "1:1",
@@ -39,14 +39,15 @@
         },
         messages.Heartbeat,
     )
-    assert node.handle_heartbeat(report).status == 421
+    assert node.handle_heartbeat(heartbeat).status == 421
     assert not node.election.leading
 
 
 def test_a_leader_that_receives_no_heartbeats_steps_down_before_most_leases_expire() -> None:
-    """With a lease of six reports there is hardly time: a worker cut off just before its next report may be too late.
+    """A worker that is partitioned just before its next heartbeat may find the new leader too late.
 
-    That is one day in sixteen, with these sources and those before; so four are played, and one machine may be lost.
+    A lease lasts for six heartbeats, which hardly suffices. That happens in one run of sixteen, with this version and
+    the one before; so four are run, and one machine (two tasks) may be lost.
     """
     assert sum(tasks_lost_with_isolated_leader(seed) for seed in (13, 14, 15, 16)) <= 2
 
@@ -64,7 +65,7 @@
     cluster.run(14)
     assert cluster.leader() not in (None, before)
     lost = len(running - set(cluster.checker.machine_by_task))
-    cluster.run(240)  # what was lost begins again, and takes up to 150 s
+    cluster.run(240)  # lost tasks restart, and take up to 150 s
     assert cluster.checker.violations == []
     assert cluster.checker.last_phase["j-000001"] == "done"
     return lost
@@ -74,11 +75,11 @@
     cluster = SimulatedCluster(14, loss=0.0)
     cluster.submit(cluster.job(1, pieces=1, guessS=30.0))
     cluster.run(30)
-    term = cluster.nodes[cluster.leader()].leader
+    leader = cluster.nodes[cluster.leader()].leader
     machine = next(m for m in cluster.cloud.machines.values() if m.up)
-    late = messages.parse_heartbeat(machine.heartbeat())
+    delayed_heartbeat = messages.parse_heartbeat(machine.heartbeat())
     cluster.cloud.machines.pop(machine.name).die()
     cluster.run(20)
-    assert machine.name in term.releaser.released
-    assert term.on_heartbeat(late).commands == []
-    assert machine.name not in term.cluster.machines
+    assert machine.name in leader.releaser.released
+    assert leader.on_heartbeat(delayed_heartbeat).commands == []
+    assert machine.name not in leader.cluster.machines
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -1,4 +1,4 @@
-"""Outages of the state service: what a controller goes on with, what it leaves, and the budgets of its requests."""
+"""Outages of the state service: what a controller continues, what it stops, and its request budgets."""
 
 from twisted.internet import defer
 from twisted.internet.task import Clock
@@ -18,7 +18,7 @@
     cluster.state.outage(24.0)
     cluster.submit(cluster.job(2, pieces=2))
     cluster.run(23)
-    # The outage is longer than the workers' lease, and no task was lost to it.
+    # The outage is longer than the workers' lease, and yet no task was lost.
     assert len([t for t in cluster.checker.machine_by_task if t.startswith("j-000001/")]) == 2
     assert cluster.checker.starts == 2
     cluster.run(240)
@@ -59,7 +59,7 @@
 
 
 def test_commits_back_off_while_the_state_service_refuses_them() -> None:
-    """Reports come many times a second; so did commits, which used up what was wanted after the outage."""
+    """Commits retried with each heartbeat, many times a second, used up the budget needed after the outage."""
     cluster = SimulatedCluster(seed=25, loss=0.0)
     for number in range(6):
         cluster.submit(cluster.job(number, pieces=6, vcpus=1.0, guessS=4.0))
@@ -67,19 +67,19 @@
         cluster.run(1)
     commits, handle = [], cluster.state.handle
 
-    def counted(caller, method, path, body):
+    def refuse_commits(caller, method, path, body):
         if path == "/commit" and cluster.now < until:
             if any(write.get("set", "").startswith(("tasks/", "active/")) for write in body["writes"]):
-                commits.append(cluster.now)  # rentals and images are recorded at their own pace
+                commits.append(cluster.now)  # provisioning and image records are written on their own schedule
             return Reply(503, {"error": "trouble"})
         return handle(caller, method, path, body)
 
     until = cluster.now + 10.0
-    cluster.state.handle = counted  # type: ignore[method-assign]
-    term = cluster.nodes[cluster.leader()].leader
+    cluster.state.handle = refuse_commits  # type: ignore[method-assign]
+    leader = cluster.nodes[cluster.leader()].leader
     cluster.run(9.9)
     assert 10 <= len({round(at, 1) for at in commits}) < 1.2 * 10 / REFUSED_BACKOFF_S
-    assert term.store.write_budget.level() > term.store.write_budget.rate_per_s - 1
+    assert leader.store.write_budget.level() > leader.store.write_budget.rate_per_s - 1
     cluster.run(60)
     assert set(cluster.checker.last_phase.values()) == {"done"}
     assert cluster.checker.violations == []
