--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,15 +25,15 @@
     if whole_files and (unknown := known_red.unmatched(listed, [item.nodeid for item in items])):
         raise pytest.UsageError(f"{known_red.LIST.name}: no such test: {unknown[0].test}")
     for item in items:
-        for known in listed:
-            if known.covers(item.nodeid):
-                item.add_marker(pytest.mark.xfail(reason=str(known), strict=True))
+        for failure in listed:
+            if failure.covers(item.nodeid):
+                item.add_marker(pytest.mark.xfail(reason=str(failure), strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
     """Prints all known failures, also of tests that were not run."""
-    for known in known_red.read():
-        terminalreporter.write_line(f"known to fail: {known}")
+    for failure in known_red.read():
+        terminalreporter.write_line(f"known to fail: {failure}")
 
 
 @pytest.fixture(autouse=True)
--- a/tests/loopback_cluster.py
+++ b/tests/loopback_cluster.py
@@ -262,15 +262,15 @@
 
     # -- users ---------------------------------------------------------------------------
 
-    def _request(self, ask: Any, told: Any, job: str) -> None:
-        """Sends a user's request; `ask` is the method, path and body instead of a call of a node."""
-        defer.ensureDeferred(self._repeat_request(ask, told, job))
+    def _request(self, request: Any, on_answer: Any, job: str) -> None:
+        """Sends a user's request; `request` is the method, path and body instead of a call of a node."""
+        defer.ensureDeferred(self._repeat_request(request, on_answer, job))
 
-    async def _repeat_request(self, ask: tuple[str, str, Any], told: Any, job: str) -> None:
+    async def _repeat_request(self, request: tuple[str, str, Any], on_answer: Any, job: str) -> None:
         """Repeats a request to random controllers until one of them answers."""
-        method, path, body = ask
+        method, path, body = request
         while True:
-            asked_at = self.now
+            requested_at = self.now
             self.checker.request_sent(job)
             try:
                 address = self.public[self.random.choice(self.names)]
@@ -279,9 +279,9 @@
                 reply = Reply(503, None)
             if reply.status in (200, 201, 404):
                 answer = reply.body if reply.status != 404 else None
-                self.checker.observe_status(job, answer, asked_at)
+                self.checker.observe_status(job, answer, requested_at)
                 self.checker.request_answered(job)
-                told(job, answer)
+                on_answer(job, answer)
                 return
             await self.sleep(POLL_S)
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -60,7 +60,7 @@
         return 0.0, 0.0
 
     def partition(self, one: str, other: str, seconds: float, hold: bool = False) -> None:
-        """Partitions two hosts for `seconds`; with `hold`, requests sent meanwhile arrive when the partition ends."""
+        """Partitions two hosts for `seconds`; with `hold`, requests sent in that time arrive at its end."""
         pair = frozenset((one, other))
         self.partitions[pair] = self.now + seconds, hold
 
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -267,7 +267,7 @@
         self.cluster.clock.callLater(0.01, self.send_heartbeat)
 
     def record_end(self, name: str) -> None:
-        """Tells the checker that a task no longer runs here, if it did."""
+        """Reports the end of a task to the checker if the task was running on this machine."""
         if self.tasks[name]["phase"] in ("running", "gathering", "flushing"):
             self.cluster.checker.task_ended(name, self)
 
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -227,13 +227,13 @@
                 defer.ensureDeferred(self._send_request(name, self.random.choice(requests), job))
 
     async def _send_request(self, name: str, request: tuple[str, str, Any], job: str) -> None:
-        asked_at = self.now
+        requested_at = self.now
         try:
             reply = await self.client.request(request[0], self.public[name], request[1], request[2], 2.0)
         except (ConnectionFailedError, NoResponseError):
             return
         if reply.status in (200, 201, 404):
-            self.checker.observe_status(job, reply.body if reply.status != 404 else None, asked_at)
+            self.checker.observe_status(job, reply.body if reply.status != 404 else None, requested_at)
         elif reply.status in (400, 422):
             self.record_failure(f"{name} answered a request about {job} with status {reply.status}")
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -235,7 +235,7 @@
 @DERANDOMIZED
 @given(snapshots(), st.integers(0, 8), st.randoms(use_true_random=False))
 def test_decisions_match_the_reference_model(snapshot: Snapshot, max_preemptions: int, random) -> None:
-    """Whole cycles, with reserved room, nominations of earlier cycles, images and stopping tasks."""
+    """Compares whole cycles, with reserved room, nominations of earlier cycles, images and stopping tasks."""
     for machine in snapshot.machines.values():
         machine.images = frozenset(random.sample(["img", "img-2", "img-3"], random.randrange(3)))
         machine.mark_stopping([task for task in machine.tasks if random.random() < 0.2])
@@ -380,7 +380,7 @@
 @DERANDOMIZED
 @given(fleets(), st.lists(st.tuples(st.integers(1, 8), st.sampled_from(["standard", "urgent"])), max_size=5))
 def test_a_task_waits_only_when_it_fits_nowhere(machines: list[MachineView], demands: list[tuple[int, str]]) -> None:
-    """Compared with first fit by brute force: no machine has room for an unplaced task."""
+    """No machine has room for an unplaced task; checked by a brute-force search of the first machine that fits."""
     waiting = [
         PendingJob(spec(i, float(cpus), priority, "free", tasks=1), 0.0, 1, [0], {}, 4.0)
         for i, (cpus, priority) in enumerate(demands)
@@ -482,7 +482,7 @@
 
 
 def test_room_reserved_for_gangs_does_not_count_as_room_for_other_jobs() -> None:
-    """Otherwise a job that may not use the reserved room would wait, and no machine would be provisioned for it."""
+    """If reserved room counted, no machine would be provisioned for a waiting job that may not use that room."""
     machine = make_machine("n-0", SMALL, [])
     expected = [ExpectedTasks(spec(9, 4.0, kind="gang", one_zone=True), 2)]
     for expected_gangs, placed in (([], 2), (expected, 0)):
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -39,7 +39,7 @@
     offset=st.integers(0, 10**6),
 )
 def test_tokens_are_unique_to_a_leader_and_increase(terms: list[list[str]], offset: int) -> None:
-    """Over any series of leaders, compared with a reference of the issued tokens.
+    """Compares the tokens of any series of leaders with a reference of the issued tokens.
 
     A leader has this version, or one that never issues a spare token. Each change of the store increments its revision,
     whoever makes it; a leader's first token is the version of its key.
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -104,7 +104,7 @@
 
 
 def test_provisioning_more_machines_than_a_request_holds_takes_several_requests() -> None:
-    """A single request would return fewer machines than asked for, which looks as if the cloud had no more capacity."""
+    """A single request would return fewer machines than requested, as if the cloud had no more capacity."""
     cluster = SimulatedCluster(seed=5, capacity=1000, loss=0.0)
     cluster.run(5)
     leader = cluster.nodes[cluster.leader()].leader
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("progress", ["partly committed", "committed, partly started"])
 def test_failover_while_a_gang_is_placed(progress: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A partly committed gang has started nothing and is withdrawn; of a partly started one, the rest is started."""
+    """A partly committed gang has started nothing and is withdrawn; the rest of a partly started one is started."""
     cluster = SimulatedCluster(seed=31, loss=0.0, value_kb=1.0, upcoming_limits={"txn_ops": 4, "value_kb": 1.0})
     handle, start = cluster.state.handle, Machine.start
     commits: list[float] = []
@@ -154,11 +154,11 @@
                 cluster.clock.callLater(0.0, cluster.kill, caller, 1.0)
         return handle(caller, method, path, body)
 
-    def kill_leader_at_start(machine: Machine, name: str, attempt: int, known: dict | None) -> None:
+    def kill_leader_at_start(machine: Machine, name: str, attempt: int, present: dict | None) -> None:
         starts.append(cluster.now)
         if len(starts) == 1 and progress != "partly committed":
             cluster.kill(cluster.leader(), 1.0)
-        start(machine, name, attempt, known)
+        start(machine, name, attempt, present)
 
     cluster.state.handle = kill_leader_at_commit  # type: ignore[method-assign]
     monkeypatch.setattr(Machine, "start", kill_leader_at_start)
--- a/tests/test_held_starts.py
+++ b/tests/test_held_starts.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_delayed_start_does_not_run_after_its_jobs_cancellation(seed: int) -> None:
-    """As in the incident: heartbeats arrive, each answer carries a stop, and the start comes after all of them."""
+    """Heartbeats arrive, each answer carries a stop, and the start comes after all of them, as in the incident."""
     cluster = busy_cluster(seed)
     jobs = delay_starts_and_cancel(cluster, 45.0, 80.0)
     run_checking_cancellations(cluster, 100.0)
--- a/tests/test_inline_records.py
+++ b/tests/test_inline_records.py
@@ -44,7 +44,7 @@
 
 
 def cluster_in_newest_format(seed: int, **more: Any) -> SimulatedCluster:
-    """Returns a world in which all controllers write the newest format."""
+    """Returns a cluster in which all controllers write the newest format."""
     cluster = SimulatedCluster(seed, loss=0.0, **more)
     cluster.run(15)
     assert {node.record_format.number for node in cluster.nodes.values() if node is not None} == {records.NEWEST_FORMAT}
@@ -52,7 +52,7 @@
 
 
 def run_until_started(cluster: SimulatedCluster, tasks: int) -> None:
-    """Runs the world until this number of tasks run; fails after 120 s."""
+    """Runs the cluster until this number of tasks run; fails after 120 s."""
     for _ in range(120):
         if len(cluster.checker.machine_by_task) >= tasks:
             return
@@ -245,7 +245,7 @@
 def test_the_estimated_size_of_an_inline_record_is_an_upper_bound(
     spec: dict[str, Any], names: list[str], done: set[int], attempts: int
 ) -> None:
-    """The estimate decides whether a chunk is stored inline; if it was too low, the record could exceed the limit."""
+    """The estimate decides whether a chunk is stored inline; if it is too low, the record may exceed the limit."""
     body = SimulatedCluster.job(None, 1, **spec)  # type: ignore[arg-type]
     job = Job(CURRENT.messages.parse_job(body), 1e9, 96)
     chunk = job.chunk_of(0)
--- a/tests/test_job_parts.py
+++ b/tests/test_job_parts.py
@@ -36,7 +36,7 @@
 
 
 class FailureTracking:
-    """Jobs, and the failure attribution and back-off that track their tracking."""
+    """Jobs, and the failure attribution and back-off that track their failures."""
 
     def __init__(self, jobs: int) -> None:
         self.clock = Clock()
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -46,8 +46,8 @@
 def test_a_leader_that_receives_no_heartbeats_steps_down_before_most_leases_expire() -> None:
     """A worker that is partitioned just before its next heartbeat may find the new leader too late.
 
-    A lease lasts for six heartbeats, which hardly suffices. That happens in one run of sixteen, with this version and
-    the one before; so four are run, and one machine (two tasks) may be lost.
+    A lease lasts for six heartbeats, which hardly suffices. A worker finds the new leader too late in one run of
+    sixteen, with this version and the one before; so four are run, and one machine (two tasks) may be lost.
     """
     assert sum(tasks_lost_with_isolated_leader(seed) for seed in (13, 14, 15, 16)) <= 2
 
--- a/tests/test_ops_troubles.py
+++ b/tests/test_ops_troubles.py
@@ -55,10 +55,10 @@
 
 def freeze_leader_at_commits(cluster: SimulatedCluster) -> None:
     """Freezes the leader just as a commit is executed, so that another leader is elected before the answer is read."""
-    leader, ask, freezes_left = cluster.leader(), cluster.state.receive, [4]
+    leader, receive, freezes_left = cluster.leader(), cluster.state.receive, [4]
 
     def freeze_after_commit(caller: str, method: str, path: str, body: object) -> object:
-        answer = ask(caller, method, path, body)
+        answer = receive(caller, method, path, body)
         if path == "/commit" and caller == leader and freezes_left[0] and cluster.random.random() < 0.3:
             freezes_left[0] -= 1
             cluster.freeze(caller, 4.0)
--- a/tests/test_overlapping_faults.py
+++ b/tests/test_overlapping_faults.py
@@ -377,12 +377,12 @@
     cluster = SimulatedCluster(seed=4, loss=0.0)
     submit_long_jobs(cluster)
     cluster.run(40)
-    leader, ask = cluster.leader(), cluster.state.receive
+    leader, receive = cluster.leader(), cluster.state.receive
 
     def refuse_watch(caller: str, method: str, path: str, body: object) -> object:
         if caller == leader and path.startswith("/watch?under=active/"):
-            return Reply(503, {"error": "trouble"})
-        return ask(caller, method, path, body)
+            return Reply(503, {"error": "injected fault"})
+        return receive(caller, method, path, body)
 
     cluster.state.receive = refuse_watch  # type: ignore[method-assign]
     cluster.run(6)  # until the watch that was already open has ended
@@ -691,16 +691,16 @@
     cluster = SimulatedCluster(seed=3, loss=0.0)
     submit_mixed_jobs(cluster, jobs=12, every=0.5)
     cluster.run(20)
-    ask, requests, answers = cluster.state.receive, [0], []
+    receive, requests, answers = cluster.state.receive, [0], []
     observe_status = cluster.checker.observe_status
 
     def count_requests(caller: str, method: str, path: str, body: object) -> object:
         requests[0] += 1
-        return ask(caller, method, path, body)
+        return receive(caller, method, path, body)
 
-    def record_answer(job: str, answer: dict | None, asked_at: float) -> None:
+    def record_answer(job: str, answer: dict | None, requested_at: float) -> None:
         answers.append(job)
-        observe_status(job, answer, asked_at)
+        observe_status(job, answer, requested_at)
 
     cluster.state.receive = count_requests  # type: ignore[method-assign]
     cluster.checker.observe_status = record_answer  # type: ignore[method-assign]
@@ -817,7 +817,7 @@
 
     def refuse_reads(caller: str, method: str, path: str, body: object) -> object:
         if path.startswith("/kv?under=active/"):
-            return Reply(503, {"error": "trouble"})
+            return Reply(503, {"error": "injected fault"})
         return handle(caller, method, path, body)
 
     cluster.state.handle = refuse_reads  # type: ignore[method-assign]
@@ -970,7 +970,7 @@
 
     cluster.cloud.add = add_with_failures  # type: ignore[method-assign]
     cluster.run(4)
-    # More machines in zone b, so that the failing zone a would be preferred.
+    # Zone b gets more machines first, so that the failing zone a would be preferred.
     assert set(zones_used_for_burst(0, 5, yard="b", crew="edge")) == {"b"}
     assert zones_used_for_burst(10, 6).count("a") >= 3
     leader = cluster.nodes[cluster.leader()].leader
@@ -995,7 +995,7 @@
 def test_delayed_writes_of_provisioning_and_image_records_do_no_harm(kind: str, seed: int) -> None:
     """Delayed writes get no answer and are executed seconds later, over newer records, which new leaders then read."""
     cluster = SimulatedCluster(seed=seed, loss=0.0, capacity=6)
-    ask, delayed = cluster.state.receive, []
+    receive, delayed = cluster.state.receive, []
 
     def delay_commits(caller: str, method: str, path: str, body: dict) -> object:
         keys = [write.get("set") or write["delete"] for write in body["writes"]] if path == "/commit" else []
@@ -1003,7 +1003,7 @@
             delayed.append(keys)
             cluster.clock.callLater(cluster.random.uniform(4.0, 20.0), cluster.state.handle, caller, method, path, body)
             raise NoResponseError("nothing comes back")
-        return ask(caller, method, path, body)
+        return receive(caller, method, path, body)
 
     cluster.state.receive = delay_commits  # type: ignore[method-assign]
     submit_mixed_jobs(cluster, jobs=18)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -214,7 +214,7 @@
 
 
 class StubClock:
-    """A clock that stands at 0 s."""
+    """A clock whose time is always 0 s."""
 
     def seconds(self) -> float:
         return 0.0
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -20,7 +20,7 @@
 
 
 def loaded_cluster(seed: int, features: Features = REBUILD_ENABLED, **more) -> SimulatedCluster:
-    """Returns a world with arrays and gangs, of the classes `batch` and `once`, submitted from 4 s on every 1.5 s."""
+    """Returns a cluster with arrays and gangs of the classes `batch` and `once`, submitted from 4 s on every 1.5 s."""
     cluster = SimulatedCluster(seed, features=features, **more)
     for number in range(JOBS):
         body = cluster.job(
@@ -37,7 +37,7 @@
 
 
 def finish(cluster: SimulatedCluster, longest_s: float = 300.0) -> None:
-    """Runs the world until all jobs have ended, and checks that no rule was broken."""
+    """Runs the cluster until all jobs have ended, and checks that no rule was broken."""
     end = cluster.now + longest_s
     while cluster.now < end and not all(cluster.checker.is_final(job) for job in cluster.jobs):
         cluster.run(2)
@@ -182,7 +182,7 @@
 def test_other_faults_are_not_taken_for_a_loss(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Outages, refusals, slow or lost responses, cut links, pauses and leader changes, alone and combined."""
+    """The faults are outages, refusals, slow or lost responses, cut links, pauses and leader changes, also combined."""
     monkeypatch.setattr(SimulatedCluster, "FEATURES", REBUILD_ENABLED)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
@@ -239,7 +239,7 @@
 
 
 def test_real_processes_give_the_same_final_phases_with_and_without_a_loss() -> None:
-    """One seed without a loss, with the state service wiped at 4 s, and with the leader and 2 machines lost too."""
+    """Runs a seed without a loss, with the state service wiped at 4 s, and with the leader and 2 machines lost too."""
     undisturbed = run_on_loopback("--seed", "3")
     with_wipe = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
     with_wipe_and_kills = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
--- a/tests/test_rebuild_histories.py
+++ b/tests/test_rebuild_histories.py
@@ -11,7 +11,7 @@
 
 
 class Histories(RuleBasedStateMachine):
-    """A world with random faults; after the last of them, every job reaches exactly one final phase."""
+    """A cluster with random faults; after the last of them, every job reaches exactly one final phase."""
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
--- a/tests/test_rebuild_parts.py
+++ b/tests/test_rebuild_parts.py
@@ -127,7 +127,7 @@
 
 
 def test_outcomes_are_encoded_compactly() -> None:
-    """Less than a quarter of the size of ranges, for job numbers that are not consecutive."""
+    """Outcomes take less than a quarter of the size of ranges if job numbers are not consecutive."""
     numbers = [(7919 * n) % 1_000_003 for n in range(20_000)]
     outcomes = JobOutcomes()
     for number in numbers:
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -17,7 +17,7 @@
 def test_one_controller_without_the_feature_prevents_protection() -> None:
     """As long as one controller has no replica, the store gets no identity, so that no other relies on the feature.
 
-    Jobs are served as without it.
+    Jobs are served as without the feature.
     """
     cluster = loaded_cluster(7)
     cluster.features["node-2"] = None
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -567,7 +567,7 @@
 
     def refuse_reads(caller: str, method: str, path: str, body: Any) -> Any:
         if path.startswith("/kv?under=active/") and cluster.now < until:
-            return Reply(503, {"error": "trouble"})
+            return Reply(503, {"error": "injected fault"})
         return handle(caller, method, path, body)
 
     cluster.state.handle = refuse_reads  # type: ignore[method-assign]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -113,7 +113,7 @@
 
     With `keeps`, idle connections to workers are never closed, and the limit must be exceeded.
     """
-    machines = 942  # half as many again as the fleet has
+    machines = 942  # one and a half times the size of the fleet
     if keeps:
         monkeypatch.setattr(SocketUsage, "keeps_worker_connections", lambda _: True)
     cluster = LargeCluster(seed=24, capacity=machines, loss=0.0)
--- a/tests/test_state_service_outages.py
+++ b/tests/test_state_service_outages.py
@@ -71,7 +71,7 @@
         if path == "/commit" and cluster.now < until:
             if any(write.get("set", "").startswith(("tasks/", "active/")) for write in body["writes"]):
                 commits.append(cluster.now)  # provisioning and image records are written on their own schedule
-            return Reply(503, {"error": "trouble"})
+            return Reply(503, {"error": "injected fault"})
         return handle(caller, method, path, body)
 
     until = cluster.now + 10.0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -69,8 +69,8 @@
     return jobs
 
 
-def run_world(version: Version, **more: Any) -> SimulatedCluster:
-    """Returns a world of controllers of one version, with 12 arrays and a job of 130 tasks to be submitted."""
+def mixed_job_cluster(version: Version, **more: Any) -> SimulatedCluster:
+    """Returns a cluster with controllers of one version, with 12 arrays and a job of 130 tasks to be submitted."""
     cluster = SimulatedCluster(seed=61, loss=0.002, value_kb=16.0, version=version, **more)
     submit_mixed_jobs(cluster, jobs=12, every=2.0)
     cluster.submit(cluster.job(700, pieces=130, vcpus=0.25, memGb=0.2, guessS=25.0, crew="edge"))
@@ -78,13 +78,13 @@
 
 
 def write_production_fixture() -> None:
-    """Writes the fixture; was run once.
+    """Writes the fixture of the version in production; was run once.
 
     `PYTHONPATH=.:target/deps python3 -c "from tests.test_upgrade import *; write_production_fixture()"`
     """
     version = production()
     assert version is not None
-    cluster = run_world(version)
+    cluster = mixed_job_cluster(version)
     cluster.run(48)
     items = {key: value for key, (value, _, _) in sorted(cluster.state.items.items())}
     views = [msgspec.to_builtins(version.peer_resources(node).view()) for node in cluster.nodes.values()]
@@ -94,10 +94,13 @@
 
 
 def write_last_legacy_fixture() -> None:
-    """Writes the fixture; was run once. The value limit is reduced without notice, which gives records of all kinds."""
+    """Writes the fixture of the last legacy version; was run once.
+
+    The value limit is reduced without notice, which gives records of all kinds.
+    """
     version = from_history(LAST_LEGACY)
     assert version is not None
-    cluster = run_world(version)
+    cluster = mixed_job_cluster(version)
     cluster.submit(cluster.job(701, pieces=300, vcpus=0.25, memGb=0.1, guessS=8.0, crew="guest"))
     cluster.submit(cluster.job(702, pieces=90, vcpus=0.25, memGb=0.1, guessS=60.0, crew="edge"))
     cluster.run(30)
@@ -110,7 +113,7 @@
 
 
 def test_records_of_the_last_legacy_version_are_read() -> None:
-    """Inline chunks, main and overflow records of chunks, and finished chunks."""
+    """The fixture has inline chunks, main and overflow records of chunks, and finished chunks."""
     stored = json.loads(LAST_LEGACY_FIXTURE.read_text())
     items, expected = stored["items"], stored["contents"]
     assert items[records.FORMAT]["format"] == 2
@@ -148,7 +151,7 @@
 
 def test_records_keep_the_form_of_production_until_the_format_changes() -> None:
     """One controller is down and its version unknown, so that the form and the limits of production are kept."""
-    cluster = run_world(CURRENT, upcoming_limits=LOWER_LIMITS)
+    cluster = mixed_job_cluster(CURRENT, upcoming_limits=LOWER_LIMITS)
     cluster.kill("node-2", None)
     cluster.apply_upcoming_limits()
     cluster.run(60)
@@ -200,7 +203,7 @@
     cluster.clock.callLater(46.0, crash_machines, cluster)
     for number in (2, 8, 15):
         cluster.clock.callLater(34.0 + number, cluster.cancel, f"j-{number:06d}")
-    # One is killed and restarts with the old version before it is upgraded; then the roll continues.
+    # node-1 is killed and restarts with the old version before it is upgraded; then the rollout continues.
     cluster.clock.callLater(58.0, cluster.kill, "node-1", 0.3)
     cluster.clock.callLater(62.0, cluster.kill, "node-1", 2.0, CURRENT)
     cluster.run(64)
@@ -265,7 +268,7 @@
 
 
 def test_limits_reduced_without_notice_during_a_run() -> None:
-    """4 changes per transaction and 2 KiB per value, from 30 s on.
+    """From 30 s on, the limits are 4 changes per transaction and 2 KiB per value.
 
     The run has gangs, a job of many chunks, cancellations and crashes.
     """
--- a/tests/test_wire_trace.py
+++ b/tests/test_wire_trace.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 def test_messages_and_records_match_the_digests() -> None:
-    """In a separate process, because the hash seed, and with it the order of sets, is fixed at the start."""
+    """Runs in a separate process, because the hash seed, and with it the order of sets, is fixed at the start."""
     command = [sys.executable, "-m", "tests.wire_trace", "--processes", "2"]
     for seed in TESTED_SEEDS.values():
         command += ["--seed", str(seed)]
--- a/tests/wire_trace.py
+++ b/tests/wire_trace.py
@@ -158,12 +158,12 @@
 class TracedUserRequest:
     """A user's request to a controller, which traces the answer or the error."""
 
-    def __init__(self, cluster: "TracedCluster", ask: Callable[[Any], Any], job: str) -> None:
-        self._cluster, self._request, self._job = cluster, ask, job
+    def __init__(self, cluster: "TracedCluster", request: Callable[[Any], Any], job: str) -> None:
+        self._cluster, self._request, self._job = cluster, request, job
 
     def __call__(self, node: Any) -> Any:
-        asked: defer.Deferred[Any] = defer.ensureDeferred(self._request(node))
-        return asked.addCallbacks(self._answered, self._refused)
+        answer: defer.Deferred[Any] = defer.ensureDeferred(self._request(node))
+        return answer.addCallbacks(self._answered, self._refused)
 
     def _answered(self, answer: Any) -> Any:
         self._cluster.trace.add("told", self._cluster.now, self._job, answer)
@@ -196,14 +196,14 @@
         self.trace.add("copy", self.now, name, body)
         super().deliver_duplicate(name, body)
 
-    def _request(self, ask: Callable[[Any], Any], told: Callable[[str, Any], None], job: str) -> None:
-        super()._request(self._traced(ask, job), told, job)
+    def _request(self, request: Callable[[Any], Any], on_answer: Callable[[str, Any], None], job: str) -> None:
+        super()._request(self._traced(request, job), on_answer, job)
 
-    def _request_once(self, name: str, ask: Callable[[Any], Any], job: str) -> None:
-        super()._request_once(name, self._traced(ask, job), job)
+    def _request_once(self, name: str, request: Callable[[Any], Any], job: str) -> None:
+        super()._request_once(name, self._traced(request, job), job)
 
-    def _traced(self, ask: Callable[[Any], Any], job: str) -> TracedUserRequest:
-        return ask if isinstance(ask, TracedUserRequest) else TracedUserRequest(self, ask, job)
+    def _traced(self, request: Callable[[Any], Any], job: str) -> TracedUserRequest:
+        return request if isinstance(request, TracedUserRequest) else TracedUserRequest(self, request, job)
 
 
 class RunDigest(NamedTuple):
@@ -234,7 +234,7 @@
 
 
 def _options(seed: int, rng: random.Random) -> dict[str, Any]:
-    """Returns the options of a seed's world; several seeds cover each feature and each version."""
+    """Returns the options of a seed's simulated cluster; several seeds cover each feature and each version."""
     options: dict[str, Any] = {
         "seed": seed,
         "loss": rng.choice((0.0, 0.002, 0.01)),
