--- a/stileloft/controller/controller.py
+++ b/stileloft/controller/controller.py
@@ -97,7 +97,7 @@
         self.referrals = HeartbeatReferrals(self.reactor, deployment.workers)
 
     def _build_store(self) -> None:
-        """Builds what follows the store and its records, and what serves users' requests."""
+        """Builds the components that follow the store's records, and those that serve users' requests."""
         deployment = self.settings.deployment
         self.record_format = RecordFormat(deployment.state)
         self.record_format.on_advance = self._on_format_advance
@@ -107,7 +107,7 @@
         teams = {team.name: team for team in deployment.teams}
         self.admission = Admission(
             UserStore(self.clients.state, self.integrity, self.budgets.user_reads, self.budgets.user_writes),
-            FeasibilityCheck(teams, self.catalog, deployment.state.least().value_bytes),
+            FeasibilityCheck(teams, self.catalog, deployment.state.strictest().value_bytes),
             self.record_format,
             self.reactor,
             self.wall_clock,
@@ -131,7 +131,7 @@
                 peers=self.clients.peers,
                 leader_write_budget=self.budgets.leader_writes,
                 leadership=lambda: self.election,
-                first_chunk_size=self.record_format.legacy_chunk_size,
+                legacy_chunk_size=self.record_format.legacy_chunk_size,
                 renewal_grace_s=self.renewal_grace_s,
                 forget_record_versions=self.record_format.reset_record_version,
                 begin_leading=self.begin_leading,
@@ -190,7 +190,11 @@
         self._listen(
             self.settings.listen,
             Router(
-                public.match, messages.encode, messages.decode, "application/cbor", keep=self.keep_request_connection
+                public.match,
+                messages.encode,
+                messages.decode,
+                "application/cbor",
+                keep_alive=self.keep_request_connection,
             ),
         )
         admin = AdminResources(self.administration)
@@ -223,9 +227,9 @@
     def keep_request_connection(self, path: str) -> bool:
         """Whether an incoming connection is kept open after a request to `path` is answered."""
         if path != HEARTBEAT_PATH:
-            return self.sockets.keeps_users()
+            return self.sockets.keeps_user_connections()
         # Workers themselves disconnect from a controller that does not lead.
-        return self.leader is None or self.sockets.keeps_heartbeats(len(self.leader.cluster.machines))
+        return self.leader is None or self.sockets.keeps_heartbeat_connections(len(self.leader.cluster.machines))
 
     def keep_worker_connection(self) -> bool:
         """Whether a connection to a worker is kept open after its request is answered."""
@@ -235,7 +239,7 @@
             is_claiming = leading_s < CLAIMING_LEASES * deployment.workers.lease_s
             if is_claiming and 2 * len(leader.cluster.machines) > KEEP_COMMANDS_SHARE * deployment.quota.max_sockets:
                 return False  # the workers' own connections will need the sockets
-        return self.sockets.keeps_commands()
+        return self.sockets.keeps_worker_connections()
 
     # -- leadership ---------------------------------------------------------------------
 
@@ -283,7 +287,7 @@
             self.leader.upgrade.on_format_advanced()
 
     def _on_local_cancellation(self, job: str, revision: int) -> None:
-        """If this controller leads, applies a cancellation that it has stored at once, before the watch reports it."""
+        """Applies a cancellation that this controller stored, if it leads: at once, without waiting for the watch."""
         if self.leader is not None:
             self.leader.watch.on_change(job, None, revision)
 
--- a/stileloft/rebuild/store_status.py
+++ b/stileloft/rebuild/store_status.py
@@ -22,7 +22,7 @@
     STARTING = "starting"
     """The store has not been checked yet, or may have lost all records before this process started."""
     UNPROTECTED = "unprotected"
-    """The store has no identity, as not all controllers are known to have the feature."""
+    """The store has no identity, because not all controllers are known to have the feature `rebuild`."""
     SOUND = "sound"
     """The store's identity and revisions are consistent with what this controller knows."""
     LOST = "lost"
@@ -49,7 +49,7 @@
         self.reason = ""
         """Why the store was marked as lost; empty once it is sound again."""
         self._revision_at_loss = 0
-        state.on_regress = self._on_revision_regress
+        state.on_revision_regression = self._on_revision_regress
 
     @property
     def deployment(self) -> str:
@@ -92,10 +92,10 @@
             self.lost_at = self._clock.seconds()
         # Revisions from before the loss no longer count as a lower bound.
         self._revision_at_loss = self._state.highest_revision
-        self._state.forget_revisions()
+        self._state.reset_revisions()
 
     def mark_unprotected(self) -> None:
-        """Marks the store as trusted although it has no identity."""
+        """Marks the store as unprotected: it is used, but has no identity with which a loss would be detected."""
         self.phase = StorePhase.UNPROTECTED
         log.info(
             "state service has no identity, loss of its records is not detected phase=%s generation=%d",
@@ -139,7 +139,7 @@
         if previous is not None and previous.generation != current.generation:
             self._forget_record_versions()
             # Pending requests were made to the previous generation of the store; their replies must not be used.
-            self._state.forget_revisions()
+            self._state.reset_revisions()
         self.identity, self.identity_version = current, version
         self.phase = StorePhase.REBUILDING if current.rebuilding else StorePhase.SOUND
         if previous is None and previous_phase is StorePhase.UNPROTECTED:
@@ -151,6 +151,6 @@
             log.info("state service phase changed phase=%s generation=%d", self.phase, current.generation)
 
     def begin_rebuild(self, marked: Identity, version: int) -> None:
-        """Notes that this controller, as the leader, has marked the store as being rebuilt."""
+        """Records that this controller, as the leader, has marked the store as being rebuilt."""
         self.identity, self.identity_version = marked, version
         self.phase = StorePhase.REBUILDING
--- a/stileloft/store/record_format.py
+++ b/stileloft/store/record_format.py
@@ -25,7 +25,7 @@
         """The version of the format record; 0 if there is none."""
         self.legacy_chunk_size = records.chunk_size(limits.value_kb)
         """Tasks per chunk of jobs whose records do not state it."""
-        self.chunk_size = records.recorded_chunk_size(limits.least().value_bytes)
+        self.chunk_size = records.recorded_chunk_size(limits.strictest().value_bytes)
         """Tasks per chunk of new jobs, once their records may state it."""
         self.on_advance: Callable[[], None] = lambda: None
         """Called after the format has advanced."""
@@ -53,7 +53,7 @@
         self.record_version = 0
 
     async def follow(self, state: StateClient, clock: Clock) -> None:
-        """Watches the stored format until it is the newest."""
+        """Watches the stored format until it is the newest that this controller can read."""
 
         async def read_and_watch() -> None:
             found = await state.get(records.FORMAT)
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -30,7 +30,7 @@
 READY_S = 30.0
 # What the controllers' logs must not hold, and what is counted there.
 DEFECT = re.compile(r"Traceback|invariant violated|Unhandled")
-COUNTED = {
+LOG_PATTERNS = {
     "tokens_raised": re.compile(r"fencing token raised"),
     "starts_barred": re.compile(r"reason='start fenced'"),
     "starts_in_doubt": re.compile(r"start in doubt"),
@@ -118,7 +118,9 @@
         self.ended_by_us: set[str] = set()
         self.troubled_until = 0.0
         self.links = Links(reactor, lambda: self.now, random.Random(f"links {plan.seed}"))
-        self.raw = Client(reactor, bytes, bytes, b"application/json", per_host=8, connect_s=1.0, idle_s=30.0)
+        self.raw = Client(
+            reactor, bytes, bytes, b"application/json", max_idle_per_host=8, connect_timeout_s=1.0, idle_s=30.0
+        )
         self._ports: dict[tuple[str, str], int] = {}
         super().__init__(argparse.Namespace(seed=plan.seed, without=not plan.rebuild, logs=False))
         self.cloud = self._make_cloud()
@@ -291,7 +293,7 @@
             for line in text.splitlines():
                 if DEFECT.search(line):
                     self.fail(f"{name} logs: {line}")
-            counted.update({what: len(pattern.findall(text)) for what, pattern in COUNTED.items()})
+            counted.update({what: len(pattern.findall(text)) for what, pattern in LOG_PATTERNS.items()})
         self.result.logged = dict(counted)
 
     # -- troubles
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -28,7 +28,7 @@
 from tests.held_starts import busy_cluster, delay_starts_and_cancel, run_checking_cancellations, submit_small_jobs
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.network import MessageDelay
-from tests.soak.cluster import COUNTED
+from tests.soak.cluster import LOG_PATTERNS
 from tests.versions import CURRENT, production
 
 # -- tokens ----------------------------------------------------------------------------------------------------------
@@ -171,7 +171,7 @@
     cluster.cancel("j-000001")
     with caplog.at_level(logging.INFO):
         run_checking_cancellations(cluster, cluster.CANCEL_S + 20.0)
-    assert COUNTED["renewals_withheld"].search(caplog.text)
+    assert LOG_PATTERNS["renewals_withheld"].search(caplog.text)
     assert NO_TOKEN in {answer["baton"] for answer in answers}
     assert all(len(answer["orders"]) <= MAX_COMMANDS_PER_ANSWER for answer in answers)
     assert cluster.checker.violations == []
@@ -326,7 +326,7 @@
         delay_starts_and_cancel(cluster)
         run_checking_cancellations(cluster, 60.0)
     for name in ("tokens_raised", "starts_barred", "starts_in_doubt"):
-        assert COUNTED[name].search(caplog.text), name
+        assert LOG_PATTERNS[name].search(caplog.text), name
 
 
 def test_the_status_shows_starts_in_doubt() -> None:
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -14,12 +14,12 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.test_overlapping_faults import FAULT_SCHEDULES, test_overlapping_faults
 
-ON = Features(rebuild=RebuildFeature(enabled=True))
+REBUILD_ENABLED = Features(rebuild=RebuildFeature(enabled=True))
 JOBS = 14
 ROOT = Path(__file__).parent.parent
 
 
-def loaded_cluster(seed: int, features: Features = ON, **more) -> SimulatedCluster:
+def loaded_cluster(seed: int, features: Features = REBUILD_ENABLED, **more) -> SimulatedCluster:
     """A world with jobs of all kinds, in mid-batch when the loss comes."""
     cluster = SimulatedCluster(seed, features=features, **more)
     for number in range(JOBS):
@@ -60,18 +60,18 @@
     cluster.state.wipe()
 
 
-def wiped_but_counting(cluster: SimulatedCluster) -> None:
+def wiped_with_revision_kept(cluster: SimulatedCluster) -> None:
     cluster.state.wipe(keeps_counting=True)
 
 
-def leader_lost_with_it(cluster: SimulatedCluster) -> None:
+def wiped_and_leader_killed(cluster: SimulatedCluster) -> None:
     name = cluster.leader()
     cluster.state.wipe()
     if name is not None:
         cluster.kill(name, restart_after_s=8.0)
 
 
-def leader_killed_in_the_rebuild(cluster: SimulatedCluster) -> None:
+def leader_killed_during_rebuild(cluster: SimulatedCluster) -> None:
     cluster.state.wipe()
     cluster.clock.callLater(
         1.05, lambda: [cluster.kill(name, 6.0) for name in cluster.names if is_rebuilding(cluster, name)]
@@ -93,21 +93,21 @@
     cluster.clock.callLater(2.0, cluster.state.wipe)
 
 
-def machines_silent(cluster: SimulatedCluster) -> None:
+def wiped_with_machines_cut_off(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][::3]:
         for name in cluster.names:
             cluster.partition(machine.name, name, 25.0)
     cluster.state.wipe()
 
 
-def all_machines_hang_and_leader_lost(cluster: SimulatedCluster) -> None:
+def wiped_with_machines_hung_and_leader_killed(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.up][::2]:
         machine.hung = True
         cluster.clock.callLater(9.0, setattr, machine, "hung", False)
-    leader_lost_with_it(cluster)
+    wiped_and_leader_killed(cluster)
 
 
-def one_controller_cut_off(cluster: SimulatedCluster) -> None:
+def wiped_with_a_controller_cut_off(cluster: SimulatedCluster) -> None:
     name = next(n for n in cluster.names if n != cluster.leader())
     for other in (*cluster.names, "state"):
         if other != name:
@@ -115,14 +115,14 @@
     cluster.state.wipe()
 
 
-def zone_cut(cluster: SimulatedCluster) -> None:
+def wiped_with_a_zone_cut_off(cluster: SimulatedCluster) -> None:
     for machine in [m for m in cluster.cloud.machines.values() if m.zone == "a"]:
         for name in cluster.names:
             cluster.partition(machine.name, name, 22.0, hold=True)
     cluster.state.wipe()
 
 
-def cancelled_just_before(cluster: SimulatedCluster) -> None:
+def wiped_just_after_cancellations(cluster: SimulatedCluster) -> None:
     """Confirmed by whichever node was asked, some tens of milliseconds before the loss."""
     running = [job for job in cluster.jobs if not cluster.checker.is_final(job)][:5]
     for job in running:
@@ -130,14 +130,14 @@
     cluster.clock.callLater(0.08, cluster.state.wipe)
 
 
-def leader_frozen(cluster: SimulatedCluster) -> None:
+def wiped_and_leader_frozen(cluster: SimulatedCluster) -> None:
     name = cluster.leader()
     cluster.state.wipe()
     if name is not None:
         cluster.freeze(name, 9.0)
 
 
-def late_copies(cluster: SimulatedCluster) -> None:
+def wiped_with_late_duplicates(cluster: SimulatedCluster) -> None:
     cluster.duplicate_share = 0.1
     cluster.clock.callLater(60.0, setattr, cluster, "duplicate_share", 0.0)
     cluster.state.wipe()
@@ -147,18 +147,18 @@
     loss.__name__: loss
     for loss in (
         wiped,
-        wiped_but_counting,
-        leader_lost_with_it,
-        leader_killed_in_the_rebuild,
+        wiped_with_revision_kept,
+        wiped_and_leader_killed,
+        leader_killed_during_rebuild,
         wiped_twice,
         wiped_during_an_outage,
-        machines_silent,
-        all_machines_hang_and_leader_lost,
-        one_controller_cut_off,
-        zone_cut,
-        cancelled_just_before,
-        leader_frozen,
-        late_copies,
+        wiped_with_machines_cut_off,
+        wiped_with_machines_hung_and_leader_killed,
+        wiped_with_a_controller_cut_off,
+        wiped_with_a_zone_cut_off,
+        wiped_just_after_cancellations,
+        wiped_and_leader_frozen,
+        wiped_with_late_duplicates,
     )
 }
 
@@ -182,7 +182,7 @@
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Outages, refusals, slow answers, lost answers, cuts, pauses and changes of leader, alone and together."""
-    monkeypatch.setattr(SimulatedCluster, "FEATURES", ON)
+    monkeypatch.setattr(SimulatedCluster, "FEATURES", REBUILD_ENABLED)
     test_overlapping_faults(name, 0)
     assert "lost records" not in caplog.text
 
@@ -208,9 +208,9 @@
     finish(cluster)
 
 
-@pytest.mark.parametrize("loss", [wiped, leader_lost_with_it, zone_cut])
+@pytest.mark.parametrize("loss", [wiped, wiped_and_leader_killed, wiped_with_a_zone_cut_off])
 def test_a_standing_service_goes_on_until_it_is_cancelled(loss: Loss) -> None:
-    cluster = SimulatedCluster(14, features=ON)
+    cluster = SimulatedCluster(14, features=REBUILD_ENABLED)
     service = cluster.job(1, shape="standing", pieces=3, vcpus=1.0, guessS=5000.0, crew="edge")
     cluster.submit(service)
     cluster.run(30.0)
@@ -230,7 +230,7 @@
 # -- real processes --------------------------------------------------------------------------------------------------
 
 
-def play_on_loopback(*options: str) -> dict[str, Any]:
+def run_on_loopback(*options: str) -> dict[str, Any]:
     """What became of a batch that real processes served."""
     command = [sys.executable, "-m", "tests.loopback_cluster", "--jobs", "14", *options]
     done = subprocess.run(command, capture_output=True, text=True, timeout=120, cwd=ROOT, check=True)
@@ -239,9 +239,9 @@
 
 def test_real_processes_end_all_jobs_as_without_the_loss() -> None:
     """The state service is wiped in mid-batch, also with the leader and machines lost; the same seed each time."""
-    undisturbed = play_on_loopback("--seed", "3")
-    wiped_once = play_on_loopback("--seed", "3", "--wipe-at", "4.0")
-    all_at_once = play_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
+    undisturbed = run_on_loopback("--seed", "3")
+    wiped_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0")
+    all_at_once = run_on_loopback("--seed", "3", "--wipe-at", "4.0", "--kill-leader", "--lose-machines", "2")
     for played in (undisturbed, wiped_once, all_at_once):
         assert played["broken"] == []
         assert played["answers"] == undisturbed["answers"]
--- a/tests/test_rebuild_starts.py
+++ b/tests/test_rebuild_starts.py
@@ -9,7 +9,7 @@
 from stileloft.model import records
 from stileloft.rebuild.store_status import StorePhase
 from tests.simulation.cluster import SimulatedCluster
-from tests.test_rebuild import ON, finish, loaded_cluster, phases
+from tests.test_rebuild import REBUILD_ENABLED, finish, loaded_cluster, phases
 from tests.test_rebuild_unresolved import unresolved_jobs
 from tests.versions import CURRENT, production
 
@@ -23,7 +23,7 @@
     assert records.IDENTITY not in cluster.state.items
     assert cluster.nodes["node-0"].rebuild.store.phase is StorePhase.UNPROTECTED
     finish(cluster)
-    cluster.features["node-2"] = ON
+    cluster.features["node-2"] = REBUILD_ENABLED
     cluster.kill("node-2", restart_after_s=0.1)
     cluster.run(10.0)
     assert phases(cluster) == {StorePhase.SOUND}
@@ -31,7 +31,7 @@
 
 @pytest.mark.skipif(production() is None, reason="the checkout lacks the history")
 def test_the_version_in_production_beside_it() -> None:
-    cluster = SimulatedCluster(8, version=production(), features=ON)
+    cluster = SimulatedCluster(8, version=production(), features=REBUILD_ENABLED)
     cluster.run(5.0)
     for name in ("node-0", "node-1"):
         cluster.kill(name, restart_after_s=0.5, version=CURRENT)
@@ -65,7 +65,7 @@
     cluster = loaded_cluster(10, features=Features())
     cluster.run(20.0)
     for name in cluster.names:
-        cluster.features[name] = ON
+        cluster.features[name] = REBUILD_ENABLED
         cluster.kill(name, restart_after_s=0.5)
         cluster.run(4.0)
     cluster.run(8.0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -115,7 +115,7 @@
     """
     machines = 942  # half as many again as the fleet has
     if keeps:
-        monkeypatch.setattr(SocketUsage, "keeps_commands", lambda _: True)
+        monkeypatch.setattr(SocketUsage, "keeps_worker_connections", lambda _: True)
     cluster = LargeCluster(seed=24, capacity=machines, loss=0.0)
     for number in range(machines):
         machine = cluster.cloud.add(MACHINE_TYPES[0], "ab"[number % 2], True)
