--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -41,7 +41,7 @@
     These workers lose their leases.
     """
     if keeps:
-        monkeypatch.setattr(SocketUsage, "keeps_heartbeats", lambda *_: True)
+        monkeypatch.setattr(SocketUsage, "keeps_heartbeat_connections", lambda *_: True)
     cluster = FleetCluster(1, MACHINES // 2 if keeps else MACHINES)
     if keeps:
         cluster.run(1.5 * cluster.LEASE_S)
