--- a/tests/rules.py
+++ b/tests/rules.py
@@ -111,7 +111,7 @@
         self.machine_by_task[task] = machine
         used = sum(self.job_of(t)["vcpus"] for t in self.machine_by_task if self.job_of(t)["crew"] == job["crew"])
         if used > TEAM_LIMITS[job["crew"]] + 1e-6:
-            self.record_violation("quota", f"team {job['crew']} uses {used} of {TEAM_LIMITS[job['crew']]} processors")
+            self.record_violation("quota", f"{job['crew']} uses {used} of {TEAM_LIMITS[job['crew']]} processors")
 
     def task_ended(self, task: str, machine: "Machine") -> None:
         if self.machine_by_task.get(task) is machine:
@@ -136,7 +136,7 @@
         """
         if answer is None:
             if self.accepted_at.get(job, math.inf) < requested_at:
-                self.record_violation("forgotten", f"{job} was accepted and is answered as unknown")
+                self.record_violation("forgotten", f"{job} is answered as unknown after its acceptance")
             return
         phase, before = answer["phase"], self.last_phase.get(job)
         if job not in self.cluster.jobs:
